--- a/rudderrock/gateway/http/__init__.py
+++ b/rudderrock/gateway/http/__init__.py
@@ -1,5 +1,6 @@
-"""HTTP as a gateway speaks it: to callers, to upstreams and to its peers.
+"""HTTP/1.1 between a gateway and its callers, upstreams and peer hosts.
 
-Messages and the names of their headers, connections to one address, what an
-outcome on one of them says, and the connections of callers.
+The modules parse and write messages, define the header names, pool
+connections to one address, classify the outcomes of attempts and accept the
+connections of callers.
 """
--- a/rudderrock/gateway/http/_caller.py
+++ b/rudderrock/gateway/http/_caller.py
@@ -1,4 +1,4 @@
-"""Plain HTTP calls to one address, for what is not an upstream."""
+"""HTTP client for an address that is not an upstream."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,24 +14,25 @@
 from rudderrock.gateway.knowledge import _directory as directory
 from rudderrock.gateway.knowledge import _routing as routing
 
-# Connections to one address; each call under way takes one.
-MOST_CONNECTIONS = 4
-# How often the way to an address is measured anew when it seems too long, and
-# the time between two measurements in seconds.
-MOST_MEASURED = 8
-MEASURE_EVERY_S = 1.0
+# Connections to one address. Each call in progress occupies one.
+MAX_CONNECTIONS = 4
+# The number of additional round-trip measurements to one address, and the
+# minimum interval between two of them in seconds.
+MAX_RTT_PROBES = 8
+RTT_PROBE_INTERVAL_S = 1.0
 JSON = (b'content-type', b'application/json')
-# Asks for an interim reply as soon as the head has been read (RFC 9110,
-# 10.1.1).
-EXPECT = (b'expect', b'100-continue')
+# Requests an interim reply (100 Continue) as soon as the head has been read
+# (RFC 9110, 10.1.1).
+EXPECT_CONTINUE = (b'expect', b'100-continue')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NoReply:
-    """A call that got no reply.
+    """The result of a call that received no reply.
 
-    `sent` tells if it may have arrived, `signed` if an interim reply has
-    shown that it was read, `timed_out` if nothing more was wrong.
+    `sent` is whether the request may have arrived, `signed` whether an
+    interim reply has confirmed that it was read, and `timed_out` whether
+    the only failure was a timeout.
     """
 
     sent: bool
@@ -41,22 +42,22 @@
 
 
 class HttpCaller:
-    """Calls one address over a few kept connections.
+    """HTTP client for one address with a small pool of connections.
 
-    A call that gets no reply in time closes its connection, so its reply
-    can't be taken for another's.
+    A call that times out closes its connection, so that a late reply can't
+    be taken for the reply to a later call.
     """
 
     def __init__(
         self,
         address: tuple[str, int],
-        most: int = MOST_CONNECTIONS,
+        max_connections: int = MAX_CONNECTIONS,
         names: dialect.HeaderNames | None = None,
-        keep_s: float = pool.DEFAULT_KEEP_S,
+        keep_alive_s: float = pool.DEFAULT_KEEP_ALIVE_S,
     ):
         self._loop = asyncio.get_running_loop()
-        self._measured = 0
-        self._measure_at = 0.0
+        self._rtt_probes = 0
+        self._next_rtt_probe_at = 0.0
         host, port = address
         self._host = b'%b:%d' % (host.encode('ascii'), port)
         endpoint = directory.Endpoint(
@@ -64,31 +65,31 @@
             service=routing.ServiceName(''),
             address=address,
             zone=core.ZoneId(''),
-            slots=most,
+            slots=max_connections,
             phase=directory.Phase.READY,
         )
-        self._links = pool.Pool(
+        self._pool = pool.Pool(
             endpoint,
             self._loop,
             names or dialect.HeaderNames(),
             lambda: None,
-            most,
-            keep_s,
+            max_connections,
+            keep_alive_s,
         )
 
     @property
     def is_busy(self) -> bool:
-        """Tell whether a call is under way."""
-        return self._links.load > 0
+        """Return whether a call is in progress."""
+        return self._pool.load > 0
 
     @property
     def round_trip_s(self) -> float | None:
-        """Return the time there and back in seconds, None if unknown."""
-        return self._links.round_trip_s
+        """Return the round-trip time in seconds, or None if unknown."""
+        return self._pool.round_trip_s
 
     @round_trip_s.setter
     def round_trip_s(self, seconds: float) -> None:
-        self._links.round_trip_s = seconds
+        self._pool.round_trip_s = seconds
 
     async def call(
         self,
@@ -102,10 +103,11 @@
     ) -> result.Result[messages.Reply, NoReply]:
         """Send one request and return its reply, or why there is none.
 
-        `make_headers` gives other headers than the usual ones at the moment
-        of writing; `request_id` is what a reply that names a request must
-        name. With `sign_s` an interim reply is asked for, and a call that has
-        none after so many seconds is given up.
+        `make_headers` replaces the default headers and is called when the
+        request is written. A reply with a request id is accepted only if
+        that id equals `request_id`. If `sign_s` is given, an interim reply
+        is requested, and the call fails if no reply of either kind arrives
+        within `sign_s` seconds.
         """
 
         def render() -> bytes:
@@ -115,91 +117,105 @@
             elif body:
                 headers.append(JSON)
             if sign_s is not None:
-                headers.append(EXPECT)
+                headers.append(EXPECT_CONTINUE)
             return messages.render_request(method, target, headers, body)
 
-        answer = _Answer(self._loop)
+        pending = _PendingReply(self._loop)
 
-        def on_sign() -> None:
+        def on_interim_reply() -> None:
             now = self._loop.time()
-            self._links.note_round_trip(now - exchange.sent_at)
-            answer.sign()
+            self._pool.record_round_trip(now - exchange.sent_at)
+            pending.note_interim_reply()
 
         exchange = link.Exchange(
-            request_id, render, answer.finish, on_sign=on_sign
+            request_id,
+            render,
+            pending.finish,
+            on_interim_reply=on_interim_reply,
         )
-        self._links.submit(exchange)
+        self._pool.submit(exchange)
         try:
-            outcome = await answer.wait(timeout_s, sign_s)
+            outcome = await pending.wait(timeout_s, sign_s)
         except TimeoutError:
             sent = exchange.sent_at is not None
             return result.Err(
-                NoReply(sent, 'no reply in time', answer.is_signed, True)
+                NoReply(
+                    sent,
+                    'timed out waiting for a reply',
+                    pending.has_interim_reply,
+                    True,
+                )
             )
         finally:
-            if not answer.is_done:
-                self._links.drop(exchange)
-            self._links.sweep()
+            if not pending.is_done:
+                self._pool.drop(exchange)
+            self._pool.sweep()
         match outcome:
             case link.Lost(sent=sent, detail=detail):
-                return result.Err(NoReply(sent, detail, answer.is_signed))
+                return result.Err(
+                    NoReply(sent, detail, pending.has_interim_reply)
+                )
         return result.Ok(outcome)
 
     def warm(self, count: int) -> None:
-        """Open the first connections before anybody needs them."""
-        self._links.warm(count)
+        """Open connections until there are `count`, before calls need them."""
+        self._pool.warm(count)
 
     def measure(self) -> None:
-        """Measure the way there and back again, by one more connection.
+        """Measure the round-trip time again by opening another connection.
 
-        The first ones may have been opened while both sides were starting.
-        Done a few times at most, since the shortest time counts.
+        The first connections may have been slow to open because both sides
+        were starting. The shortest time counts, so a few measurements are
+        enough: calls after the first `MAX_RTT_PROBES` do nothing.
         """
         now = self._loop.time()
-        if self._measured < MOST_MEASURED and now >= self._measure_at:
-            self._measured += 1
-            self._measure_at = now + MEASURE_EVERY_S
-            self._links.open_more()
+        if (
+            self._rtt_probes < MAX_RTT_PROBES
+            and now >= self._next_rtt_probe_at
+        ):
+            self._rtt_probes += 1
+            self._next_rtt_probe_at = now + RTT_PROBE_INTERVAL_S
+            self._pool.open_one()
 
     def close(self) -> None:
         """Close all connections."""
-        self._links.close()
+        self._pool.close()
 
 
-class _Answer:
-    """Waits for the outcome of one exchange, and before for its sign."""
+class _PendingReply:
+    """Wait for the interim reply and the outcome of one exchange."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop):
-        self.is_signed = False
+        self.has_interim_reply = False
         self._loop = loop
         self._outcome: link.Outcome | None = None
-        self._news = asyncio.Event()
+        self._changed = asyncio.Event()
 
     @property
     def is_done(self) -> bool:
-        """Tell whether the outcome is there."""
+        """Return whether the outcome has been set."""
         return self._outcome is not None
 
-    def sign(self) -> None:
-        """Take note of an interim reply."""
-        self.is_signed = True
-        self._news.set()
+    def note_interim_reply(self) -> None:
+        """Record that an interim reply has arrived."""
+        self.has_interim_reply = True
+        self._changed.set()
 
     def finish(self, exchange: link.Exchange, outcome: link.Outcome) -> None:
-        """Take the outcome."""
+        """Set the outcome and wake the waiting call."""
         self._outcome = outcome
-        self._news.set()
+        self._changed.set()
 
     async def wait(
         self, timeout_s: float, sign_s: float | None
     ) -> link.Outcome:
-        """Return the outcome; raise TimeoutError if there is none."""
+        """Return the outcome, or raise TimeoutError on a timeout."""
         end = self._loop.time() + timeout_s
         if sign_s is not None:
             async with asyncio.timeout(min(sign_s, timeout_s)):
-                await self._news.wait()
+                await self._changed.wait()
         while self._outcome is None:
-            self._news.clear()
+            self._changed.clear()
             async with asyncio.timeout_at(end):
-                await self._news.wait()
+                await self._changed.wait()
         return self._outcome
--- a/rudderrock/gateway/http/_dialect.py
+++ b/rudderrock/gateway/http/_dialect.py
@@ -1,7 +1,8 @@
-"""The names of the headers that the tier reads and sets.
+"""Names of the HTTP headers that the gateway reads and sets.
 
-Defaults are the product's own; an adapter hands in those of its platform.
-All names are in lower case, as header names are compared.
+The defaults are rudderrock's own names. An adapter can replace them with the
+names of its platform. All names are in lower case, because header names are
+compared in lower case.
 """
 
 import dataclasses
@@ -9,14 +10,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class HeaderNames:
-    """One name for each thing that a header says.
+    """The name of each header.
 
     `request_id` identifies one attempt of a caller; `deadline_ms` is how
-    long the sender will wait; `expected_upstream` names the only upstream
-    that may run the request; `stamp` signs an answer; `not_run` marks a
-    rejection as one that ran nothing; `part_stamps` lists the stamps of
-    the parts of a merged answer and `missing_parts` counts the shards that
-    are left out of it. `team` names the team that asks, where callers say so.
+    long the sender will wait, in milliseconds; `expected_upstream` names the
+    only upstream that may run the request; `stamp` is the upstream's
+    signature of a reply; `not_run` marks the rejection of a request that has
+    not been run; `part_stamps` lists the signatures of the shard replies in
+    a merged reply; `missing_parts` counts the shards that a merged reply
+    lacks; `team` identifies the team that sends the request, if the caller
+    states it.
     """
 
     request_id: bytes = b'rudderrock-request-id'
--- a/rudderrock/gateway/http/_digest.py
+++ b/rudderrock/gateway/http/_digest.py
@@ -1,23 +1,23 @@
-"""What makes two requests the same, whatever ids they bear."""
+"""Digests that identify equal requests regardless of their request ids."""
 
 import hashlib
 
 from rudderrock.gateway.http import _dialect as dialect
 from rudderrock.gateway.http import _messages as messages
 
-# Bytes of a digest. Callers distrust one another and choose what is hashed,
-# so it is a cryptographic hash, in which nobody finds two of a kind.
+# Callers do not trust one another and choose the input of the hash, so it has
+# to be collision-resistant.
 _DIGEST_BYTES = 16
 
 
 def digest_request(
     request: messages.Request, names: dialect.HeaderNames
 ) -> str:
-    """Return what is the same for two requests that ask for the same.
+    """Return a digest that is equal for requests with equal content.
 
-    That is the method, host, target and body, and who asks: the team and its
-    credentials, where a request names them. A team can't make a request that
-    has the digest of another's.
+    The digest covers the method, host, target and body, and the team and its
+    credentials if the request states them. A team therefore can't make a
+    request with the same digest as the request of another team.
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     for part in (
@@ -28,7 +28,7 @@
         request.get_header(b'authorization') or b'',
         request.body,
     ):
-        # The lengths keep one part's end from passing for another's start.
+        # Length prefixes keep the boundaries between the parts unambiguous.
         digest.update(b'%d:' % len(part))
         digest.update(part)
     return digest.hexdigest()
--- a/rudderrock/gateway/http/_intake.py
+++ b/rudderrock/gateway/http/_intake.py
@@ -1,4 +1,7 @@
-"""Connections of callers: requests in, replies out, one at a time each."""
+"""HTTP server for callers, health probes, metrics and peer hosts.
+
+Each connection handles one request at a time.
+"""
 
 import asyncio
 from collections.abc import Awaitable
@@ -13,107 +16,109 @@
 
 Handler = Callable[[messages.Request], Awaitable[messages.Reply]]
 
-# Connections that may wait to be accepted. A full queue makes a caller's
-# opening packet be sent again only after a second or more.
-BACKLOG = 1024
-# Requests that one connection may send ahead of their answers.
-MOST_AHEAD = 16
-_ERROR_STATUS = {'head': 431, 'body': 413, 'syntax': 400, 'slow': 408}
+# Connections that may wait to be accepted. If the queue is full, the caller's
+# SYN packet is dropped and sent again only after a second or more.
+LISTEN_BACKLOG = 1024
+# Requests that one connection may send before it has received their replies.
+MAX_PIPELINED_REQUESTS = 16
+_STATUS_BY_PROBLEM = {'head': 431, 'body': 413, 'syntax': 400, 'slow': 408}
 
 
-class CallerLink(asyncio.Protocol):
-    """One connection of a caller, served by one task of its own."""
+class CallerConnection(asyncio.Protocol):
+    """A connection of a caller, served by its own task."""
 
     def __init__(self, intake: 'Intake'):
         self._intake = intake
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
-        self._ready: asyncio.Queue[messages.Request | str] = asyncio.Queue()
+        self._pending: asyncio.Queue[messages.Request | str] = asyncio.Queue()
         self._task: asyncio.Task | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._unread: asyncio.TimerHandle | None = None
+        self._stall_timer: asyncio.TimerHandle | None = None
         self._writable = asyncio.Event()
         self._writable.set()
-        self._working = False
+        self._answering = False
         self._closing = False
         self._reset()
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether no request is read, waiting or being answered."""
-        busy = self._working or self._started or not self._ready.empty()
+        """Return whether no request is being read, queued or answered."""
+        busy = self._answering or self._in_message or not self._pending.empty()
         return not busy
 
     def connection_made(self, transport) -> None:
-        """Start the task of this connection."""
+        """Register the connection and start its task."""
         self._transport = transport
         self._intake.links.add(self)
         self._task = self._loop.create_task(self._serve())
         self._set_timer(self._intake.limits.idle_timeout_s, self.close)
 
     def data_received(self, data: bytes) -> None:
-        """Feed the parser; what is not HTTP is answered and closed."""
+        """Feed the parser; answer invalid HTTP with an error and close."""
         if self._closing:
             return
-        if not self._started and not self._working:
-            self._begin()
+        if not self._in_message and not self._answering:
+            self._start_message()
         self._head_bytes += 0 if self._head_done else len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._refuse('syntax')
+            self._reject('syntax')
         except httptools.HttpParserError:
-            self._refuse(self._problem or 'syntax')
+            self._reject(self._problem or 'syntax')
         limit = self._intake.limits.max_header_bytes
         if not self._head_done and self._head_bytes > limit + len(data):
-            self._refuse('head')
-        if self._ready.qsize() > MOST_AHEAD:
+            self._reject('head')
+        if self._pending.qsize() > MAX_PIPELINED_REQUESTS:
             self.close()
 
     def eof_received(self) -> bool:
-        """Take the caller's end as its leaving."""
+        """Close the connection when the caller closes its side."""
         return False
 
     def pause_writing(self) -> None:
-        """Answer no more until the caller has read; cut one that doesn't."""
+        """Stop replying until the caller reads; abort if it does not."""
         self._writable.clear()
         idle_s = self._intake.limits.idle_timeout_s
-        self._unread = self._loop.call_later(idle_s, self._transport.abort)
+        self._stall_timer = self._loop.call_later(
+            idle_s, self._transport.abort
+        )
 
     def resume_writing(self) -> None:
-        """Go on, since the caller reads."""
+        """Resume replying."""
         self._writable.set()
-        self._cancel_unread()
+        self._cancel_stall_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop all work for a caller that has left."""
+        """Cancel the task and the timers of the connection."""
         self._closing = True
         self._cancel_timer()
-        self._cancel_unread()
+        self._cancel_stall_timer()
         self._intake.links.discard(self)
         if self._task is not None:
             self._task.cancel()
 
     def close(self) -> None:
-        """Close after what has been written."""
+        """Close after the buffered data has been sent."""
         self._closing = True
         if self._transport is not None:
             self._transport.close()
 
-    # What the parser calls.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Start a request."""
-        if not self._started:
-            self._begin()
+        """Start a request unless `data_received` has done so."""
+        if not self._in_message:
+            self._start_message()
 
     def on_url(self, url: bytes) -> None:
-        """Keep a piece of the target."""
+        """Append a chunk of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep one header."""
+        """Store one header; raise ValueError if the head is too large."""
         self._header_size += len(name) + len(value) + 4
         if self._header_size > self._intake.limits.max_header_bytes:
             self._problem = 'head'
@@ -121,14 +126,14 @@
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Note the arrival of a whole head."""
+        """Restart the timer and send an interim reply if one is expected."""
         self._head_done = True
         self._set_timer(self._intake.limits.idle_timeout_s, self._time_out)
         if messages.find_header(self._headers, b'expect') is not None:
             self._transport.write(b'HTTP/1.1 100 Continue\r\n\r\n')
 
     def on_body(self, data: bytes) -> None:
-        """Keep a piece of the body."""
+        """Store a chunk of the body; raise ValueError if it is too large."""
         self._body_size += len(data)
         if self._body_size > self._intake.limits.max_body_bytes:
             self._problem = 'body'
@@ -136,21 +141,21 @@
         self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """Queue a whole request for this connection's task."""
+        """Queue the complete request for the task of this connection."""
         self._cancel_timer()
         request = messages.Request(
             self._parser.get_method(),
             self._target,
             self._headers,
             b''.join(self._body),
-            self._began,
+            self._started_at,
             self._parser.should_keep_alive(),
         )
         self._reset()
-        self._ready.put_nowait(request)
+        self._pending.put_nowait(request)
 
     def _reset(self) -> None:
-        self._started = False
+        self._in_message = False
         self._head_done = False
         self._head_bytes = 0
         self._header_size = 0
@@ -159,41 +164,41 @@
         self._problem = ''
         self._headers: messages.Headers = []
         self._body: list[bytes] = []
-        self._began = 0.0
+        self._started_at = 0.0
 
-    def _begin(self) -> None:
-        self._started = True
-        self._began = self._loop.time()
+    def _start_message(self) -> None:
+        self._in_message = True
+        self._started_at = self._loop.time()
         limits = self._intake.limits
         self._set_timer(limits.header_timeout_s, self._time_out)
 
-    def _refuse(self, problem: str) -> None:
-        """Queue an answer to what can't be read, and read no more."""
+    def _reject(self, problem: str) -> None:
+        """Queue an error reply for an invalid request and stop reading."""
         if not self._closing:
             self._closing = True
-            self._ready.put_nowait(problem)
+            self._pending.put_nowait(problem)
 
     def _time_out(self) -> None:
-        self._refuse('slow')
+        self._reject('slow')
 
     async def _serve(self) -> None:
-        """Answer one request after another until the caller leaves."""
+        """Answer queued requests in order until the connection closes."""
         while True:
             await self._writable.wait()
-            read = await self._ready.get()
-            if isinstance(read, str):
-                reply = messages.Reply(_ERROR_STATUS[read], [])
-                self._intake.note_unreadable(read)
+            item = await self._pending.get()
+            if isinstance(item, str):
+                reply = messages.Reply(_STATUS_BY_PROBLEM[item], [])
+                self._intake.note_unreadable(item)
                 self._write(reply, close=True, headless=False)
                 return
-            self._working = True
-            reply = await self._answer(read)
-            close = not read.keep_alive or self._intake.is_stopping
-            self._write(reply, close, read.method == b'HEAD')
-            self._working = False
+            self._answering = True
+            reply = await self._answer(item)
+            close = not item.keep_alive or self._intake.is_stopping
+            self._write(reply, close, item.method == b'HEAD')
+            self._answering = False
             if close:
                 return
-            if self._ready.empty() and not self._started:
+            if self._pending.empty() and not self._in_message:
                 idle_s = self._intake.limits.idle_timeout_s
                 self._set_timer(idle_s, self.close)
 
@@ -201,8 +206,8 @@
         try:
             return await self._intake.handle(request)
         except Exception:
-            # A defect of ours must cost one request and not the caller's
-            # connection; it is logged with its stack.
+            # A defect in the gateway fails this request only and leaves the
+            # caller's connection open. The traceback is logged.
             logging.exception('a request failed on a defect')
             return messages.Reply(500, [])
 
@@ -219,10 +224,10 @@
         self._cancel_timer()
         self._timer = self._loop.call_later(after_s, call)
 
-    def _cancel_unread(self) -> None:
-        if self._unread is not None:
-            self._unread.cancel()
-            self._unread = None
+    def _cancel_stall_timer(self) -> None:
+        if self._stall_timer is not None:
+            self._stall_timer.cancel()
+            self._stall_timer = None
 
     def _cancel_timer(self) -> None:
         if self._timer is not None:
@@ -231,10 +236,11 @@
 
 
 class Intake:
-    """A listening address and the connections that came by it.
+    """A listening address and its accepted connections.
 
-    Parameters: `handle` answers one request; `note_unreadable` is told why
-    a request could not be read.
+    `handle` returns the reply to a request. `note_unreadable` is called with
+    the reason if a request could not be read: 'head' or 'body' if that part
+    is too large, 'syntax' or 'slow'.
     """
 
     def __init__(
@@ -245,21 +251,21 @@
         self.handle = handle
         self.note_unreadable = note_unreadable
         self.limits = routing.IntakeLimits()
-        self.links: set[CallerLink] = set()
+        self.links: set[CallerConnection] = set()
         self.is_stopping = False
         self._server: asyncio.Server | None = None
 
     @property
     def busy(self) -> int:
-        """Return how many connections have a request under way."""
+        """Return the number of connections with a request in progress."""
         return sum(not link.is_idle for link in self.links)
 
     @contextlib.asynccontextmanager
     async def listen(self, host: str, port: int):
-        """Accept connections while the context lasts."""
+        """Accept connections inside the context; close them all on exit."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: CallerLink(self), host, port, backlog=BACKLOG
+            lambda: CallerConnection(self), host, port, backlog=LISTEN_BACKLOG
         )
         try:
             yield self
@@ -269,13 +275,13 @@
                 link.close()
 
     def stop_accepting(self) -> None:
-        """Accept no more connections; those that are open go on."""
+        """Stop accepting connections; open ones are kept."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
     def close_idle(self) -> None:
-        """Close the connections that have nothing under way."""
+        """Close the connections that have no request in progress."""
         for link in list(self.links):
             if link.is_idle:
                 link.close()
--- a/rudderrock/gateway/http/_link.py
+++ b/rudderrock/gateway/http/_link.py
@@ -1,9 +1,9 @@
-"""One connection to an upstream, with one exchange at a time on it.
+"""A connection to an upstream that carries one exchange at a time.
 
-An answer belongs to the exchange under way only if it names that exchange's
-request or names none. An answer that names another request is read to its
-end and dropped; it never becomes anybody's. A connection that has carried
-anything unasked for is not used again.
+A reply is accepted for the current exchange only if it has the request id of
+that exchange or no request id. A reply with another request id is read to its
+end and discarded. A connection that has received unsolicited data is not used
+again.
 """
 
 import asyncio
@@ -15,15 +15,15 @@
 from rudderrock.gateway.http import _dialect as dialect
 from rudderrock.gateway.http import _messages as messages
 
-# A reply larger than this is treated as spoilt; bytes.
+# A larger reply counts as invalid, and its connection is closed.
 MAX_REPLY_BYTES = 8 * 1024 * 1024
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lost:
-    """An exchange that ended without a whole reply.
+    """The outcome of an exchange without a complete reply.
 
-    `sent` tells whether the upstream may have received the request.
+    `sent` is whether the upstream may have received the request.
     """
 
     sent: bool
@@ -34,12 +34,15 @@
 
 
 class Exchange:
-    """One request on its way to one upstream.
-
-    `render` is called when the request is written, so that the time left
-    which it states is that of the moment. `on_done` is called once, unless
-    the exchange was dropped before, and `on_sign` with each interim reply,
-    which shows that the other side has read the request (RFC 9110, 15.2).
+    """A request to one upstream and the callbacks for its reply.
+
+    `render` returns the bytes of the request. It is called when the request
+    is written, so that the remaining time stated in the request is current.
+    `on_done` is called once with the outcome, unless the exchange has been
+    dropped. `on_interim_reply` is called for each interim reply, which shows
+    that the other side has read the request (RFC 9110, 15.2). If `headless`
+    is true, the reply has no body. If `fresh` is true, the request must not
+    be sent on a connection that has been idle for long.
     """
 
     __slots__ = (
@@ -48,9 +51,9 @@
         'headless',
         'fresh',
         'on_done',
-        'on_sign',
+        'on_interim_reply',
         'sent_at',
-        'give_up_at',
+        'abort_at',
         'link',
     )
 
@@ -62,28 +65,32 @@
         *,
         headless: bool = False,
         fresh: bool = False,
-        on_sign: Callable[[], None] | None = None,
+        on_interim_reply: Callable[[], None] | None = None,
     ):
         self.request_id = request_id
         self.render = render
         self.headless = headless
         self.fresh = fresh
         self.on_done = on_done
-        self.on_sign = on_sign
+        self.on_interim_reply = on_interim_reply
         self.sent_at: float | None = None
-        self.give_up_at: float | None = None
+        self.abort_at: float | None = None
         self.link: 'Link | None' = None
 
     def finish(self, outcome: Outcome) -> None:
-        """Hand the outcome over; nothing happens a second time."""
-        call, self.on_done = self.on_done, None
+        """Pass the outcome to `on_done`; repeated calls have no effect."""
+        on_done, self.on_done = self.on_done, None
         self.link = None
-        if call is not None:
-            call(self, outcome)
+        if on_done is not None:
+            on_done(self, outcome)
 
 
 class Link(asyncio.Protocol):
-    """The connection; `on_free` and `on_closed` tell its owner."""
+    """A connection that carries one exchange at a time.
+
+    `on_free` is called when the next exchange may start, and `on_closed`
+    once when the connection has closed.
+    """
 
     def __init__(
         self,
@@ -93,7 +100,7 @@
         on_closed: Callable[['Link'], None],
     ):
         self.idle_since = 0.0
-        self.keep_s: float | None = None
+        self.keep_alive_s: float | None = None
         self.exchange: Exchange | None = None
         self._loop = loop
         self._names = names
@@ -101,47 +108,51 @@
         self._on_closed = on_closed
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._spoilt = False
-        self._ended = False
+        self._unusable = False
+        self._close_reported = False
         self._headers: messages.Headers = []
         self._body: list[bytes] = []
-        self._size = 0
+        self._body_size = 0
         self._in_message = False
         self._head_done = False
-        self._keeps = False
+        self._keep_alive = False
         self._reply: messages.Reply | None = None
 
     @property
     def is_free(self) -> bool:
-        """Tell whether an exchange may start now."""
+        """Return whether an exchange may start now."""
         return (
             self.exchange is None
             and self._transport is not None
-            and not self._spoilt
+            and not self._unusable
             and not self._transport.is_closing()
         )
 
     def start(self, exchange: Exchange) -> None:
-        """Write a request; the link must be free."""
+        """Write the request of an exchange; the connection must be free."""
         self.exchange = exchange
         exchange.link = self
         exchange.sent_at = self._loop.time()
         self._transport.write(exchange.render())
 
     def abort(self) -> None:
-        """Close at once, which tells the upstream to stop working."""
+        """Close at once.
+
+        The upstream sees the closed connection and can stop working on the
+        request.
+        """
         if self._transport is not None:
             self._transport.abort()
 
     def connection_made(self, transport) -> None:
-        """Take the connection into use."""
+        """Store the transport and start the idle time."""
         self._transport = transport
         self.idle_since = self._loop.time()
 
     def data_received(self, data: bytes) -> None:
-        """Feed the parser and hand over a reply that is whole."""
+        """Feed the parser and deliver the reply once it is complete."""
         if self.exchange is None:
-            self._spoil()
+            self._discard()
             return
         try:
             self._parser.feed_data(data)
@@ -149,63 +160,63 @@
             httptools.HttpParserError,
             httptools.HttpParserUpgrade,
         ):
-            self._spoilt = True
+            self._unusable = True
         if self._reply is not None:
-            self._hand_over()
-        elif self._spoilt:
-            self._lose('not a whole HTTP reply')
+            self._deliver()
+        elif self._unusable:
+            self._fail('invalid HTTP reply')
             self.abort()
 
     def eof_received(self) -> bool:
-        """Note a clean end, which ends a reply without a length."""
+        """Deliver a reply whose body ends with the connection, if any."""
         if self._ends_with_connection():
-            self._spoilt = True
+            self._unusable = True
             self._complete()
             if self._reply is not None:
-                self._hand_over()
+                self._deliver()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the exchange under way, if any."""
-        self._spoilt = True
-        self._lose('reset' if exc is not None else 'closed')
-        if not self._ended:
-            self._ended = True
+        """Fail the current exchange, if any, and report the close once."""
+        self._unusable = True
+        self._fail('reset' if exc is not None else 'closed')
+        if not self._close_reported:
+            self._close_reported = True
             self._on_closed(self)
 
-    # What the parser calls.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Start a reply; one too many spoils the connection."""
+        """Start a reply; a second one makes the connection unusable."""
         if self._reply is not None:
-            self._spoilt = True
+            self._unusable = True
         self._headers = []
         self._body = []
-        self._size = 0
+        self._body_size = 0
         self._in_message = True
         self._head_done = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep one header."""
+        """Store one header."""
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Note the end of the head."""
+        """Complete the reply if the request was a HEAD request."""
         self._head_done = True
         if self.exchange is not None and self.exchange.headless:
-            self._spoilt = True
+            self._unusable = True
             self._complete()
 
     def on_body(self, data: bytes) -> None:
-        """Keep one piece of the body."""
-        self._size += len(data)
-        if self._size > MAX_REPLY_BYTES:
-            self._spoilt = True
+        """Store a chunk of the body; raise ValueError if it is too large."""
+        self._body_size += len(data)
+        if self._body_size > MAX_REPLY_BYTES:
+            self._unusable = True
             raise ValueError('reply too large')
         self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """Note a whole reply."""
+        """Complete the reply unless another one is already pending."""
         if self._reply is None:
             self._complete()
 
@@ -213,33 +224,33 @@
         self._in_message = False
         status = self._parser.get_status_code()
         if status < 200:
-            if self.exchange.on_sign is not None:
-                self.exchange.on_sign()
+            if self.exchange.on_interim_reply is not None:
+                self.exchange.on_interim_reply()
             return
         named = messages.find_header(self._headers, self._names.request_id)
-        self._keeps = self._parser.should_keep_alive()
+        self._keep_alive = self._parser.should_keep_alive()
         if named is not None and named != self.exchange.request_id:
-            # The late answer to an earlier request.
-            self._spoilt = self._spoilt or not self._keeps
+            # A late reply to an earlier request.
+            self._unusable = self._unusable or not self._keep_alive
             return
         self._reply = messages.Reply(
             status, self._headers, b''.join(self._body)
         )
 
     def _ends_with_connection(self) -> bool:
-        if not (self._in_message and self._head_done) or self._spoilt:
+        if not (self._in_message and self._head_done) or self._unusable:
             return False
         framed = (b'content-length', b'transfer-encoding')
         return not any(name in framed for name, _ in self._headers)
 
-    def _hand_over(self) -> None:
+    def _deliver(self) -> None:
         reply, self._reply = self._reply, None
         exchange, self.exchange = self.exchange, None
         self._note_keep_alive(reply)
         unsent = self._transport.get_write_buffer_size()
-        keeps = self._keeps and not unsent
-        if self._spoilt or self._in_message or not keeps:
-            self._spoil()
+        reusable = self._keep_alive and not unsent
+        if self._unusable or self._in_message or not reusable:
+            self._discard()
         else:
             self.idle_since = self._loop.time()
         exchange.finish(reply)
@@ -247,17 +258,17 @@
             self._on_free(self)
 
     def _note_keep_alive(self, reply: messages.Reply) -> None:
-        told = reply.get_header(b'keep-alive') or b''
-        for word in told.split(b','):
-            key, _, value = word.strip().partition(b'=')
+        header = reply.get_header(b'keep-alive') or b''
+        for parameter in header.split(b','):
+            key, _, value = parameter.strip().partition(b'=')
             if key.lower() == b'timeout' and value.isdigit():
-                self.keep_s = float(value)
+                self.keep_alive_s = float(value)
 
-    def _spoil(self) -> None:
-        self._spoilt = True
+    def _discard(self) -> None:
+        self._unusable = True
         self.abort()
 
-    def _lose(self, detail: str) -> None:
+    def _fail(self, detail: str) -> None:
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
             exchange.finish(Lost(True, detail))
--- a/rudderrock/gateway/http/_messages.py
+++ b/rudderrock/gateway/http/_messages.py
@@ -1,13 +1,13 @@
-"""Requests and replies as they are forwarded, and how they are written."""
+"""HTTP requests and replies, and their serialization."""
 
 import dataclasses
 import http
 
 Headers = list[tuple[bytes, bytes]]
 
-# Headers that concern one connection only (RFC 9110, 7.6.1), and those
-# that this tier writes itself when it frames a message.
-_PER_CONNECTION = frozenset(
+# Headers that apply to a single connection (RFC 9110, 7.6.1), and headers that
+# the gateway writes itself when it frames a message.
+_HOP_BY_HOP = frozenset(
     {
         b'connection',
         b'keep-alive',
@@ -22,16 +22,17 @@
         b'expect',
     }
 )
-_REASONS = {
+_REASON_PHRASES = {
     status.value: status.phrase.encode('ascii') for status in http.HTTPStatus
 }
 
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """A whole request of a caller; header names are in lower case.
+    """A complete request of a caller; header names are in lower case.
 
-    `arrived` is the loop time in seconds at which its head was complete.
+    `arrived` is the loop time in seconds at which the first byte of the
+    request was read.
     """
 
     method: bytes
@@ -48,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole reply, of an upstream or of the tier itself."""
+    """A complete reply of an upstream or of the gateway itself."""
 
     status: int
     headers: Headers
@@ -60,7 +61,10 @@
 
 
 def find_header(headers: Headers, name: bytes) -> bytes | None:
-    """Return the first value of a header in lower case, or None."""
+    """Return the first value of a header, or None.
+
+    `name` must be in lower case.
+    """
     for key, value in headers:
         if key == name:
             return value
@@ -68,22 +72,22 @@
 
 
 def drop_connection_headers(headers: Headers) -> Headers:
-    """Return what may be forwarded (RFC 9110, 7.6.1).
+    """Return the headers that may be forwarded (RFC 9110, 7.6.1).
 
-    Names listed by `Connection` go too.
+    Headers that are listed in `Connection` are removed as well.
     """
     listed = {
-        word.strip().lower()
+        token.strip().lower()
         for key, value in headers
         if key == b'connection'
-        for word in value.split(b',')
+        for token in value.split(b',')
     }
-    dropped = _PER_CONNECTION | listed
+    dropped = _HOP_BY_HOP | listed
     return [pair for pair in headers if pair[0] not in dropped]
 
 
 def pass_on(reply: Reply) -> Reply:
-    """Return a reply as another connection may carry it."""
+    """Return a copy of a reply without its hop-by-hop headers."""
     return Reply(
         reply.status, drop_connection_headers(reply.headers), reply.body
     )
@@ -92,7 +96,11 @@
 def render_request(
     method: bytes, target: bytes, headers: Headers, body: bytes
 ) -> bytes:
-    """Write a request in one piece, with its length if it has a body."""
+    """Return the bytes of a request.
+
+    A content length is included unless the method is GET, HEAD, DELETE or
+    OPTIONS and the body is empty.
+    """
     lines = [b'%b %b HTTP/1.1\r\n' % (method, target)]
     lines += [b'%b: %b\r\n' % pair for pair in headers]
     if body or method not in (b'GET', b'HEAD', b'DELETE', b'OPTIONS'):
@@ -103,12 +111,13 @@
 
 
 def render_reply(reply: Reply, close: bool, headless: bool = False) -> bytes:
-    """Write a reply in one piece.
+    """Return the bytes of a reply.
 
-    `close` announces that the connection ends with it; `headless` leaves
-    out the body and its length, for a HEAD request.
+    If `close` is true, the reply announces that the connection will be
+    closed. If `headless` is true, the body and the content length are left
+    out, as for a HEAD request.
     """
-    reason = _REASONS.get(reply.status, b'Unknown')
+    reason = _REASON_PHRASES.get(reply.status, b'Unknown')
     lines = [b'HTTP/1.1 %d %b\r\n' % (reply.status, reason)]
     lines += [b'%b: %b\r\n' % pair for pair in reply.headers]
     if reply.status not in (204, 304) and not headless:
--- a/rudderrock/gateway/http/_pool.py
+++ b/rudderrock/gateway/http/_pool.py
@@ -1,4 +1,4 @@
-"""The connections of this host to one upstream, and what waits for them."""
+"""Connection pool of this host for one upstream."""
 
 import asyncio
 import collections
@@ -9,31 +9,32 @@
 from rudderrock.gateway.http import _link as link_module
 from rudderrock.gateway.knowledge import _directory as directory
 
-# How long opening a connection may take, in seconds. Between regions it
-# takes some 30 ms; a lost opening packet is sent again after a second.
+# Opening a connection takes about 30 ms between regions. A lost SYN packet is
+# sent again after one second.
 CONNECT_TIMEOUT_S = 1.0
-# An idle connection is closed after this part of the time that the
-# upstream says it keeps one, so that both sides seldom close at once.
-KEEP_FRACTION = 0.75
-# Idle time in seconds where the upstream doesn't say.
-DEFAULT_KEEP_S = 10.0
-# Idle time of a connection that this host has no claim to keep, in seconds.
-SPARE_IDLE_S = 0.5
-# A request that must not run twice can't be sent again after a reset, so
-# it takes a connection that was used this recently, or a new one; seconds.
-FRESH_S = 1.0
-# A connection on which a request had no answer for so long, in seconds, may
-# have fallen silent, and the others with it, with no sign of it on either
-# side. Idle ones are closed then, since a new one costs little.
-SILENT_S = 0.3
+# An idle connection is closed after this fraction of the upstream's keep-alive
+# timeout, so that the two sides rarely close it at the same time.
+KEEP_ALIVE_FRACTION = 0.75
+# Keep-alive timeout for an upstream that does not announce one.
+DEFAULT_KEEP_ALIVE_S = 10.0
+# Idle time after which a connection is closed if this host has no share of the
+# upstream's connections.
+UNALLOCATED_IDLE_S = 0.5
+# A request that must not run twice can't be sent again after a reset. It is
+# sent on a new connection or on one that has been idle for at most this long.
+RECENT_USE_S = 1.0
+# If a request has had no reply for this long, its connection and the others to
+# the same upstream may have failed without either side detecting it. The idle
+# ones are then closed, because opening a new one is cheap.
+UNRESPONSIVE_AFTER_S = 0.3
 
 
 class Pool:
-    """At most `cap` connections to one endpoint.
+    """A pool of at most `cap` connections to one endpoint.
 
-    `is_spare` tells that this host has no claim to keep a connection there,
-    and closes each one soon. `count_dial` is called for each connection
-    that is opened.
+    If `is_spare` is true, this host has no share of the upstream's
+    connections and closes each connection after a short idle time.
+    `count_dial` is called each time that opening a connection starts.
     """
 
     def __init__(
@@ -43,18 +44,18 @@
         names: dialect.HeaderNames,
         count_dial: Callable[[], None],
         cap: int = 1,
-        keep_s: float = DEFAULT_KEEP_S,
+        keep_alive_s: float = DEFAULT_KEEP_ALIVE_S,
     ):
         self.endpoint = endpoint
         self.cap = cap
         self.is_spare = False
-        # The shortest time in seconds in which the other side has shown a
-        # sign: opened a connection, or said that it has read a request.
+        # The shortest time in seconds in which the other side has accepted a
+        # connection or sent an interim reply.
         self.round_trip_s: float | None = None
         self._loop = loop
         self._names = names
         self._count_dial = count_dial
-        self._keep_s = keep_s
+        self._keep_alive_s = keep_alive_s
         self._free: list[link_module.Link] = []
         self._links: set[link_module.Link] = set()
         self._dials: set[asyncio.Task] = set()
@@ -65,42 +66,43 @@
 
     @property
     def load(self) -> int:
-        """Return how many exchanges are under way or waiting."""
+        """Return the number of exchanges in progress or queued."""
         busy = len(self._links) - len(self._free)
         return busy + len(self._waiting)
 
     @property
     def is_open(self) -> bool:
-        """Tell whether a connection is there or being opened."""
+        """Return whether a connection is open or being opened."""
         return bool(self._links or self._dials)
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether a connection waits for an exchange."""
+        """Return whether a connection is idle."""
         return bool(self._free)
 
     @property
     def is_full(self) -> bool:
-        """Tell whether one more exchange would wait for more than one."""
+        """Return whether a new exchange would have to wait for two others."""
         return self.load >= 2 * self.cap
 
     def get_oldest_age(self, now: float) -> float:
-        """Return for how long the oldest exchange has been under way.
+        """Return the time in seconds since the oldest exchange was sent.
 
-        One that a hedge has overtaken is as old as can be.
+        The age is infinite if the reply to an exchange is no longer needed,
+        for example because a hedge was answered first.
         """
         oldest = 0.0
         for link in self._links:
             exchange = link.exchange
             if exchange is None:
                 continue
-            if exchange.give_up_at is not None:
+            if exchange.abort_at is not None:
                 return math.inf
             oldest = max(oldest, now - exchange.sent_at)
         return oldest
 
     def submit(self, exchange: link_module.Exchange) -> None:
-        """Send as soon as a connection is free."""
+        """Send the request of an exchange once a connection is free."""
         link = self._take_free(exchange.fresh)
         if link is not None:
             link.start(exchange)
@@ -109,7 +111,7 @@
         self._dial_if_needed()
 
     def withdraw(self, exchange: link_module.Exchange) -> bool:
-        """Take back an exchange that has not been sent; tell if it was."""
+        """Remove a queued exchange; return False if it was not queued."""
         if exchange.sent_at is not None:
             return False
         try:
@@ -120,76 +122,85 @@
         return True
 
     def drop(self, exchange: link_module.Exchange) -> None:
-        """Give an exchange up; its upstream is told by a closed link."""
+        """Cancel an exchange and close its connection if it was sent."""
         exchange.on_done = None
         if not self.withdraw(exchange) and exchange.link is not None:
             self._abort_unanswered(exchange)
 
     def leave(self, exchange: link_module.Exchange, patience_s: float) -> None:
-        """Let an exchange that nobody waits for come to its end.
+        """Let an exchange finish whose reply is no longer needed.
 
-        It keeps the connection whole; after `patience_s` it is dropped.
+        The connection can be reused once the reply has arrived. If it has
+        not arrived after `patience_s` seconds, the connection is closed.
         """
         exchange.on_done = None
         if not self.withdraw(exchange):
-            exchange.give_up_at = self._loop.time() + patience_s
+            exchange.abort_at = self._loop.time() + patience_s
 
-    def note_round_trip(self, took_s: float) -> None:
-        """Take note of how long the other side took to show a sign."""
-        self.round_trip_s = min(took_s, self.round_trip_s or took_s)
+    def record_round_trip(self, elapsed_s: float) -> None:
+        """Update the shortest measured round-trip time."""
+        self.round_trip_s = min(elapsed_s, self.round_trip_s or elapsed_s)
 
     def warm(self, count: int = 1) -> None:
-        """Open the first connections before anybody needs them."""
+        """Open connections until there are `count`, before they are needed."""
         missing = count - len(self._links) - len(self._dials)
         if not self._retired:
             for _ in range(missing):
                 self._dial()
 
-    def open_more(self) -> None:
-        """Open one more connection, within the bound."""
+    def open_one(self) -> None:
+        """Open another connection unless the limit is reached."""
         if len(self._links) + len(self._dials) < self.cap:
             self._dial()
 
     def sweep(self) -> None:
-        """Close what has idled too long or was left to end and didn't."""
+        """Close connections that have expired.
+
+        These are connections that have been idle for too long, and those
+        whose abandoned exchange has not finished in time.
+        """
         now = self._loop.time()
         for link in list(self._free):
-            if now - link.idle_since > self._get_idle_s(link):
+            if now - link.idle_since > self._get_max_idle_s(link):
                 self._free.remove(link)
                 link.abort()
         for link in list(self._links):
             exchange = link.exchange
-            if exchange is None or exchange.give_up_at is None:
+            if exchange is None or exchange.abort_at is None:
                 continue
-            if now >= exchange.give_up_at:
+            if now >= exchange.abort_at:
                 self._abort_unanswered(exchange)
 
     def _abort_unanswered(self, exchange: link_module.Exchange) -> None:
-        """Close a connection that owes an answer, and doubt idle ones."""
-        if self._loop.time() - exchange.sent_at >= SILENT_S:
+        """Close the connection of an unanswered exchange.
+
+        The idle connections are closed too if the exchange has been waiting
+        for at least `UNRESPONSIVE_AFTER_S`.
+        """
+        if self._loop.time() - exchange.sent_at >= UNRESPONSIVE_AFTER_S:
             self.drop_idle()
         exchange.link.abort()
 
-    def _get_idle_s(self, link: link_module.Link) -> float:
+    def _get_max_idle_s(self, link: link_module.Link) -> float:
         if self.is_spare:
-            return SPARE_IDLE_S
-        return (link.keep_s or self._keep_s) * KEEP_FRACTION
+            return UNALLOCATED_IDLE_S
+        return (link.keep_alive_s or self._keep_alive_s) * KEEP_ALIVE_FRACTION
 
     def retire(self) -> None:
-        """Send no more; what is under way may end."""
+        """Fail queued exchanges, and let those in progress finish."""
         self._retired = True
         while self._waiting:
             exchange = self._waiting.popleft()
-            exchange.finish(link_module.Lost(False, 'upstream left'))
+            exchange.finish(link_module.Lost(False, 'upstream was removed'))
         self.drop_idle()
 
     def drop_idle(self) -> None:
-        """Close the connections that have nothing under way."""
+        """Close the idle connections."""
         while self._free:
             self._free.pop().abort()
 
     def close(self) -> None:
-        """Close every connection at once."""
+        """Close every connection at once, and stop opening new ones."""
         self.retire()
         for dial in list(self._dials):
             dial.cancel()
@@ -202,7 +213,7 @@
             link = self._free.pop()
             if not link.is_free:
                 continue
-            if fresh and now - link.idle_since > FRESH_S:
+            if fresh and now - link.idle_since > RECENT_USE_S:
                 link.abort()
                 continue
             return link
@@ -210,8 +221,8 @@
 
     def _dial_if_needed(self) -> None:
         open_now = len(self._links) + len(self._dials)
-        wanted = len(self._waiting) - len(self._dials)
-        if wanted > 0 and open_now < self.cap and not self._retired:
+        needed = len(self._waiting) - len(self._dials)
+        if needed > 0 and open_now < self.cap and not self._retired:
             self._dial()
 
     def _dial(self) -> None:
@@ -231,9 +242,10 @@
         except (OSError, TimeoutError) as error:
             self._fail_waiting(str(error) or 'connect timed out')
             return
-        self.note_round_trip(self._loop.time() - began)
+        self.record_round_trip(self._loop.time() - began)
         self._links.add(link)
-        # The task still counts as a dial while it runs.
+        # The task is in `_dials` until it ends, but its connection is counted
+        # in `_links` from here on.
         self._dials.discard(asyncio.current_task())
         self._on_free(link)
 
@@ -243,7 +255,7 @@
         )
 
     def _fail_waiting(self, detail: str) -> None:
-        """Fail what waits, unless a connection may still become free."""
+        """Fail the queued exchanges unless a connection is in use."""
         if any(link.exchange is not None for link in self._links):
             return
         while self._waiting:
--- a/rudderrock/gateway/http/_reach.py
+++ b/rudderrock/gateway/http/_reach.py
@@ -1,53 +1,54 @@
-"""Whether an upstream that has closed a connection has ended."""
+"""Checks whether an address still accepts connections."""
 
 import asyncio
 from collections.abc import Callable
 
 from rudderrock import core
 
-# How long a new connection may take, in seconds: four ways there and back
-# between regions. Where nothing answers in that time the link may be cut.
+# Four round trips between regions. If a connection takes longer, the network
+# link may have failed.
 CHECK_TIMEOUT_S = 0.1
 
 
 class ReachChecker:
-    """Opens a connection to an address to learn whether anybody listens.
+    """Opens connections to check whether a process listens at an address.
 
-    A connection that is lost says little: a server that lives closes some,
-    links reset them. One that listens no more has ended.
+    A lost connection does not show that the upstream has ended: a running
+    server closes connections, and the network can reset them. If connections
+    are refused, no process listens at the address any more.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop):
         self.checks = 0
         self._loop = loop
-        self._asked: dict[
+        self._pending: dict[
             tuple[str, int], tuple[asyncio.Task, list[Callable[[bool], None]]]
         ] = {}
 
     def check(
-        self, address: tuple[str, int], on_known: Callable[[bool], None]
+        self, address: tuple[str, int], on_result: Callable[[bool], None]
     ) -> None:
-        """Have `on_known` told whether connections are refused there.
+        """Call `on_result` with whether the address refuses connections.
 
-        Those who ask while one check is under way share its outcome.
+        Calls for the same address during a check share its result.
         """
-        if address in self._asked:
-            self._asked[address][1].append(on_known)
+        if address in self._pending:
+            self._pending[address][1].append(on_result)
             return
         self.checks += 1
         task = self._loop.create_task(self._check(address))
-        self._asked[address] = (task, [on_known])
+        self._pending[address] = (task, [on_result])
 
     async def close(self) -> None:
-        """End the checks that are under way."""
-        for task, _ in list(self._asked.values()):
+        """Cancel the checks in progress."""
+        for task, _ in list(self._pending.values()):
             await core.end_task(task)
 
     async def _check(self, address: tuple[str, int]) -> None:
         refused = await self._is_refused(address)
-        _, waiting = self._asked.pop(address)
-        for on_known in waiting:
-            on_known(refused)
+        _, callbacks = self._pending.pop(address)
+        for on_result in callbacks:
+            on_result(refused)
 
     async def _is_refused(self, address: tuple[str, int]) -> bool:
         try:
@@ -58,7 +59,7 @@
         except ConnectionRefusedError:
             return True
         except (OSError, TimeoutError):
-            # It can't be told; that is not held against a request.
+            # The result is unknown, so no request is blamed for it.
             return False
         transport.abort()
         return False
--- a/rudderrock/gateway/http/_verdicts.py
+++ b/rudderrock/gateway/http/_verdicts.py
@@ -1,4 +1,4 @@
-"""What the outcome of one attempt at an upstream says."""
+"""Classification of the outcomes of attempts at upstreams."""
 
 import enum
 
@@ -7,7 +7,13 @@
 
 
 class Verdict(enum.Enum):
-    """What an outcome of one attempt says."""
+    """The class of an attempt's outcome.
+
+    ANSWER is a valid reply; FAILURE an error reply from the upstream;
+    REJECTED a rejection that states that the request was not run;
+    MISDIRECTED status 421; SPOILT an invalid reply; LOST no complete reply
+    to a request that may have arrived; UNSENT a request that was not sent.
+    """
 
     ANSWER = 'answer'
     FAILURE = 'failure'
@@ -18,18 +24,18 @@
     UNSENT = 'unsent'
 
 
-# Verdicts that promise that nothing has run.
+# Verdicts that guarantee that the request has not been run.
 NOT_RUN = frozenset({Verdict.UNSENT, Verdict.REJECTED, Verdict.MISDIRECTED})
 
 
 def judge_outcome(
     outcome: link.Outcome, names: dialect.HeaderNames
 ) -> Verdict:
-    """Say what an outcome means.
+    """Return the verdict on an outcome.
 
-    Only a rejection that says so, or status 421, promises that nothing has
-    run. A success without its signature, or in an encoding that nobody
-    asked for, is not the upstream's answer.
+    A reply guarantees that the request has not been run only if its status
+    is 421 or if it has the header `not_run`. Other replies are invalid if
+    they have a content encoding, or a status below 300 and no signature.
     """
     match outcome:
         case link.Lost(sent=False):
@@ -50,7 +56,7 @@
 
 
 def describe_outcome(verdict: Verdict, outcome: link.Outcome) -> str:
-    """Say in a few words how an attempt ended."""
+    """Return a short description of an outcome for logs."""
     match outcome:
         case link.Lost(detail=detail):
             return f'{verdict.value}: {detail}'
