--- a/rudderrock/platform/__init__.py
+++ b/rudderrock/platform/__init__.py
@@ -1,7 +1,8 @@
-"""The adapter to the users' platform: names, formats and calls.
+"""Adapter to the users' platform: names, formats and calls.
 
-It decides nothing. What the platform calls a machine, a zone, a tenant and
-a back end is a host, an availability zone, a team and an upstream here.
+The adapter contains no policy. It translates the platform's terms: a machine
+is a host here, a zone an availability zone, a tenant a team, and a back end an
+upstream.
 """
 
 from rudderrock.platform._boot import Boot
--- a/rudderrock/platform/_boot.py
+++ b/rudderrock/platform/_boot.py
@@ -1,4 +1,7 @@
-"""The platform's settings file: lines of `a.b=value`, lists by commas."""
+"""Reader for the platform's settings file.
+
+The file has lines of the form `a.b=value`; commas separate the items of lists.
+"""
 
 import dataclasses
 import math
@@ -10,22 +13,22 @@
 from rudderrock import gateway
 from rudderrock.platform import _headers as headers
 
-# The platform names no address for metrics in the settings; the deploy
-# file names this port.
+# The settings file has no address for metrics. The platform's deployment file
+# specifies this port.
 METRICS_PORT = 9464
 _BYTES_PER_MBIT = 125_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Boot:
-    """What the file says: the store's address, and a gateway's settings."""
+    """The content of the file: the store address and gateway settings."""
 
     store: tuple[str, int]
     settings: gateway.GatewaySettings
 
 
 def read_boot(path: pathlib.Path) -> result.Result[Boot, str]:
-    """Read the file; unknown fields are left alone."""
+    """Return the content of the file; unknown fields are ignored."""
     try:
         text = path.read_text(encoding='utf-8')
     except OSError as error:
@@ -63,7 +66,7 @@
         callers=callers,
         readiness=core.split_address(fields['listen.ready']),
         metrics=(callers[0], METRICS_PORT),
-        peers=_get_peers(fields, callers[0]),
+        peers=_get_peer_address(fields, callers[0]),
         seeds=tuple(
             core.split_address(seed)
             for seed in fields.get('seeds', '').split(',')
@@ -74,7 +77,7 @@
         extra_window_s=float(fields['bounds.retry_window_s']),
         extra_slack=float(fields['bounds.retry_slack']),
         warmup_overage=_get_positive(fields, 'bounds.warmup_overage', 1.0),
-        warmup_slack=_get_bound(fields, 'bounds.warmup_slack', 0.0),
+        warmup_slack=_get_non_negative(fields, 'bounds.warmup_slack', 0.0),
         stop_s=float(fields['bounds.grace_s']),
         cores=cores,
         link_bytes_s=link_mbps * _BYTES_PER_MBIT,
@@ -82,11 +85,11 @@
     )
 
 
-def _get_peers(fields: dict[str, str], ip: str) -> tuple[str, int]:
-    """Return where this host serves its peers.
+def _get_peer_address(fields: dict[str, str], ip: str) -> tuple[str, int]:
+    """Return the address at which this host serves its peers.
 
-    Seeds are told by the address that the platform calls control; without
-    one there are none, and any of the ports for our own use will do.
+    The seeds of other hosts contain the address in `listen.control`. If it is
+    not set, there are no seeds, and the first of the `internal_ports` is used.
     """
     control = fields.get('listen.control')
     if control:
@@ -95,19 +98,21 @@
 
 
 def _get_cores(fields: dict[str, str]) -> float:
-    # `cores` says how fast the one core is, `cpu_share` how much of it the
-    # process may use.
+    # `cores` is the relative speed of the only core, and `cpu_share` the
+    # fraction of it that the process may use.
     share = _get_positive(fields, 'limits.cpu_share', 1.0)
     return share * _get_positive(fields, 'limits.cores', 1.0)
 
 
 def _get_link_mbps(fields: dict[str, str]) -> float:
-    """Return the speed of the link, 0 if it is not told."""
+    """Return the speed of the link in Mbit/s, or 0 if it is not given."""
     return _get_positive(fields, 'limits.link_mbps', 0.0)
 
 
-def _get_bound(fields: dict[str, str], name: str, default: float) -> float:
-    """Return a number that is not below 0, or the default."""
+def _get_non_negative(
+    fields: dict[str, str], name: str, default: float
+) -> float:
+    """Return a finite number of at least 0, or the default if not given."""
     value = float(fields.get(name, default))
     if not 0 <= value < math.inf:
         raise ValueError(f'{name} must not be below 0, not {fields[name]}')
@@ -115,7 +120,7 @@
 
 
 def _get_positive(fields: dict[str, str], name: str, default: float) -> float:
-    """Return a number above 0, or the default where none is given."""
+    """Return a finite number above 0, or the default if not given."""
     if name not in fields:
         return default
     value = float(fields[name])
--- a/rudderrock/platform/_decode.py
+++ b/rudderrock/platform/_decode.py
@@ -1,4 +1,4 @@
-"""What lies in the platform's store, decoded into rudderrock's types."""
+"""Decoding of the values in the platform's store."""
 
 import base64
 import binascii
@@ -12,14 +12,14 @@
 from rudderrock import core
 from rudderrock import gateway
 
-# What `decode_value` raises.
+# Exceptions of `decode_value`.
 BAD_VALUE = (binascii.Error, ValueError)
-# What reading JSON of another writer raises; values nested too deep are not
-# a decoding error to the library.
+# Exceptions of decoding and converting untrusted JSON. For values that are
+# nested too deeply, msgspec raises RecursionError instead of DecodeError.
 BAD_JSON = (msgspec.DecodeError, ValueError, RecursionError)
 
 
-_NotNegative = Annotated[int, msgspec.Meta(ge=0)]
+_NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class _WeightedService(msgspec.Struct):
@@ -36,7 +36,7 @@
     name: str
     host: str
     prefix: str
-    # `safe` may be repeated; any other kind is run at most once.
+    # A `safe` request may be repeated; any other kind is run at most once.
     kind: str
     timeout_ms: float
     latency_goal_ms: float | None = None
@@ -48,7 +48,7 @@
     gather: list[str] | None = None
     top_k: int = 0
     min_coverage: float = 1.0
-    # Empty: all regions.
+    # All regions are allowed if this is empty.
     allowed_regions: list[str] | None = None
 
 
@@ -56,8 +56,8 @@
     name: str
     # Connections that one upstream accepts from all hosts together.
     max_conns: int = 1
-    # How long an upstream is cold after its start, and the requests a
-    # second that it stands meanwhile; 0 sets no bound.
+    # Duration of the warm-up of an upstream after its start, and the requests
+    # per second that it can handle during it; 0 means no limit.
     warmup_s: float = 0.0
     warmup_per_s: float = 0.0
 
@@ -77,20 +77,20 @@
 
 
 class _Server(msgspec.Struct):
-    """An upstream's entry; each upstream writes all fields but `born`."""
+    """The entry of an upstream; all fields except `born` are required."""
 
     service: str
     address: str
     zone: str
-    # The version of the upstream's software, of no use here.
+    # The version of the upstream's software; not used.
     version: str
     slots: int
     state: _ServerState
-    # How much longer the upstream is cold.
+    # The remaining duration of the warm-up.
     warmup_left_ms: float
-    sequence: _NotNegative
-    # The Unix millisecond of its start; on some deployments it is not told.
-    born: _NotNegative = 0
+    sequence: _NonNegativeInt
+    # Unix time of the start in milliseconds; 0 if the deployment omits it.
+    born: _NonNegativeInt = 0
 
 
 def decode_value(text: str) -> bytes:
@@ -99,14 +99,14 @@
 
 
 def encode_value(value: bytes) -> str:
-    """Return bytes as the store takes them."""
+    """Return the base64 text of bytes, as the store expects it."""
     return base64.b64encode(value).decode('ascii')
 
 
 def decode_table(
     raw: bytes,
 ) -> result.Result[gateway.RoutingTable, str]:
-    """Return the routing table that an operator has written."""
+    """Return the routing table in a configuration, or why it is invalid."""
     try:
         config = msgspec.json.decode(raw, type=_Config)
         routes = [_make_route(each) for each in config.routes]
@@ -145,16 +145,18 @@
 
 
 def _check_warmup(value: float) -> float:
-    """Return a warm-up figure; raise ValueError if it can't be one."""
+    """Return a warm-up value; raise ValueError if it is out of range."""
     if not 0 <= value < math.inf:
-        raise ValueError(f'a warm-up figure must not be {value:g}')
+        raise ValueError(
+            f'a warm-up value must be finite and not below 0, not {value:g}'
+        )
     return value
 
 
 def decode_upstream(
     upstream: str, raw: bytes
 ) -> result.Result[gateway.Endpoint, str]:
-    """Return one registered upstream; its id is part of its key."""
+    """Return a registered upstream, or why its entry is invalid."""
     try:
         server = msgspec.json.decode(raw, type=_Server)
         address = core.split_address(server.address)
@@ -218,4 +220,4 @@
         )
     if route.service:
         return gateway.Single(gateway.ServiceName(route.service))
-    raise ValueError(f'route {route.name} names no service')
+    raise ValueError(f'route {route.name} has no service')
--- a/rudderrock/platform/_store.py
+++ b/rudderrock/platform/_store.py
@@ -1,4 +1,4 @@
-"""The platform's store: its calls, and the gateway's source made of them."""
+"""Client of the platform's store that implements the gateway's source."""
 
 import dataclasses
 import urllib.parse
@@ -11,21 +11,21 @@
 from rudderrock import gateway
 from rudderrock.platform import _decode as decode
 
-# How long a call may take, in seconds. The store answers in milliseconds,
-# and in some 0.3 s when it is slow.
+# The store usually answers within milliseconds, and within about 0.3 s when it
+# is slow.
 CALL_TIMEOUT_S = 1.0
-# How much longer than it was asked to wait a watch may take, in seconds.
+# Time that a watch may take in addition to the requested wait.
 WATCH_SLACK_S = 1.0
-# All that operators write, the configuration, and a key for each zone that is
-# evacuated. One watch tells of them all.
+# Operators write all their keys under one prefix, so that a single watch
+# covers them: the configuration, and one key for each evacuated zone.
 _OPERATORS_PREFIX = 'op/'
 _CONFIG_KEY = 'op/config'
 _EVACUATIONS_PREFIX = 'op/evacuate/'
 _SERVERS_PREFIX = 'servers/'
-# Where rudderrock keeps what is its own.
+# The entries of rudderrock's own hosts.
 _HOSTS_PREFIX = 'rudderrock/hosts/'
-# In each answer: counts how often the store has come back from a copy. A store
-# that does not say has never done so.
+# Response header with the number of times that the store has been restored
+# from a snapshot. A store that does not send it has never been restored.
 _ERA_HEADER = b'store-era'
 
 
@@ -36,7 +36,7 @@
     revision: int = 0
     created_revision: int = 0
     lease_id: int = 0
-    # Only in an event: the item has been deleted, or its history dropped.
+    # Used in events only: the item was deleted, or its history was dropped.
     compacted: bool = False
 
 
@@ -57,7 +57,7 @@
 
 
 class StoreSource:
-    """Routes and upstreams, read from the platform's store."""
+    """Source of routes, upstreams and hosts in the platform's store."""
 
     def __init__(self, address: tuple[str, int]):
         self.caller = gateway.HttpCaller(address)
@@ -65,15 +65,15 @@
     async def read_table(
         self,
     ) -> result.Result[gateway.TableReading, gateway.Unavailable]:
-        """Return the newest configuration and the evacuated zones."""
+        """Return the current configuration and the evacuated zones."""
         listed = await self._list_items(_OPERATORS_PREFIX)
         if listed.is_err():
             return listed
         items, read = listed.ok_value
-        found = gateway.TableReading(None, read)
+        reading = gateway.TableReading(None, read)
         for item in items:
             if item.key == _CONFIG_KEY:
-                found = self._make_table_reading(item, read)
+                reading = self._decode_config(item, read)
         evacuated = {
             core.ZoneId(
                 item.key.removeprefix(_EVACUATIONS_PREFIX)
@@ -81,7 +81,7 @@
             for item in items
             if item.key.startswith(_EVACUATIONS_PREFIX)
         }
-        return result.Ok(dataclasses.replace(found, evacuated=evacuated))
+        return result.Ok(dataclasses.replace(reading, evacuated=evacuated))
 
     async def watch_table(
         self, after: gateway.Position, wait_s: float
@@ -89,10 +89,11 @@
         gateway.TableReading | None,
         gateway.Unavailable | gateway.HistoryGone,
     ]:
-        """Wait for what operators write after a position.
+        """Return what operators have written after a position, or None.
 
-        Where that is about evacuations, all is read again: an event tells of
-        one key only.
+        The call waits up to `wait_s` seconds for a change. If the change
+        concerns evacuations, all keys are read again, because an event
+        contains a single key only.
         """
         target = _make_target(
             '/kv-watch',
@@ -112,24 +113,26 @@
             case result.Err() as failed:
                 return failed
             case result.Ok(era) if era != after.era:
-                # The store has given the revision out again, so it can't
-                # tell that what came before it is another history.
+                # After a restore the store assigns the same revisions again,
+                # so it can't detect that the position belongs to another
+                # history.
                 return result.Err(gateway.HistoryGone())
         match _decode_body(answer.ok_value, _Events):
             case result.Err() as failed:
                 return failed
-            case result.Ok(found):
-                read = gateway.Position(after.era, found.at_revision)
+            case result.Ok(changes):
+                read = gateway.Position(after.era, changes.at_revision)
         if any(
-            event.key.startswith(_EVACUATIONS_PREFIX) for event in found.events
+            event.key.startswith(_EVACUATIONS_PREFIX)
+            for event in changes.events
         ):
             return await self.read_table()
-        return result.Ok(self._pick_newest(found, read))
+        return result.Ok(self._decode_newest_config(changes, read))
 
     async def list_upstreams(
         self,
     ) -> result.Result[gateway.UpstreamReading, gateway.Unavailable]:
-        """Return all registered upstreams, page by page."""
+        """Return all registered upstreams."""
         listed = await self._list_items(_SERVERS_PREFIX)
         if listed.is_err():
             return listed
@@ -153,7 +156,7 @@
     def decode_table(
         self, raw: bytes, read: gateway.Position
     ) -> gateway.TableReading:
-        """Return a configuration that another host has read."""
+        """Return the reading of a configuration from another host."""
         match decode.decode_table(raw):
             case result.Ok(table):
                 return gateway.TableReading(table, read, raw=raw)
@@ -167,22 +170,22 @@
         listed = await self._list_items(_HOSTS_PREFIX)
         if listed.is_err():
             return listed
-        found: list[gateway.HostEntry] = []
+        entries: list[gateway.HostEntry] = []
         for item in listed.ok_value[0]:
             try:
                 raw = decode.decode_value(item.value)
                 entry = msgspec.json.decode(raw, type=gateway.HostEntry)
             except (*decode.BAD_VALUE, msgspec.DecodeError) as error:
-                # One bad entry must not hide the others.
-                logging.warning('%s can not be read: %s', item.key, error)
+                # An invalid entry must not hide the others.
+                logging.warning('ignoring invalid %s: %s', item.key, error)
                 continue
-            found.append(entry)
-        return result.Ok(found)
+            entries.append(entry)
+        return result.Ok(entries)
 
     async def register(
         self, entry: gateway.HostEntry, ttl_s: float
     ) -> result.Result[gateway.Lease, gateway.Unavailable]:
-        """Write a host's entry under a new lease."""
+        """Grant a new lease and write the entry of a host under it."""
         body = msgspec.json.encode({'ttl_ms': round(ttl_s * 1000)})
         answer = await self._call(b'POST', b'/kv-lease', body)
         if answer.is_err():
@@ -206,13 +209,14 @@
         match eras:
             case result.Ok(era), result.Ok(after) if era == after:
                 return result.Ok(gateway.Lease(era, number))
-        # The number may be another's, and so the entry hang on its lease.
+        # After a restore the store may have granted the same lease number to
+        # another host, and the entry would depend on that lease.
         return result.Err(gateway.Unavailable('back from a copy'))
 
     async def find_lease(
         self, host: core.HostId
     ) -> result.Result[gateway.Lease | None, gateway.Unavailable]:
-        """Return the lease that a host's entry hangs on, if it has one."""
+        """Return the lease of a host's entry, or None without an entry."""
         target = _make_target('/kv-key', key=f'{_HOSTS_PREFIX}{host}')
         answer = await self._get(target, CALL_TIMEOUT_S)
         if answer.is_err():
@@ -232,7 +236,7 @@
         None,
         gateway.Unavailable | gateway.LeaseEnded | gateway.SourceReturned,
     ]:
-        """Prolong a lease by its time to live."""
+        """Renew a lease for its time to live."""
         target = b'/kv-keep/%d' % lease.number
         answer = await self._call(b'POST', target, b'', allowed=(200, 404))
         match answer:
@@ -250,12 +254,12 @@
     async def withdraw(
         self, lease: gateway.Lease
     ) -> result.Result[None, gateway.Unavailable]:
-        """End a lease; one that has ended already is as good."""
+        """Revoke a lease; a lease that has already ended is no error."""
         target = b'/kv-lease-end/%d' % lease.number
         answer = await self._call(b'DELETE', target, b'', allowed=(200, 404))
         return answer if answer.is_err() else result.Ok(None)
 
-    def _make_table_reading(
+    def _decode_config(
         self, item: _Item, read: gateway.Position
     ) -> gateway.TableReading:
         try:
@@ -264,27 +268,27 @@
             return gateway.TableReading(None, read, str(error))
         return self.decode_table(raw, read)
 
-    def _pick_newest(
-        self, found: _Events, read: gateway.Position
+    def _decode_newest_config(
+        self, changes: _Events, read: gateway.Position
     ) -> gateway.TableReading | None:
-        if not found.events:
+        if not changes.events:
             return None
         written = [
             event
-            for event in found.events
+            for event in changes.events
             if event.key == _CONFIG_KEY and not event.compacted
         ]
         if not written:
-            # About other keys of operators; the next watch begins after them.
+            # Only other keys have changed. The next watch starts after them.
             return gateway.TableReading(None, read)
-        return self._make_table_reading(written[-1], read)
+        return self._decode_config(written[-1], read)
 
     async def _list_items(
         self, prefix: str
     ) -> result.Result[
         tuple[list[_Item], gateway.Position], gateway.Unavailable
     ]:
-        """Return all items of a prefix and where the first page was read."""
+        """Return all items of a prefix and the position of the first page."""
         items: list[_Item] = []
         after = ''
         first: gateway.Position | None = None
@@ -295,7 +299,7 @@
                 case result.Ok((page, read)):
                     first = first or read
             if read.era != first.era:
-                # Pages of two histories are no listing of either.
+                # Pages of different histories can't be combined.
                 return result.Err(gateway.Unavailable('back from a copy'))
             items += page.items
             if not page.has_more or not page.items:
@@ -362,7 +366,7 @@
 def _decode_era(
     reply: gateway.Reply,
 ) -> result.Result[int, gateway.Unavailable]:
-    """Return the era that an answer names, 0 if it names none."""
+    """Return the era in a reply, 0 if it has none."""
     raw = reply.get_header(_ERA_HEADER)
     if raw is None:
         return result.Ok(0)
--- a/rudderrock/standins/platform/__init__.py
+++ b/rudderrock/standins/platform/__init__.py
@@ -1,6 +1,7 @@
-"""Stand-ins of the users' platform, by its published protocol.
+"""Stand-ins for the users' platform that follow its published protocol.
 
-Beside the adapter, this is the one place that speaks its format.
+Only this package and the adapter (`rudderrock.platform`) use the platform's
+formats.
 """
 
 from rudderrock.standins.platform._store import PlatformStore
--- a/rudderrock/standins/platform/_store.py
+++ b/rudderrock/standins/platform/_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store, in memory, with its failures."""
+"""In-memory stand-in for the platform's store, with injectable faults."""
 
 import asyncio
 import base64
@@ -14,7 +14,11 @@
 
 
 class Refusal(enum.Enum):
-    """How the store treats calls."""
+    """How the store refuses calls.
+
+    BUSY answers with status 503, MANY with 429, RESET closes the connection
+    and SILENT sends no reply.
+    """
 
     NONE = 'none'
     BUSY = 'busy'
@@ -27,34 +31,35 @@
 class _Item:
     value: bytes
     revision: int
-    created: int
+    created_revision: int
     lease: int = 0
 
 
 @dataclasses.dataclass(slots=True)
 class _Lease:
     ttl_s: float
-    until: float
+    expires_at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreCopy:
-    """All that the store held at one moment."""
+    """A snapshot of the store."""
 
     items: dict[str, _Item]
     revision: int
     history: tuple[tuple[str, int, bytes | None, int], ...]
-    oldest: int
+    oldest_revision: int
     leases: dict[int, _Lease]
     next_lease: int
 
 
 class PlatformStore(wire_server.WireServer):
-    """Items, watches, conditional writes and leases behind HTTP.
+    """Server with items, watches, conditional writes and leases over HTTP.
 
-    `refusal` applies to all callers, `slow_s` delays each answer,
-    `lose_answers` executes writes and answers none of them, `page` is the
-    number of items in a page of a range.
+    `refusal` applies to all calls, and `slow_s` delays each reply in seconds.
+    With `lose_answers` writes are executed but not answered, and with
+    `is_deaf` watches receive no events. `page` is the maximum number of items
+    in a page of a range.
     """
 
     def __init__(self, page: int = 500):
@@ -66,19 +71,19 @@
         self.page = page
         self.calls: collections.Counter[str] = collections.Counter()
         self.items: dict[str, _Item] = {}
-        # Keys whose values are shown as what is not base64.
+        # Keys whose values are returned as invalid base64.
         self.spoilt: set[str] = set()
         self.revision = 0
-        # Rises each time the store comes back from a copy.
+        # The number of restores from a snapshot.
         self.era = 0
-        # What the store says its era is, if that is no number.
+        # If not empty, it is sent instead of the era, to test invalid eras.
         self.era_text = ''
         self._history: list[tuple[str, int, bytes | None, int]] = []
-        self._oldest = 0
+        self._oldest_revision = 0
         self._leases: dict[int, _Lease] = {}
         self._next_lease = 1
         self._changed = asyncio.Event()
-        self._cuts = asyncio.Event()
+        self._watches_cut = asyncio.Event()
 
     @property
     def _era_text(self) -> str:
@@ -88,8 +93,10 @@
         """Write an item, as the operator or an upstream does."""
         self.revision += 1
         old = self.items.get(key)
-        created = old.created if old is not None else self.revision
-        self.items[key] = _Item(value, self.revision, created, lease)
+        created_revision = (
+            old.created_revision if old is not None else self.revision
+        )
+        self.items[key] = _Item(value, self.revision, created_revision, lease)
         self._history.append((key, self.revision, value, lease))
         self._notify()
 
@@ -102,7 +109,7 @@
         self.put(f'op/evacuate/{zone}', b'{}')
 
     def give_back(self, zone: str) -> None:
-        """Take an evacuation back, as the operator does."""
+        """End the evacuation of a zone, as the operator does."""
         self.remove(f'op/evacuate/{zone}')
 
     def put_server(self, upstream: str, raw: bytes) -> None:
@@ -110,32 +117,32 @@
         self.put(f'servers/{upstream}', raw)
 
     def put_server_if_new(self, upstream: str, raw: bytes) -> None:
-        """Write an upstream's entry unless it is there as it is."""
+        """Write an upstream's entry unless its value is unchanged."""
         item = self.items.get(f'servers/{upstream}')
         if item is None or item.value != raw:
             self.put_server(upstream, raw)
 
     def remove(self, key: str) -> None:
-        """Delete an item."""
+        """Delete an item if it exists."""
         if self.items.pop(key, None) is not None:
             self.revision += 1
             self._history.append((key, self.revision, None, 0))
             self._notify()
 
     def drop_history(self) -> None:
-        """Forget all changes so far and cut the watches."""
+        """Drop the history of changes and cut the watches."""
         self._history.clear()
-        self._oldest = self.revision
-        self._cuts.set()
-        self._cuts = asyncio.Event()
+        self._oldest_revision = self.revision
+        self._watches_cut.set()
+        self._watches_cut = asyncio.Event()
 
     def make_copy(self) -> StoreCopy:
-        """Return a copy of all that is held now."""
+        """Return a snapshot of the current content."""
         return StoreCopy(
             {key: dataclasses.replace(it) for key, it in self.items.items()},
             self.revision,
             tuple(self._history),
-            self._oldest,
+            self._oldest_revision,
             {
                 name: dataclasses.replace(it)
                 for name, it in self._leases.items()
@@ -144,10 +151,11 @@
         )
 
     def come_back(self, copy: StoreCopy) -> None:
-        """Hold what a copy held, and nothing that came after it.
+        """Restore a snapshot and lose all later changes.
 
-        Revisions and leases are given out again from where the copy stands,
-        and the leases in it begin anew. Watches are cut.
+        New revisions and lease numbers continue from those of the snapshot,
+        so later ones are assigned again. The leases in the snapshot start
+        with their full time to live. Watches are cut.
         """
         now = asyncio.get_running_loop().time()
         self.era += 1
@@ -156,17 +164,17 @@
         }
         self.revision = copy.revision
         self._history = list(copy.history)
-        self._oldest = copy.oldest
+        self._oldest_revision = copy.oldest_revision
         self._leases = {
             name: _Lease(it.ttl_s, now + it.ttl_s)
             for name, it in copy.leases.items()
         }
         self._next_lease = copy.next_lease
-        self._cuts.set()
-        self._cuts = asyncio.Event()
+        self._watches_cut.set()
+        self._watches_cut = asyncio.Event()
 
     def revoke_leases(self) -> None:
-        """End every lease at once."""
+        """Revoke every lease."""
         for lease in list(self._leases):
             self._end_lease(lease)
 
@@ -183,15 +191,15 @@
     def _expire(self) -> None:
         now = asyncio.get_running_loop().time()
         for lease, found in list(self._leases.items()):
-            if found.until <= now:
+            if found.expires_at <= now:
                 self._end_lease(lease)
 
     async def serve(self, reader, writer) -> None:
-        """Serve one connection."""
-        while await self._serve_one(reader, writer):
+        """Serve the requests of one connection."""
+        while await self._handle_request(reader, writer):
             pass
 
-    async def _serve_one(self, reader, writer) -> bool:
+    async def _handle_request(self, reader, writer) -> bool:
         head = await wire_server.read_head(reader)
         body = await reader.readexactly(head.body_length)
         method = head.method
@@ -204,27 +212,27 @@
             case Refusal.SILENT:
                 await asyncio.sleep(3600.0)
             case Refusal.BUSY:
-                writer.write(_make(503, {}, self._era_text))
+                writer.write(_render_json(503, {}, self._era_text))
                 return True
             case Refusal.MANY:
-                writer.write(_make(429, {}, self._era_text))
+                writer.write(_render_json(429, {}, self._era_text))
                 return True
         self._expire()
         fields = dict(urllib.parse.parse_qsl(query))
-        found = await self._treat(method, path, fields, body)
+        found = await self._dispatch(method, path, fields, body)
         if found is None or (self.lose_answers and method == 'POST'):
             return False
-        writer.write(_make(*found, self._era_text))
+        writer.write(_render_json(*found, self._era_text))
         return True
 
-    async def _treat(
+    async def _dispatch(
         self, method: str, path: str, fields: dict[str, str], body: bytes
     ) -> tuple[int, dict] | None:
         match method, path.split('/')[1:]:
             case 'GET', ['kv-key']:
-                return self._get(fields['key'])
+                return self._get_item(fields['key'])
             case 'GET', ['kv-range']:
-                return self._list(fields)
+                return self._list_items(fields)
             case 'GET', ['kv-watch']:
                 return await self._watch(fields)
             case 'POST', ['kv-txn']:
@@ -232,36 +240,36 @@
             case 'POST', ['kv-lease']:
                 return self._grant(msgspec.json.decode(body)['ttl_ms'])
             case 'POST', ['kv-keep', lease]:
-                return self._keep(int(lease))
+                return self._renew(int(lease))
             case 'DELETE', ['kv-lease-end', lease]:
                 self._end_lease(int(lease))
                 return 200, {}
         return 404, {}
 
-    def _show(self, key: str) -> dict:
+    def _encode_item(self, key: str) -> dict:
         item = self.items[key]
         value = base64.b64encode(item.value).decode()
         return {
             'key': key,
             'value': '*' if key in self.spoilt else value,
             'revision': item.revision,
-            'created_revision': item.created,
+            'created_revision': item.created_revision,
             'lease_id': item.lease,
         }
 
-    def _get(self, key: str) -> tuple[int, dict]:
+    def _get_item(self, key: str) -> tuple[int, dict]:
         if key not in self.items:
             return 404, {}
-        return 200, {**self._show(key), 'at_revision': self.revision}
+        return 200, {**self._encode_item(key), 'at_revision': self.revision}
 
-    def _list(self, fields: dict[str, str]) -> tuple[int, dict]:
+    def _list_items(self, fields: dict[str, str]) -> tuple[int, dict]:
         keys = sorted(
             key
             for key in self.items
             if key.startswith(fields['prefix'])
             and key > fields.get('after', '')
         )
-        items = [self._show(key) for key in keys[: self.page]]
+        items = [self._encode_item(key) for key in keys[: self.page]]
         return 200, {
             'items': items,
             'has_more': len(keys) > self.page,
@@ -270,9 +278,9 @@
 
     async def _watch(self, fields: dict[str, str]) -> tuple[int, dict] | None:
         after = int(fields['after'])
-        if not self._oldest <= after <= self.revision:
+        if not self._oldest_revision <= after <= self.revision:
             return 410, {}
-        cut = asyncio.ensure_future(self._cuts.wait())
+        cut = asyncio.ensure_future(self._watches_cut.wait())
         try:
             async with asyncio.timeout(int(fields['wait_ms']) / 1000):
                 while not cut.done():
@@ -321,12 +329,12 @@
             item = self.items.get(row['key'])
             found = item.revision if item is not None else 0
             if found != row['revision']:
-                shown = [
-                    self._show(each['key'])
+                current_items = [
+                    self._encode_item(each['key'])
                     for each in request['expected_revision']
                     if each['key'] in self.items
                 ]
-                return 412, {'items': shown}
+                return 412, {'items': current_items}
         writes = request.get('writes', [])
         if any(
             each.get('lease_id') and each['lease_id'] not in self._leases
@@ -347,16 +355,16 @@
         self._leases[lease] = _Lease(ttl_ms / 1000, now + ttl_ms / 1000)
         return 200, {'lease_id': lease, 'ttl_ms': ttl_ms}
 
-    def _keep(self, lease: int) -> tuple[int, dict]:
+    def _renew(self, lease: int) -> tuple[int, dict]:
         found = self._leases.get(lease)
         if found is None:
             return 404, {}
         now = asyncio.get_running_loop().time()
-        found.until = now + found.ttl_s
+        found.expires_at = now + found.ttl_s
         return 200, {'ttl_ms': round(found.ttl_s * 1000)}
 
 
-def _make(status: int, fields: dict, era: str) -> bytes:
+def _render_json(status: int, fields: dict, era: str) -> bytes:
     headers = [
         (b'content-type', b'application/json'),
         (b'store-era', era.encode()),
--- a/rudderrock/standins/platform/_values.py
+++ b/rudderrock/standins/platform/_values.py
@@ -1,4 +1,4 @@
-"""What operators, upstreams and the platform write, as they write it."""
+"""Builders for the values that operators, upstreams and the platform write."""
 
 from typing import Any
 
@@ -19,11 +19,11 @@
     timeout_s: float = 1.0,
     **limits: int,
 ) -> bytes:
-    """Return a configuration; the services are those that routes name.
+    """Return a configuration with the services that its routes use.
 
-    `timeout_s` is that of the routes which have none of their own.
+    `timeout_s` applies to routes without `timeout_ms`.
     """
-    shape = {
+    defaults = {
         'host': 'members.example',
         'kind': 'safe',
         'timeout_ms': round(timeout_s * 1000),
@@ -31,7 +31,7 @@
         'priority': 1,
         'max_attempts': 2,
     }
-    routes = [{**shape, **route} for route in routes]
+    routes = [{**defaults, **route} for route in routes]
     for route in routes:
         route.setdefault('name', 'r' + route['prefix'])
     services = sorted(
@@ -66,8 +66,8 @@
 ) -> bytes:
     """Return an upstream's entry in the registry.
 
-    `fields` are added, or take the place of those that are there; one that
-    is None is left out.
+    `fields` are added to the default fields or replace them. Fields that are
+    None are left out.
     """
     entry = {
         'service': service,
@@ -86,7 +86,7 @@
 
 
 def make_route(prefix: str, service: str, *, once: bool = False) -> dict:
-    """Return a route to one service; `once` if it must not be repeated."""
+    """Return a route to one service, not repeatable if `once` is true."""
     kind = 'unsafe' if once else 'safe'
     return {'prefix': prefix, 'service': service, 'kind': kind}
 
@@ -94,7 +94,7 @@
 def make_gather(
     prefix: str, shards: list[str], top_k: int, min_coverage: float
 ) -> dict:
-    """Return a route to all shards."""
+    """Return a route that queries all shards and merges their records."""
     return {
         'prefix': prefix,
         'gather': shards,
@@ -113,10 +113,10 @@
     slack: float = 54.0,
     **fields: str,
 ) -> str:
-    """Return a settings file.
+    """Return the text of a settings file.
 
-    `stop_s` is the time that a planned stop may take, `slack` the extra
-    requests that are allowed whatever the load.
+    `stop_s` is the maximum duration of a planned stop in seconds, and `slack`
+    the number of extra requests that are allowed regardless of the load.
     """
     values = {
         'node_name': name,
