--- a/rudderrock/gateway/http/_caller.py
+++ b/rudderrock/gateway/http/_caller.py
@@ -14,10 +14,10 @@
 from rudderrock.gateway.knowledge import _directory as directory
 from rudderrock.gateway.knowledge import _routing as routing
 
-# Connections to one address. Each call in progress occupies one.
+# Connections to one address. Each call in flight occupies one.
 MAX_CONNECTIONS = 4
-# The number of additional round-trip measurements to one address, and the
-# minimum interval between two of them in seconds.
+# The maximum number of repeated round-trip measurements to one address, made
+# when the measured time seems too long, and the minimum interval between them.
 MAX_RTT_PROBES = 8
 RTT_PROBE_INTERVAL_S = 1.0
 JSON = (b'content-type', b'application/json')
@@ -59,7 +59,7 @@
         self._rtt_probes = 0
         self._next_rtt_probe_at = 0.0
         host, port = address
-        self._host = b'%b:%d' % (host.encode('ascii'), port)
+        self._host_header = b'%b:%d' % (host.encode('ascii'), port)
         endpoint = directory.Endpoint(
             upstream=core.UpstreamId(host),
             service=routing.ServiceName(''),
@@ -79,7 +79,7 @@
 
     @property
     def is_busy(self) -> bool:
-        """Return whether a call is in progress."""
+        """Return whether a call is in flight."""
         return self._pool.load > 0
 
     @property
@@ -111,7 +111,7 @@
         """
 
         def render() -> bytes:
-            headers = [(b'host', self._host)]
+            headers = [(b'host', self._host_header)]
             if make_headers is not None:
                 headers = make_headers()
             elif body:
--- a/rudderrock/gateway/http/_intake.py
+++ b/rudderrock/gateway/http/_intake.py
@@ -220,9 +220,9 @@
         if close:
             self.close()
 
-    def _set_timer(self, after_s: float, call: Callable[[], None]) -> None:
+    def _set_timer(self, after_s: float, callback: Callable[[], None]) -> None:
         self._cancel_timer()
-        self._timer = self._loop.call_later(after_s, call)
+        self._timer = self._loop.call_later(after_s, callback)
 
     def _cancel_stall_timer(self) -> None:
         if self._stall_timer is not None:
@@ -257,7 +257,7 @@
 
     @property
     def busy(self) -> int:
-        """Return the number of connections with a request in progress."""
+        """Return the number of connections with a request in flight."""
         return sum(not link.is_idle for link in self.links)
 
     @contextlib.asynccontextmanager
@@ -281,7 +281,7 @@
             self._server = None
 
     def close_idle(self) -> None:
-        """Close the connections that have no request in progress."""
+        """Close the connections that have no request in flight."""
         for link in list(self.links):
             if link.is_idle:
                 link.close()
--- a/rudderrock/gateway/http/_link.py
+++ b/rudderrock/gateway/http/_link.py
@@ -227,9 +227,9 @@
             if self.exchange.on_interim_reply is not None:
                 self.exchange.on_interim_reply()
             return
-        named = messages.find_header(self._headers, self._names.request_id)
+        reply_id = messages.find_header(self._headers, self._names.request_id)
         self._keep_alive = self._parser.should_keep_alive()
-        if named is not None and named != self.exchange.request_id:
+        if reply_id is not None and reply_id != self.exchange.request_id:
             # A late reply to an earlier request.
             self._unusable = self._unusable or not self._keep_alive
             return
@@ -240,8 +240,8 @@
     def _ends_with_connection(self) -> bool:
         if not (self._in_message and self._head_done) or self._unusable:
             return False
-        framed = (b'content-length', b'transfer-encoding')
-        return not any(name in framed for name, _ in self._headers)
+        framing_headers = (b'content-length', b'transfer-encoding')
+        return not any(name in framing_headers for name, _ in self._headers)
 
     def _deliver(self) -> None:
         reply, self._reply = self._reply, None
--- a/rudderrock/gateway/http/_pool.py
+++ b/rudderrock/gateway/http/_pool.py
@@ -66,7 +66,7 @@
 
     @property
     def load(self) -> int:
-        """Return the number of exchanges in progress or queued."""
+        """Return the number of exchanges in flight or queued."""
         busy = len(self._links) - len(self._free)
         return busy + len(self._waiting)
 
@@ -187,7 +187,7 @@
         return (link.keep_alive_s or self._keep_alive_s) * KEEP_ALIVE_FRACTION
 
     def retire(self) -> None:
-        """Fail queued exchanges, and let those in progress finish."""
+        """Fail the queued exchanges and let those in flight finish."""
         self._retired = True
         while self._waiting:
             exchange = self._waiting.popleft()
--- a/rudderrock/platform/_store.py
+++ b/rudderrock/platform/_store.py
@@ -69,11 +69,11 @@
         listed = await self._list_items(_OPERATORS_PREFIX)
         if listed.is_err():
             return listed
-        items, read = listed.ok_value
-        reading = gateway.TableReading(None, read)
+        items, position = listed.ok_value
+        reading = gateway.TableReading(None, position)
         for item in items:
             if item.key == _CONFIG_KEY:
-                reading = self._decode_config(item, read)
+                reading = self._decode_config(item, position)
         evacuated = {
             core.ZoneId(
                 item.key.removeprefix(_EVACUATIONS_PREFIX)
@@ -121,13 +121,13 @@
             case result.Err() as failed:
                 return failed
             case result.Ok(changes):
-                read = gateway.Position(after.era, changes.at_revision)
+                position = gateway.Position(after.era, changes.at_revision)
         if any(
             event.key.startswith(_EVACUATIONS_PREFIX)
             for event in changes.events
         ):
             return await self.read_table()
-        return result.Ok(self._decode_newest_config(changes, read))
+        return result.Ok(self._decode_newest_config(changes, position))
 
     async def list_upstreams(
         self,
@@ -136,7 +136,7 @@
         listed = await self._list_items(_SERVERS_PREFIX)
         if listed.is_err():
             return listed
-        items, read = listed.ok_value
+        items, position = listed.ok_value
         endpoints: list[gateway.Endpoint] = []
         problems: list[str] = []
         for item in items:
@@ -146,7 +146,9 @@
                 case result.Err(problem):
                     problems.append(problem)
         return result.Ok(
-            gateway.UpstreamReading(tuple(endpoints), read, tuple(problems))
+            gateway.UpstreamReading(
+                tuple(endpoints), position, tuple(problems)
+            )
         )
 
     def close(self) -> None:
@@ -260,16 +262,16 @@
         return answer if answer.is_err() else result.Ok(None)
 
     def _decode_config(
-        self, item: _Item, read: gateway.Position
+        self, item: _Item, position: gateway.Position
     ) -> gateway.TableReading:
         try:
             raw = decode.decode_value(item.value)
         except decode.BAD_VALUE as error:
-            return gateway.TableReading(None, read, str(error))
-        return self.decode_table(raw, read)
+            return gateway.TableReading(None, position, str(error))
+        return self.decode_table(raw, position)
 
     def _decode_newest_config(
-        self, changes: _Events, read: gateway.Position
+        self, changes: _Events, position: gateway.Position
     ) -> gateway.TableReading | None:
         if not changes.events:
             return None
@@ -280,8 +282,8 @@
         ]
         if not written:
             # Only other keys have changed. The next watch starts after them.
-            return gateway.TableReading(None, read)
-        return self._decode_config(written[-1], read)
+            return gateway.TableReading(None, position)
+        return self._decode_config(written[-1], position)
 
     async def _list_items(
         self, prefix: str
@@ -296,9 +298,9 @@
             match await self._read_page(prefix, after):
                 case result.Err() as failed:
                     return failed
-                case result.Ok((page, read)):
-                    first = first or read
-            if read.era != first.era:
+                case result.Ok((page, position)):
+                    first = first or position
+            if position.era != first.era:
                 # Pages of different histories can't be combined.
                 return result.Err(gateway.Unavailable('back from a copy'))
             items += page.items
--- a/rudderrock/standins/platform/_store.py
+++ b/rudderrock/standins/platform/_store.py
@@ -139,13 +139,16 @@
     def make_copy(self) -> StoreCopy:
         """Return a snapshot of the current content."""
         return StoreCopy(
-            {key: dataclasses.replace(it) for key, it in self.items.items()},
+            {
+                key: dataclasses.replace(entry)
+                for key, entry in self.items.items()
+            },
             self.revision,
             tuple(self._history),
             self._oldest_revision,
             {
-                name: dataclasses.replace(it)
-                for name, it in self._leases.items()
+                number: dataclasses.replace(entry)
+                for number, entry in self._leases.items()
             },
             self._next_lease,
         )
@@ -160,14 +163,15 @@
         now = asyncio.get_running_loop().time()
         self.era += 1
         self.items = {
-            key: dataclasses.replace(it) for key, it in copy.items.items()
+            key: dataclasses.replace(entry)
+            for key, entry in copy.items.items()
         }
         self.revision = copy.revision
         self._history = list(copy.history)
         self._oldest_revision = copy.oldest_revision
         self._leases = {
-            name: _Lease(it.ttl_s, now + it.ttl_s)
-            for name, it in copy.leases.items()
+            number: _Lease(entry.ttl_s, now + entry.ttl_s)
+            for number, entry in copy.leases.items()
         }
         self._next_lease = copy.next_lease
         self._watches_cut.set()
@@ -184,8 +188,8 @@
 
     def _end_lease(self, lease: int) -> None:
         self._leases.pop(lease, None)
-        held = [key for key, item in self.items.items() if item.lease == lease]
-        for key in held:
+        keys = [key for key, item in self.items.items() if item.lease == lease]
+        for key in keys:
             self.remove(key)
 
     def _expire(self) -> None:
@@ -219,10 +223,10 @@
                 return True
         self._expire()
         fields = dict(urllib.parse.parse_qsl(query))
-        found = await self._dispatch(method, path, fields, body)
-        if found is None or (self.lose_answers and method == 'POST'):
+        reply = await self._dispatch(method, path, fields, body)
+        if reply is None or (self.lose_answers and method == 'POST'):
             return False
-        writer.write(_render_json(*found, self._era_text))
+        writer.write(_render_json(*reply, self._era_text))
         return True
 
     async def _dispatch(
@@ -284,10 +288,10 @@
         try:
             async with asyncio.timeout(int(fields['wait_ms']) / 1000):
                 while not cut.done():
-                    found = self._list_events(fields['prefix'], after)
-                    if found:
+                    events = self._list_events(fields['prefix'], after)
+                    if events:
                         return 200, {
-                            'events': found,
+                            'events': events,
                             'at_revision': self.revision,
                         }
                     await self._wait_for_change(cut)
