--- a/rudderrock/gateway/http/_caller.py
+++ b/rudderrock/gateway/http/_caller.py
@@ -125,7 +125,7 @@
         def on_interim_reply() -> None:
             now = self._loop.time()
             self._pool.record_round_trip(now - exchange.sent_at)
-            pending.note_interim_reply()
+            pending.record_interim_reply()
 
         exchange = link.Exchange(
             request_id,
@@ -196,7 +196,7 @@
         """Return whether the outcome has been set."""
         return self._outcome is not None
 
-    def note_interim_reply(self) -> None:
+    def record_interim_reply(self) -> None:
         """Record that an interim reply has arrived."""
         self.has_interim_reply = True
         self._changed.set()
