--- a/rudderrock/gateway/knowledge/_directory.py
+++ b/rudderrock/gateway/knowledge/_directory.py
@@ -7,20 +7,20 @@
 
 from rudderrock import core
 from rudderrock.gateway.knowledge import _position as position
-from rudderrock.gateway.knowledge import _revived as revived
+from rudderrock.gateway.knowledge import _restore as revived
 from rudderrock.gateway.knowledge import _routing as routing
 
 # Upstreams whose registration lapsed while the registry was away register
 # again within about two seconds of its return, says the registry's
 # contract; a little more for the reading of it.
-RETURN_GRACE_S = 2.3
+REREGISTRATION_GRACE_S = 2.3
 # A registration lapses after three missed heartbeats of some 1.2 s; so if
 # there was a reading this lately, of this host or of a peer, the registry
 # was not away for long enough to lose one that lives.
-SHORT_GAP_S = 2.2
+MAX_HARMLESS_OUTAGE_S = 2.2
 # Ids that have left and whose last entries are remembered: those of 2,400
 # upstreams that are all replaced once, and more.
-MOST_REMEMBERED = 4096
+MAX_DEPARTED_IDS = 4096
 
 
 class Phase(enum.Enum):
@@ -121,24 +121,24 @@
         self._evacuated: frozenset[core.ZoneId] = frozenset()
         # The last that was said under each id, also by those that are gone,
         # so that an entry from before is not taken for a new one.
-        self._last_said: dict[core.UpstreamId, tuple[int, int]] = {}
-        self._revived = revived.Revived(clock)
+        self._last_order: dict[core.UpstreamId, tuple[int, int]] = {}
+        self._restore = revived.RestoreTracker(clock)
         self._cold_until: dict[core.UpstreamId, float] = {}
         self._ready: dict[routing.ServiceName, tuple[Endpoint, ...]] = {}
         self._hold_until = 0.0
         self._held: frozenset[core.UpstreamId] = frozenset()
-        self._doubted: frozenset[core.UpstreamId] = frozenset()
+        self._unconfirmed: frozenset[core.UpstreamId] = frozenset()
         self._listeners: list[Callable[[DirectoryChange], None]] = []
-        self._seen: dict[str, int] = {}
-        self._readers: list[Callable[[], None]] = []
+        self._last_numbers: dict[str, int] = {}
+        self._reading_listeners: list[Callable[[], None]] = []
 
     @property
-    def is_keeping(self) -> bool:
+    def differs_from_reading(self) -> bool:
         """Tell whether upstreams are kept that the last reading lacked.
 
         Or left out that it named: a peer would not tell of either again.
         """
-        return bool(self._held or self._doubted)
+        return bool(self._held or self._unconfirmed)
 
     @property
     def hold_s(self) -> float:
@@ -158,7 +158,7 @@
 
     def add_reader(self, call: Callable[[], None]) -> None:
         """Have `call` called after each reading, changed or not."""
-        self._readers.append(call)
+        self._reading_listeners.append(call)
 
     def get_endpoint(self, upstream: core.UpstreamId) -> Endpoint | None:
         """Return one upstream, ready or draining."""
@@ -200,7 +200,7 @@
             return None
         self._evacuated = zones
         change = self._compare(self._endpoints, self._held, regroup=True)
-        self._tell(change)
+        self._notify(change)
         return change
 
     def hold_for(self, seconds: float) -> None:
@@ -225,14 +225,14 @@
         if read.era != self.position.era:
             self._begin_era()
         found = {each.upstream: each for each in endpoints}
-        self._doubted = self._list_doubted(found, stamp.origin)
-        for upstream in self._doubted:
+        self._unconfirmed = self._list_unconfirmed(found, stamp.origin)
+        for upstream in self._unconfirmed:
             del found[upstream]
         change = self._replace(found, read, stamp)
-        if self._revived.is_doubting and stamp.hops <= 1:
+        if self._restore.is_settling and stamp.hops <= 1:
             # Told by who has read it: others leave out what they doubt.
-            gone = self._last_said.keys() - found.keys() - self._doubted
-            self._revived.note_missing(stamp.origin, gone)
+            gone = self._last_order.keys() - found.keys() - self._unconfirmed
+            self._restore.record_missing(stamp.origin, gone)
         return change
 
     def apply_changes(
@@ -264,8 +264,8 @@
         long or not.
         """
         if self.position != position.NOWHERE:
-            self.hold_for(RETURN_GRACE_S)
-            self._revived.begin()
+            self.hold_for(REREGISTRATION_GRACE_S)
+            self._restore.begin()
 
     def _replace(
         self,
@@ -274,16 +274,16 @@
         stamp: ReadingStamp,
     ) -> DirectoryChange | None:
         self.position = read
-        is_new = stamp.number > self._seen.get(stamp.origin, 0)
+        is_new = stamp.number > self._last_numbers.get(stamp.origin, 0)
         if is_new:
-            self._seen[stamp.origin] = stamp.number
+            self._last_numbers[stamp.origin] = stamp.number
             if self.stamp is None or stamp.read_at > self.stamp.read_at:
                 self.stamp = stamp
         change = self._update(
-            self._keep_newest(found), self._update_held(found)
+            self._drop_outdated(found), self._update_held(found)
         )
         if is_new:
-            for read in self._readers:
+            for read in self._reading_listeners:
                 read()
         return change
 
@@ -295,7 +295,7 @@
         self._held = frozenset(missing if self.hold_s > 0 else ())
         return self._held
 
-    def _keep_newest(
+    def _drop_outdated(
         self, found: dict[core.UpstreamId, Endpoint]
     ) -> dict[core.UpstreamId, Endpoint]:
         """Return a reading without what was said before something known.
@@ -305,35 +305,35 @@
         """
         newest = {}
         for upstream, entry in found.items():
-            if entry.life_order >= self._last_said.get(upstream, (0, 0)):
+            if entry.life_order >= self._last_order.get(upstream, (0, 0)):
                 newest[upstream] = entry
             elif upstream in self._endpoints:
                 newest[upstream] = self._endpoints[upstream]
-        self._remember(newest)
+        self._record_orders(newest)
         return newest
 
-    def _list_doubted(
+    def _list_unconfirmed(
         self, found: dict[core.UpstreamId, Endpoint], origin: str
     ) -> frozenset[core.UpstreamId]:
         """Return those that have left and may be there since a copy is."""
-        if not self._revived.is_doubting:
+        if not self._restore.is_settling:
             return frozenset()
         return frozenset(
             upstream
             for upstream in found.keys() - self._endpoints.keys()
-            if self._last_said.get(upstream) == found[upstream].life_order
-            and not self._revived.was_missing(origin, upstream)
+            if self._last_order.get(upstream) == found[upstream].life_order
+            and not self._restore.was_missing(origin, upstream)
         )
 
-    def _remember(self, found: dict[core.UpstreamId, Endpoint]) -> None:
-        self._last_said.update(
+    def _record_orders(self, found: dict[core.UpstreamId, Endpoint]) -> None:
+        self._last_order.update(
             {name: entry.life_order for name, entry in found.items()}
         )
-        excess = len(self._last_said) - len(found) - MOST_REMEMBERED
+        excess = len(self._last_order) - len(found) - MAX_DEPARTED_IDS
         if excess > 0:
-            gone = [name for name in self._last_said if name not in found]
+            gone = [name for name in self._last_order if name not in found]
             for name in gone[:excess]:
-                del self._last_said[name]
+                del self._last_order[name]
 
     def _update(
         self,
@@ -345,10 +345,10 @@
         kept = {upstream: before[upstream] for upstream in held}
         self._endpoints = {**found, **kept}
         change = self._compare(before, held)
-        self._tell(change)
+        self._notify(change)
         return change
 
-    def _tell(self, change: DirectoryChange | None) -> None:
+    def _notify(self, change: DirectoryChange | None) -> None:
         if change is not None:
             for call in self._listeners:
                 call(change)
@@ -368,17 +368,17 @@
         ]
         if not (touched or regroup):
             return None
-        self._note_warmups(touched)
-        usable_before = _list_grouped(self._ready)
+        self._update_cold(touched)
+        usable_before = _index_by_id(self._ready)
         self._ready = self._group_ready()
-        usable = _list_grouped(self._ready)
-        reborn = {
+        usable = _index_by_id(self._ready)
+        restarted = {
             upstream
             for upstream in usable.keys() & usable_before.keys()
             if not usable[upstream].is_same_life(usable_before[upstream])
         }
-        added = usable.keys() - usable_before.keys() | reborn
-        left = usable_before.keys() - usable.keys() | reborn
+        added = usable.keys() - usable_before.keys() | restarted
+        left = usable_before.keys() - usable.keys() | restarted
         return DirectoryChange(
             added=tuple(sorted(added)),
             left=tuple(sorted(left)),
@@ -386,7 +386,7 @@
             touched=tuple(sorted(touched)),
         )
 
-    def _note_warmups(self, touched: Iterable[core.UpstreamId]) -> None:
+    def _update_cold(self, touched: Iterable[core.UpstreamId]) -> None:
         """Take over how long changed entries say they are still cold."""
         read_at = self.stamp.read_at if self.stamp else self._clock.now()
         for upstream in touched:
@@ -408,7 +408,7 @@
         return {service: tuple(found) for service, found in grouped.items()}
 
 
-def _list_grouped(
+def _index_by_id(
     ready: dict[routing.ServiceName, tuple[Endpoint, ...]],
 ) -> dict[core.UpstreamId, Endpoint]:
     """Return the upstreams of all services by id."""
--- a/rudderrock/gateway/knowledge/_era.py
+++ b/rudderrock/gateway/knowledge/_era.py
@@ -8,7 +8,7 @@
 # left and lack what is there: operators and upstreams write again, leases of
 # what does not live end three heartbeats of some 1.2 s after it, and a reading
 # comes each second.
-DOUBT_S = 5.0
+RESTORE_SETTLING_S = 5.0
 
 
 class SourceEra:
--- a/rudderrock/gateway/knowledge/_evacuations.py
+++ b/rudderrock/gateway/knowledge/_evacuations.py
@@ -20,7 +20,7 @@
 
 NOT_TOLD = -1
 # Evacuations that have ended and are remembered.
-MOST_ENDED = 256
+MAX_ENDED_EVACUATIONS = 256
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -69,8 +69,8 @@
         # At which revision those had been written that have ended.
         self._ended: dict[core.ZoneId, int] = {}
         # Zones on which the last snapshot is not believed yet.
-        self._doubted: frozenset[core.ZoneId] = frozenset()
-        self._doubt_until = clock.now()
+        self._unconfirmed: frozenset[core.ZoneId] = frozenset()
+        self._unconfirmed_until = clock.now()
         self._listeners: list[Callable[[Evacuations], None]] = []
 
     @property
@@ -91,45 +91,49 @@
         if is_first or found.written != before.written:
             self.changed_at = found.position
         if is_first or found.position.era == before.position.era:
-            self._note_ended(before, found)
-            self._doubted = self._list_lost(found) & self._doubted
+            self._record_ended(before, found)
+            self._unconfirmed = (
+                self._list_unconfirmed(found) & self._unconfirmed
+            )
         else:
-            self._doubted = self._list_lost(found)
-            self._doubt_until = self._clock.now() + era.DOUBT_S
-        self._put_in_force(origin, is_first)
+            self._unconfirmed = self._list_unconfirmed(found)
+            self._unconfirmed_until = (
+                self._clock.now() + era.RESTORE_SETTLING_S
+            )
+        self._update_zones(origin, is_first)
 
-    def settle(self) -> None:
+    def expire_unconfirmed(self) -> None:
         """Believe the last snapshot once operators have had their time."""
-        if self._doubted and self._clock.now() >= self._doubt_until:
-            self._doubted = frozenset()
-            self._put_in_force('not written again')
+        if self._unconfirmed and self._clock.now() >= self._unconfirmed_until:
+            self._unconfirmed = frozenset()
+            self._update_zones('not written again')
 
-    def _note_ended(self, before: Evacuations, found: Evacuations) -> None:
-        for zone in before.zones - found.zones - self._doubted:
+    def _record_ended(self, before: Evacuations, found: Evacuations) -> None:
+        for zone in before.zones - found.zones - self._unconfirmed:
             self._ended.pop(zone, None)
             self._ended[zone] = before.written[zone]
-        while len(self._ended) > MOST_ENDED:
+        while len(self._ended) > MAX_ENDED_EVACUATIONS:
             del self._ended[next(iter(self._ended))]
 
-    def _list_lost(self, found: Evacuations) -> frozenset[core.ZoneId]:
+    def _list_unconfirmed(self, found: Evacuations) -> frozenset[core.ZoneId]:
         """Return the zones of which a copy may not know the last word.
 
         It lacks an evacuation that is in force, or has the very one that has
         ended, by the revision at which it was written.
         """
-        brought_back = {
+        restored = {
             zone
             for zone in found.zones - self.zones
             if self._ended.get(zone) == found.written[zone]
         }
-        return (self.zones - found.zones) | brought_back
+        return (self.zones - found.zones) | restored
 
-    def _put_in_force(self, origin: str, is_first: bool = False) -> None:
+    def _update_zones(self, origin: str, is_first: bool = False) -> None:
         before = self.zones
-        kept = before & self._doubted
-        self.zones = (self.current.zones - self._doubted) | kept
+        kept = before & self._unconfirmed
+        self.zones = (self.current.zones - self._unconfirmed) | kept
         if self.zones != before:
-            self._note_change(before, origin)
+            self._log_change(before, origin)
         if is_first or self.zones != before:
             written = self.current.written
             in_force = Evacuations(
@@ -139,9 +143,7 @@
             for call in self._listeners:
                 call(in_force)
 
-    def _note_change(
-        self, before: frozenset[core.ZoneId], origin: str
-    ) -> None:
+    def _log_change(self, before: frozenset[core.ZoneId], origin: str) -> None:
         self._events.record(
             events.LogKind.EVACUATIONS_CHANGED,
             era=self.current.position.era,
--- a/rudderrock/gateway/knowledge/_first.py
+++ b/rudderrock/gateway/knowledge/_first.py
@@ -12,12 +12,12 @@
 
 # A process is young for so long, in seconds. What comes meanwhile is better
 # kept than sent away for longer. In an older one something is amiss.
-YOUNG_S = 1.0
+STARTUP_PERIOD_S = 1.0
 # How long a request waits in a young process, in seconds. To read 600
 # upstreams, 195 hosts and the routes takes 0.25 to 0.36 s by a link of
 # 10 Mbit/s; with a wait of 0.2 s all that came at once were sent away
 # after it.
-WAIT_S = 0.5
+STARTUP_WAIT_S = 0.5
 
 
 class FirstKnowledge:
@@ -34,12 +34,12 @@
         self._evacuated = evacuated
         self._listing = listing
         self._clock = clock
-        self._began = clock.now()
+        self._started_at = clock.now()
         self._complete = asyncio.Event()
-        self._wanted = asyncio.Event()
-        tables.add_listener(lambda table: self._check())
-        listing.add_reader(self._check)
-        evacuated.add_listener(lambda found: self._check())
+        self._has_waiter = asyncio.Event()
+        tables.add_listener(lambda table: self._update())
+        listing.add_reader(self._update)
+        evacuated.add_listener(lambda found: self._update())
 
     @property
     def is_complete(self) -> bool:
@@ -51,19 +51,19 @@
 
         Whoever looks for knowledge is told that callers wait.
         """
-        self._wanted.set()
-        if self._clock.now() - self._began < YOUNG_S:
-            await self.wait_for(WAIT_S)
+        self._has_waiter.set()
+        if self._clock.now() - self._started_at < STARTUP_PERIOD_S:
+            await self.wait_for(STARTUP_WAIT_S)
 
     async def wait_for(self, seconds: float) -> None:
         """Wait until all is known, for so many seconds at most."""
         await core.wait_for_event(self._complete, seconds)
 
-    async def wait_wanted(self) -> None:
+    async def wait_for_waiter(self) -> None:
         """Wait until a caller waits for what is not known yet."""
-        await self._wanted.wait()
+        await self._has_waiter.wait()
 
-    def _check(self) -> None:
+    def _update(self) -> None:
         known = self._tables.current is not None and self._evacuated.is_known
         if known and self._listing.stamp is not None:
             self._complete.set()
--- a/rudderrock/gateway/knowledge/_operators.py
+++ b/rudderrock/gateway/knowledge/_operators.py
@@ -34,7 +34,7 @@
         self._events = events
         self._task: asyncio.Task | None = None
 
-    async def keep(self) -> result.Result[None, sources.Unavailable]:
+    async def ensure_running(self) -> result.Result[None, sources.Unavailable]:
         """See that a watch is under way, after a reading if there was none."""
         read = None
         if self._task is not None:
@@ -48,7 +48,7 @@
                     pass
                 case result.Err() as failed:
                     return failed
-        self._task = asyncio.create_task(self._follow(read))
+        self._task = asyncio.create_task(self._watch(read))
         return result.Ok(None)
 
     def stop(self) -> None:
@@ -78,7 +78,7 @@
             )
             self._evacuated.apply(found, origin)
 
-    async def _follow(
+    async def _watch(
         self, read: position.Position
     ) -> position.Position | None:
         """Watch until all has to be read anew, and read it.
@@ -97,16 +97,16 @@
                 case result.Err(sources.HistoryGone()):
                     break
                 case result.Err(problem):
-                    self._note_failed('watch', problem.detail)
+                    self._log_failure('watch', problem.detail)
                     break
         match await self._read():
             case result.Ok(read):
                 return read
             case result.Err(problem):
-                self._note_failed('table', problem.detail)
+                self._log_failure('table', problem.detail)
         return None
 
-    def _note_failed(self, call: str, detail: str) -> None:
+    def _log_failure(self, call: str, detail: str) -> None:
         self._events.record(
             events.LogKind.SOURCE_FAILED, call=call, detail=detail
         )
--- a/rudderrock/gateway/knowledge/_registration.py
+++ b/rudderrock/gateway/knowledge/_registration.py
@@ -14,8 +14,8 @@
 
 # A registration lasts this long without renewal, and is renewed this
 # often, in seconds.
-LEASE_S = 12.0
-RENEW_EVERY_S = 4.0
+LEASE_TTL_S = 12.0
+RENEW_INTERVAL_S = 4.0
 
 
 class Registration:
@@ -41,7 +41,7 @@
         self._clock = clock
         self._events = events
         self._lease: sources.Lease | None = None
-        self._missing = 0
+        self._missing_count = 0
 
     async def run(self) -> None:
         """Register, and renew until cancelled."""
@@ -49,73 +49,75 @@
             if self._lease is None:
                 await self._register()
             else:
-                await self._renew()
-            await asyncio.sleep(RENEW_EVERY_S)
+                await self._renew_or_register()
+            await asyncio.sleep(RENEW_INTERVAL_S)
 
     async def withdraw(self) -> None:
         """Leave the registry, so that nobody asks this host any more."""
         if self._lease is None:
             return
-        found = (await self._find_own()).ok()
+        found = (await self._find_own_lease()).ok()
         if found is None:
             # The registration lapses by itself.
             return
         answer = await self._source.withdraw(found)
         if answer.is_err():
-            self._note('withdraw', answer.err_value.detail)
+            self._log_failure('withdraw', answer.err_value.detail)
 
     async def _register(self) -> None:
         self._lease = None
-        answer = await self._source.register(self._hosts.own, LEASE_S)
+        answer = await self._source.register(self._hosts.own, LEASE_TTL_S)
         match answer:
             case result.Ok(lease):
                 self._lease = lease
-                self._missing = 0
+                self._missing_count = 0
             case result.Err(problem):
-                self._note('register', problem.detail)
+                self._log_failure('register', problem.detail)
 
-    async def _renew(self) -> None:
+    async def _renew_or_register(self) -> None:
         """Renew; register again where the registry has lost the entry."""
-        self._missing = 0 if self._hosts.has_own() else self._missing + 1
-        if self._missing >= 2:
+        self._missing_count = (
+            0 if self._hosts.has_own() else self._missing_count + 1
+        )
+        if self._missing_count >= 2:
             await self._register()
         elif self._lease.era < self._era.current:
             await self._renew_in_new_era()
         else:
-            await self._prolong()
+            await self._renew_lease()
 
-    async def _prolong(self) -> None:
+    async def _renew_lease(self) -> None:
         match await self._source.renew(self._lease):
             case result.Err(sources.LeaseEnded()):
                 await self._register()
             case result.Err(sources.SourceReturned()):
                 await self._renew_in_new_era()
             case result.Err(problem):
-                self._note('renew', problem.detail)
+                self._log_failure('renew', problem.detail)
 
     async def _renew_in_new_era(self) -> None:
         """Go on with the lease if it is this host's still."""
-        match await self._find_own():
+        match await self._find_own_lease():
             case result.Ok(None):
                 await self._register()
             case result.Ok(found):
                 self._lease = found
-                await self._prolong()
+                await self._renew_lease()
 
-    async def _find_own(
+    async def _find_own_lease(
         self,
     ) -> result.Result[sources.Lease | None, sources.Unavailable]:
         """Return the lease if the registry names it for this host."""
         answer = await self._source.find_lease(self._hosts.own.host)
         match answer:
             case result.Err(problem):
-                self._note('find_lease', problem.detail)
+                self._log_failure('find_lease', problem.detail)
             case result.Ok(found) if found is not None:
                 is_own = found.number == self._lease.number
                 return result.Ok(found if is_own else None)
         return answer
 
-    def _note(self, call: str, detail: str) -> None:
+    def _log_failure(self, call: str, detail: str) -> None:
         self._events.record(
             events.LogKind.SOURCE_FAILED, call=call, detail=detail
         )
--- a/rudderrock/gateway/knowledge/_revived.py
+++ b/rudderrock/gateway/knowledge/_restore.py
@@ -7,7 +7,7 @@
 from rudderrock.gateway.knowledge import _era as era
 
 
-class Revived:
+class RestoreTracker:
     """Which upstreams that had left a copy may have brought back.
 
     A copy says again what an upstream said last, and so does one that lives
@@ -24,16 +24,16 @@
         )
 
     @property
-    def is_doubting(self) -> bool:
+    def is_settling(self) -> bool:
         """Tell whether a copy may still show."""
         return self._clock.now() < self._until
 
     def begin(self) -> None:
         """Doubt from now on what the source names again."""
-        self._until = self._clock.now() + era.DOUBT_S
+        self._until = self._clock.now() + era.RESTORE_SETTLING_S
         self._missing.clear()
 
-    def note_missing(
+    def record_missing(
         self, origin: str, upstreams: Iterable[core.UpstreamId]
     ) -> None:
         """Take note of what a reading of some origin did not name."""
