--- a/rudderrock/gateway/knowledge/__init__.py
+++ b/rudderrock/gateway/knowledge/__init__.py
@@ -1,5 +1,5 @@
-"""What a host knows, and how it learns it.
+"""Discovery of routes, upstreams, hosts and zones.
 
-Routes, upstreams, other hosts and their zones, read from the source or told
-by peers, with the age of each reading; and this host's own registration.
+The data comes from the source or from peers, with the age of each reading.
+This package also keeps this host registered.
 """
--- a/rudderrock/gateway/knowledge/_directory.py
+++ b/rudderrock/gateway/knowledge/_directory.py
@@ -1,4 +1,4 @@
-"""The upstreams that a host believes to be there, by service."""
+"""The upstreams that a host knows, grouped by service."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -10,21 +10,22 @@
 from rudderrock.gateway.knowledge import _restore as revived
 from rudderrock.gateway.knowledge import _routing as routing
 
-# Upstreams whose registration lapsed while the registry was away register
-# again within about two seconds of its return, says the registry's
-# contract; a little more for the reading of it.
+# After an outage of the registry, upstreams whose registration lapsed register
+# again within about two seconds, by the registry's contract. The rest allows
+# for reading it.
 REREGISTRATION_GRACE_S = 2.3
-# A registration lapses after three missed heartbeats of some 1.2 s; so if
-# there was a reading this lately, of this host or of a peer, the registry
-# was not away for long enough to lose one that lives.
+# A registration lapses after three missed heartbeats of about 1.2 s each. If
+# this host or a peer made a reading within this time before the registry
+# answered again, the outage was too short for a live upstream to lose its
+# registration.
 MAX_HARMLESS_OUTAGE_S = 2.2
-# Ids that have left and whose last entries are remembered: those of 2,400
-# upstreams that are all replaced once, and more.
+# Number of departed ids whose last entry is remembered, more than enough for
+# 2,400 upstreams that are all replaced once.
 MAX_DEPARTED_IDS = 4096
 
 
 class Phase(enum.Enum):
-    """What an upstream says of itself."""
+    """The state that an upstream reports for itself."""
 
     READY = 'ready'
     DRAINING = 'draining'
@@ -34,13 +35,13 @@
 class Endpoint:
     """One registered upstream.
 
-    `address` is an IP number and a port. `born` is the start of the
-    upstream's life as a Unix time in milliseconds, 0 if it does not say:
-    an upstream may start again under its id, and then knows nothing of
-    before. `sequence` counts what it has said in that life, so of two
-    entries the one with the greater `life_order` was written later, whatever
-    the order in which they came. It is no change by itself. For
-    `warmup_left_s` from the reading on it is cold.
+    `address` is an IP address and a port. `born` is the start of the
+    upstream's process as a Unix time in milliseconds, or 0 if unknown: an
+    upstream may restart under its id and then has no state from before.
+    `sequence` counts the entries written since that start, so of two entries
+    the one with the greater `life_order` was written later, whatever the order
+    in which they arrive. A different `sequence` alone is not a change. The
+    upstream is cold for `warmup_left_s` seconds from the reading on.
     """
 
     upstream: core.UpstreamId
@@ -55,16 +56,16 @@
 
     @property
     def life_order(self) -> tuple[int, int]:
-        """Return what orders the entries of one id."""
+        """Return the sort key that orders the entries of one id by age."""
         return self.born, self.sequence
 
     @property
     def life(self) -> core.UpstreamLife:
-        """Return what tells this life from others, also of its id."""
+        """Return an id that is unique to this process of the upstream."""
         return core.UpstreamLife(f'{self.upstream}/{self.born}')
 
     def is_same_life(self, other: 'Endpoint') -> bool:
-        """Tell whether what was known of another entry still holds."""
+        """Return whether state kept for the other entry is still valid."""
         return (self.born, self.address, self.service) == (
             other.born,
             other.address,
@@ -74,12 +75,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DirectoryChange:
-    """What one reading changed; ids of upstreams.
+    """The upstream ids that one reading changed.
 
-    `added` are those that take new work from now on, `left` those that no
-    longer do, `held` those that the reading lacked and that are kept,
-    `touched` all that differ. One that has started again under its id is
-    among `left` for its former life and among `added` for the new one.
+    `added` take new work from now on, `left` no longer do, `held` are missing
+    from the reading but kept, and `touched` are all whose entries differ. An
+    upstream that has restarted under its id is in `left` for its former
+    process and in `added` for the new one.
     """
 
     added: tuple[core.UpstreamId, ...]
@@ -90,13 +91,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadingStamp:
-    """Which reading of the registry something comes from.
+    """Identifies the reading of the registry that data comes from.
 
-    `origin` is the process that read, `number` counts its readings,
-    `read_at` is the loop time of the reading as this process reckons it, and
-    `hops` counts the hosts that have passed it on.
-    Ages alone would not do: each passing on adds a little, so hosts that
-    ask one another in a circle would take an old reading for a fresh one.
+    `origin` is the process that made the reading and `number` counts its
+    readings. `read_at` is the loop time of the reading by the clock of this
+    process, and `hops` counts the hosts that have relayed it. Ages alone are
+    not enough: each relay adds a small error, so hosts that ask one another in
+    a circle would treat an old reading as fresh.
     """
 
     origin: str
@@ -108,9 +109,9 @@
 class Directory:
     """The registered upstreams as of the last reading.
 
-    A reading that follows an outage of the registry may lack upstreams
-    that live; these are kept until the time given to `hold_for` is over.
-    Those in evacuated zones are known and take no new work.
+    A reading that follows an outage of the registry may lack live upstreams;
+    they are kept for the time given to `hold_for`. Upstreams in evacuated
+    zones are known but get no new work.
     """
 
     def __init__(self, clock: core.Clock):
@@ -119,8 +120,8 @@
         self._clock = clock
         self._endpoints: dict[core.UpstreamId, Endpoint] = {}
         self._evacuated: frozenset[core.ZoneId] = frozenset()
-        # The last that was said under each id, also by those that are gone,
-        # so that an entry from before is not taken for a new one.
+        # The newest order seen for each id, including departed ones, so that
+        # an older entry is not taken for a new one.
         self._last_order: dict[core.UpstreamId, tuple[int, int]] = {}
         self._restore = revived.RestoreTracker(clock)
         self._cold_until: dict[core.UpstreamId, float] = {}
@@ -134,34 +135,36 @@
 
     @property
     def differs_from_reading(self) -> bool:
-        """Tell whether upstreams are kept that the last reading lacked.
+        """Return whether this directory differs from the last reading.
 
-        Or left out that it named: a peer would not tell of either again.
+        It does while it keeps upstreams that the reading lacked, or leaves out
+        unconfirmed ones that the reading listed. A peer that sends only
+        changes would not mention either of them again.
         """
         return bool(self._held or self._unconfirmed)
 
     @property
     def hold_s(self) -> float:
-        """Return for how long missing upstreams are still kept."""
+        """Return the seconds for which missing upstreams are still kept."""
         return max(0.0, self._hold_until - self._clock.now())
 
     @property
     def age_s(self) -> float:
-        """Return the age of the last reading in seconds, -1 if none."""
+        """Return the age of the last reading in seconds, or -1 if none."""
         if self.stamp is None:
             return -1.0
         return self._clock.now() - self.stamp.read_at
 
     def add_listener(self, call: Callable[[DirectoryChange], None]) -> None:
-        """Have `call` called after each reading that changed something."""
+        """Register a callback for each reading that changed something."""
         self._listeners.append(call)
 
     def add_reader(self, call: Callable[[], None]) -> None:
-        """Have `call` called after each reading, changed or not."""
+        """Register a callback for each reading, changed or not."""
         self._reading_listeners.append(call)
 
     def get_endpoint(self, upstream: core.UpstreamId) -> Endpoint | None:
-        """Return one upstream, ready or draining."""
+        """Return an upstream, ready or draining, or None if unknown."""
         return self._endpoints.get(upstream)
 
     def list_ready(self, service: routing.ServiceName) -> tuple[Endpoint, ...]:
@@ -173,17 +176,17 @@
         return tuple(self._endpoints.values())
 
     def get_cold_s(self, upstream: core.UpstreamId) -> float:
-        """Return for how long an upstream is still cold, 0 if it is not."""
+        """Return the seconds for which an upstream is still cold, or 0."""
         until = self._cold_until.get(upstream, 0.0)
         return max(0.0, until - self._clock.now())
 
     def count_cold(self) -> int:
-        """Return how many upstreams are cold."""
+        """Return the number of cold upstreams."""
         now = self._clock.now()
         return sum(until > now for until in self._cold_until.values())
 
     def note_cold(self, upstream: core.UpstreamId, seconds: float) -> None:
-        """Take an upstream to be cold for so long from now, or longer."""
+        """Treat an upstream as cold for at least this long from now."""
         until = self._clock.now() + seconds
         self._cold_until[upstream] = max(
             until, self._cold_until.get(upstream, 0.0)
@@ -192,9 +195,9 @@
     def set_evacuated(
         self, zones: frozenset[core.ZoneId]
     ) -> DirectoryChange | None:
-        """Give no new work to the upstreams of some zones, and to no others.
+        """Replace the set of zones whose upstreams get no new work.
 
-        Returns what that changed, if anything.
+        Return what changed, if anything.
         """
         if zones == self._evacuated:
             return None
@@ -214,11 +217,11 @@
         read: position.Position,
         stamp: ReadingStamp,
     ) -> DirectoryChange | None:
-        """Take over one whole reading; return what changed, if anything.
+        """Apply a complete reading; return what changed, if anything.
 
-        One that is older than the last is passed over. Of a source that has
-        come back from a copy the first is newer, though its revision may be
-        smaller.
+        A reading older than the last one is ignored. The first reading after a
+        restore of the source is newer even if its revision is smaller, since
+        its era is greater.
         """
         if read < self.position:
             return None
@@ -230,7 +233,9 @@
             del found[upstream]
         change = self._replace(found, read, stamp)
         if self._restore.is_settling and stamp.hops <= 1:
-            # Told by who has read it: others leave out what they doubt.
+            # A host that relays a reading leaves out the entries that it
+            # treats as unconfirmed, so only a reading made here or received
+            # directly from the host that made it shows what the source lacked.
             gone = self._last_order.keys() - found.keys() - self._unconfirmed
             self._restore.record_missing(stamp.origin, gone)
         return change
@@ -242,11 +247,12 @@
         read: position.Position,
         stamp: ReadingStamp,
     ) -> DirectoryChange | None:
-        """Take over what a peer says has changed since it was last asked.
+        """Apply changes that a peer sent; return what changed, if anything.
 
-        That is worked out within one era; what another era lacks of this one
-        would not be among it. What it names is new at the peer, so none of it
-        is doubted.
+        A peer computes changes within one era, and they would omit what a
+        restored source has lost; changes from another era are therefore
+        ignored. The entries are new at the peer, so none of them is treated as
+        unconfirmed.
         """
         if read < self.position or read.era != self.position.era:
             return None
@@ -258,10 +264,10 @@
         return self._replace(found, read, stamp)
 
     def _begin_era(self) -> None:
-        """Take note that the source has come back from a copy.
+        """Keep missing upstreams for a while after a restore of the source.
 
-        It lacks those that have registered since, whether it was away for
-        long or not.
+        A restored source lacks upstreams that registered after the backup,
+        however short its outage was.
         """
         if self.position != position.NOWHERE:
             self.hold_for(REREGISTRATION_GRACE_S)
@@ -290,7 +296,7 @@
     def _update_held(
         self, found: dict[core.UpstreamId, Endpoint]
     ) -> frozenset[core.UpstreamId]:
-        """Take note of what is kept though a reading lacks it."""
+        """Update and return the ids kept although the reading lacks them."""
         missing = self._endpoints.keys() - found.keys()
         self._held = frozenset(missing if self.hold_s > 0 else ())
         return self._held
@@ -298,10 +304,10 @@
     def _drop_outdated(
         self, found: dict[core.UpstreamId, Endpoint]
     ) -> dict[core.UpstreamId, Endpoint]:
-        """Return a reading without what was said before something known.
+        """Return the entries, without those older than one already seen.
 
-        An entry that was written late may be in the registry after a newer
-        one; it would have a draining upstream take new work again.
+        A delayed write may put an old entry into the registry after a newer
+        one. It would make a draining upstream take new work again.
         """
         newest = {}
         for upstream, entry in found.items():
@@ -315,7 +321,7 @@
     def _list_unconfirmed(
         self, found: dict[core.UpstreamId, Endpoint], origin: str
     ) -> frozenset[core.UpstreamId]:
-        """Return those that have left and may be there since a copy is."""
+        """Return departed upstreams that a backup may have restored."""
         if not self._restore.is_settling:
             return frozenset()
         return frozenset(
@@ -340,7 +346,7 @@
         found: dict[core.UpstreamId, Endpoint],
         held: frozenset[core.UpstreamId],
     ) -> DirectoryChange | None:
-        """Put what is there in force; tell listeners if it is a change."""
+        """Replace the entries; notify listeners if something changed."""
         before = self._endpoints
         kept = {upstream: before[upstream] for upstream in held}
         self._endpoints = {**found, **kept}
@@ -359,7 +365,7 @@
         held: frozenset[core.UpstreamId],
         regroup: bool = False,
     ) -> DirectoryChange | None:
-        """Return what has changed; group the upstreams anew if needed."""
+        """Return what changed, after regrouping the ready upstreams."""
         now = self._endpoints
         touched = [
             upstream
@@ -387,7 +393,7 @@
         )
 
     def _update_cold(self, touched: Iterable[core.UpstreamId]) -> None:
-        """Take over how long changed entries say they are still cold."""
+        """Update the end of the warm-up of each changed entry."""
         read_at = self.stamp.read_at if self.stamp else self._clock.now()
         for upstream in touched:
             entry = self._endpoints.get(upstream)
--- a/rudderrock/gateway/knowledge/_era.py
+++ b/rudderrock/gateway/knowledge/_era.py
@@ -1,20 +1,20 @@
-"""Noticing that the source has come back from an older copy."""
+"""Detection of a source that was restored from an older backup."""
 
 from rudderrock.gateway import _events as events
 from rudderrock.gateway import _log as log
 from rudderrock.gateway.knowledge import _position as position
 
-# For so long after the source has come back, in seconds, it may name what has
-# left and lack what is there: operators and upstreams write again, leases of
-# what does not live end three heartbeats of some 1.2 s after it, and a reading
-# comes each second.
+# For this long after a restore, in seconds, the source may list entries that
+# have left and lack entries that exist. In that time operators and upstreams
+# write again, leases of upstreams that have stopped expire after three missed
+# heartbeats of about 1.2 s each, and there is a reading every second.
 RESTORE_SETTLING_S = 5.0
 
 
 class SourceEra:
-    """The era of the source, as far as it is known here.
+    """The latest known era of the source.
 
-    `returns` counts how often this host has seen it rise.
+    `returns` counts the restores of the source that this host has observed.
     """
 
     def __init__(self, events: log.EventLog):
@@ -25,10 +25,10 @@
     def note(
         self, read: position.Position, known: position.Position, origin: str
     ) -> bool:
-        """Take note of where something was read, or a host has read it.
+        """Record the position of a reading, made here or by a peer.
 
-        `known` is the position of the upstreams that are in force here.
-        Tells whether the source has come back since.
+        `known` is the position of the upstreams in force here. Return whether
+        the source has been restored from a backup since then.
         """
         if read.era <= self.current:
             return False
--- a/rudderrock/gateway/knowledge/_evacuations.py
+++ b/rudderrock/gateway/knowledge/_evacuations.py
@@ -1,10 +1,9 @@
-"""Zones that operators have evacuated: nothing more is sent there.
+"""Zones that operators have evacuated and that get no more requests.
 
-An operator evacuates a zone by a key in the source and gives it back by
-deleting the key. What is known of it is a snapshot of all such keys at one
-position of the source, so the later of two snapshots is always the truth,
-whoever brings it and in whatever order: to merge them is to take the greater
-position.
+An operator evacuates a zone by writing a key to the source and ends the
+evacuation by deleting the key. A snapshot holds all such keys at one position
+of the source. Snapshots from any host and in any order are merged by taking
+the one with the greatest position.
 """
 
 from collections.abc import Callable
@@ -19,16 +18,16 @@
 from rudderrock.gateway.knowledge import _position as position
 
 NOT_TOLD = -1
-# Evacuations that have ended and are remembered.
+# Number of ended evacuations that are remembered.
 MAX_ENDED_EVACUATIONS = 256
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Evacuations:
-    """The evacuated zones as of a position of the source.
+    """The evacuated zones at a position of the source.
 
-    `written` gives for each zone the revision at which an operator evacuated
-    it, `NOT_TOLD` where a host of the version before passed it on.
+    `written` maps each zone to the revision at which an operator evacuated it,
+    or to `NOT_TOLD` if a peer of the previous version sent no revision.
     """
 
     position: position.Position
@@ -36,21 +35,22 @@
 
     @property
     def zones(self) -> frozenset[core.ZoneId]:
-        """Return the zones alone."""
+        """Return the ids of the evacuated zones."""
         return frozenset(self.written)
 
 
 class EvacuationHolder:
-    """The evacuations in force, which never go back to an older snapshot.
+    """The evacuations in force, never replaced by an older snapshot.
 
-    `current` is the last snapshot, which other hosts are told, and `zones`
-    are in force. They differ for a while after the source has come back from
-    a copy: what the copy lacks goes on, and what was taken back since does
-    not begin again, until operators have had the time to write again.
+    `current` is the latest snapshot, which is sent to peers, and `zones` are
+    the zones in force. The two differ for a while after the source was
+    restored from a backup: an evacuation that the backup lacks stays in force,
+    and one that ended after the backup does not start again, until operators
+    have had time to repeat their changes.
 
-    A zone that does not exist is kept like any other and moves nothing.
-    Parameters: `known_zones` are those of the settings, to name in the log
-    the ones that are not among them.
+    A zone that does not exist is kept like any other and has no effect.
+    Parameters: `known_zones` are the zones of the settings; evacuated zones
+    that are not among them are named in the log.
     """
 
     def __init__(
@@ -61,29 +61,30 @@
     ):
         self.current = Evacuations(position.NOWHERE, {})
         self.zones: frozenset[core.ZoneId] = frozenset()
-        # Where the snapshots were last seen to differ.
+        # The position of the last snapshot that differed from the one before
+        # it.
         self.changed_at = position.NOWHERE
         self._known_zones = frozenset(known_zones)
         self._clock = clock
         self._events = events
-        # At which revision those had been written that have ended.
+        # The revision at which each ended evacuation was written.
         self._ended: dict[core.ZoneId, int] = {}
-        # Zones on which the last snapshot is not believed yet.
+        # Zones for which the last snapshot does not apply yet.
         self._unconfirmed: frozenset[core.ZoneId] = frozenset()
         self._unconfirmed_until = clock.now()
         self._listeners: list[Callable[[Evacuations], None]] = []
 
     @property
     def is_known(self) -> bool:
-        """Tell whether any snapshot has been learnt."""
+        """Return whether any snapshot has been received."""
         return self.current.position != position.NOWHERE
 
     def add_listener(self, call: Callable[[Evacuations], None]) -> None:
-        """Have `call` called when the zones in force change, and at first."""
+        """Register a callback for the first and each changed set of zones."""
         self._listeners.append(call)
 
     def apply(self, found: Evacuations, origin: str) -> None:
-        """Take over a snapshot if it is later than the present one."""
+        """Apply a snapshot if it is later than the current one."""
         if found.position <= self.current.position:
             return
         is_first = not self.is_known
@@ -103,7 +104,7 @@
         self._update_zones(origin, is_first)
 
     def expire_unconfirmed(self) -> None:
-        """Believe the last snapshot once operators have had their time."""
+        """Apply the last snapshot in full after the settling period."""
         if self._unconfirmed and self._clock.now() >= self._unconfirmed_until:
             self._unconfirmed = frozenset()
             self._update_zones('not written again')
@@ -116,10 +117,10 @@
             del self._ended[next(iter(self._ended))]
 
     def _list_unconfirmed(self, found: Evacuations) -> frozenset[core.ZoneId]:
-        """Return the zones of which a copy may not know the last word.
+        """Return the zones whose latest change a restored backup may lack.
 
-        It lacks an evacuation that is in force, or has the very one that has
-        ended, by the revision at which it was written.
+        The backup lacks an evacuation that is in force, or it lists one that
+        has ended, which is recognised by the revision at which it was written.
         """
         restored = {
             zone
--- a/rudderrock/gateway/knowledge/_first.py
+++ b/rudderrock/gateway/knowledge/_first.py
@@ -1,6 +1,6 @@
-"""Whether a host knows enough to serve, and if callers wait for that.
+"""Whether a host knows enough to serve, and how long requests wait for it.
 
-It serves once it knows routes, upstreams and which zones are evacuated.
+A host serves once it knows the routes, the upstreams and the evacuated zones.
 """
 
 import asyncio
@@ -10,18 +10,19 @@
 from rudderrock.gateway.knowledge import _evacuations as evacuations
 from rudderrock.gateway.knowledge import _sources as sources
 
-# A process is young for so long, in seconds. What comes meanwhile is better
-# kept than sent away for longer. In an older one something is amiss.
+# Only requests that arrive within this time after the start of the process
+# wait for missing data, in seconds: a rejection would delay them for longer.
+# Data that is missing later indicates a fault, and waiting does not help.
 STARTUP_PERIOD_S = 1.0
-# How long a request waits in a young process, in seconds. To read 600
-# upstreams, 195 hosts and the routes takes 0.25 to 0.36 s by a link of
-# 10 Mbit/s; with a wait of 0.2 s all that came at once were sent away
-# after it.
+# How long a request waits during startup, in seconds. Reading 600 upstreams,
+# 195 hosts and the routes takes 0.25 to 0.36 s over a link of 10 Mbit/s; with
+# a wait of 0.2 s, all requests that arrived together were rejected when it
+# ended.
 STARTUP_WAIT_S = 0.5
 
 
 class FirstKnowledge:
-    """Tells when routes and upstreams are known for the first time."""
+    """Signals when routes, upstreams and evacuations are all known."""
 
     def __init__(
         self,
@@ -43,24 +44,24 @@
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether routes, upstreams and evacuations are known."""
+        """Return whether routes, upstreams and evacuations are known."""
         return self._complete.is_set()
 
     async def wait(self) -> None:
-        """Wait until all is known, a little in a young process only.
+        """Wait until all is known, but only during startup.
 
-        Whoever looks for knowledge is told that callers wait.
+        It also signals `wait_for_waiter` that a caller waits.
         """
         self._has_waiter.set()
         if self._clock.now() - self._started_at < STARTUP_PERIOD_S:
             await self.wait_for(STARTUP_WAIT_S)
 
     async def wait_for(self, seconds: float) -> None:
-        """Wait until all is known, for so many seconds at most."""
+        """Wait until all is known, for at most this many seconds."""
         await core.wait_for_event(self._complete, seconds)
 
     async def wait_for_waiter(self) -> None:
-        """Wait until a caller waits for what is not known yet."""
+        """Wait until a caller waits for data that is still missing."""
         await self._has_waiter.wait()
 
     def _update(self) -> None:
--- a/rudderrock/gateway/knowledge/_follow.py
+++ b/rudderrock/gateway/knowledge/_follow.py
@@ -1,11 +1,12 @@
-"""Keeping routes, upstreams and hosts in step with the source.
-
-A host that starts asks the hosts that its settings name, and the source
-only if they have nothing for it or a caller waits. After that one host reads
-the source. The first host of each other availability zone asks it, and the
-other hosts of a zone ask their first. Which hosts these are follows from
-their names, without an election. A host that gets nothing fresh from the
-others reads by itself, and a host that the source turns away asks the others.
+"""Synchronization of routes, upstreams and hosts with the source.
+
+A starting host asks the seeds that its settings name, and reads the source
+only if they have no data for it or a caller waits. After that, one host reads
+the source. The first host of each other availability zone asks that host for
+changes, and the other hosts of a zone ask the first host of their zone. The
+order of hosts follows from their names, without an election. A host that gets
+no fresh data from its peers reads the source itself, and a host that gets no
+answer from the source asks any other host.
 """
 
 import asyncio
@@ -28,50 +29,54 @@
 from rudderrock.gateway.knowledge import _quarantine as quarantine
 from rudderrock.gateway.knowledge import _sources as sources
 
-# Between two readings of the upstreams, in seconds. A leaving upstream must
-# get no new work some seconds after it said so, and each reading is paid.
+# Interval between readings of the upstreams, in seconds. A draining upstream
+# must get no new work a few seconds after it announced that, and each reading
+# has a cost.
 READ_INTERVAL_S = 1.0
-# Between two readings of the hosts, in seconds; few things hang on them.
+# Interval between readings of the hosts, in seconds; little depends on them.
 HOSTS_INTERVAL_S = 4.0
-# While this process is young, others may be registering too: it reads the
-# hosts at this interval until it is so old; seconds.
+# Other hosts may be registering while this process starts, so it reads the
+# hosts at a shorter interval until it has run for `STARTUP_PERIOD_S`; both in
+# seconds.
 STARTUP_HOSTS_INTERVAL_S = 0.8
 STARTUP_PERIOD_S = 4.0
-# Between tries while the source does not answer, in seconds, for the host
-# that reads for others and for one that asks others first; and the part by
-# which chance varies it so that hosts don't ask in step.
+# Seconds between attempts while the source does not answer: for the host that
+# reads for others, and for a host that asks peers first. Each pause varies at
+# random by the fraction `_JITTER`, so that hosts do not ask simultaneously.
 RETRY_INTERVAL_S = 0.5
 FALLBACK_RETRY_INTERVAL_S = 2.0
-# All hosts that ask others first make so many tries a second together, at
-# most: whoever finds the source back tells the rest. With a try each 2 s, 195
-# hosts make 98 a second, while the source comes back.
+# Limit on the attempts per second of all hosts together that ask peers first:
+# the first one that reaches the source passes its data on. With one attempt
+# every 2 s, 195 hosts would make 98 per second while the source recovers.
 MAX_FALLBACK_TRIES_PER_S = 5.0
 _JITTER = 0.15
-# A peer that failed is passed over for this long, in seconds, and one that
-# had nothing fresh for a shorter time, since it is looking for a source too.
+# How long a peer is skipped after it failed, in seconds. One that had no fresh
+# data is skipped for a shorter time, since it is looking for a source too.
 FAILED_PEER_SKIP_S = 4.0
 STALE_PEER_SKIP_S = 1.2
-# For so long, in seconds, hosts that start together take what has been passed
-# on often: those that were not up yet are passed over for `SKIP_S`.
+# For this long after its start, in seconds, a host accepts data that was
+# relayed several times. Hosts that start together skip each peer that was not
+# up yet for `FAILED_PEER_SKIP_S`.
 SETTLING_PERIOD_S = FAILED_PEER_SKIP_S + 2.0
-# Peers asked in a row before the source is tried.
+# Peers asked in turn before the source is tried.
 MAX_PEERS_ASKED = 3
-# How long a host that starts looks for knowledge at its seeds while no caller
-# waits, in seconds, how long one of them may take, and the pause before they
-# are tried again: hosts that start together listen within some 0.3 s of each
-# other. Each host that reads the source at its start makes four calls of it,
-# so 195 that start together some 780, in the second in which all callers wait.
+# How long a starting host asks its seeds while no caller waits, the time-out
+# of one request to a seed, and the pause before all seeds are asked again, in
+# seconds. Hosts that start together begin to listen within about 0.3 s of each
+# other. Each host that reads the source at its start makes four calls, so 195
+# hosts that start together would make about 780 calls in the second in which
+# all callers wait.
 SEED_SYNC_TIMEOUT_S = 1.5
 SEED_REQUEST_TIMEOUT_S = 0.8
 SEED_RETRY_PAUSE_S = 0.1
-# The pause after a peer's answer, in seconds, which nobody notices. Without it
-# two peers that each had something newer than the other were asked in turn
-# without an end.
+# Pause after an answer from a peer, in seconds, too short to matter. Without
+# it, two peers that each had newer data than the other were asked alternately
+# in an endless loop.
 AFTER_ANSWER_PAUSE_S = 0.02
 
 
 class Follower:
-    """Learns from peers or from the source, and tells which."""
+    """Synchronizes with peers or the source, and logs which one is used."""
 
     def __init__(
         self,
@@ -105,15 +110,15 @@
         self._events = events
         seeds = list(seeds)
         self._seeds = fleet.make_seed_entries(seeds, hosts.own)
-        # Seeds that looked to one another would all wait.
+        # Seeds do not ask one another at start: all of them would wait.
         self._is_seed = len(self._seeds) < len(seeds)
-        # The seed that this host has learnt from at its start.
+        # The seed that supplied the data at start.
         self._seed_peer: fleet.HostEntry | None = None
         self._skip_until: dict[core.HostId, float] = {}
         self._hosts_read_at = -HOSTS_INTERVAL_S
         self._started_at = clock.now()
         self._last_try_at = -FALLBACK_RETRY_INTERVAL_S
-        # Part of the time between two tries; chance draws another each time.
+        # Random factor of the fallback retry interval, drawn for each attempt.
         self._retry_factor = 1.0
         self._reading_count = 0
         self._problems: frozenset[str] = frozenset()
@@ -122,7 +127,7 @@
         )
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Synchronize until cancelled."""
         try:
             if not await self._sync_from_seeds():
                 await self._read_source()
@@ -133,7 +138,7 @@
             self._operators.stop()
 
     async def _sync_from_seeds(self) -> bool:
-        """Learn all for the first time from a seed; tell whether it did."""
+        """Load all data from a seed for the first time; return success."""
         if self._is_seed or not self._seeds:
             return False
         asking = asyncio.create_task(self._ask_seeds())
@@ -149,7 +154,7 @@
             return asking.done() and asking.result()
 
     async def _ask_seeds(self) -> bool:
-        """Ask seeds in an order of chance until one has something fresh."""
+        """Ask the seeds in random order until one has fresh data."""
         seeds = list(self._seeds)
         self._random.shuffle(seeds)
         while True:
@@ -160,7 +165,7 @@
             await asyncio.sleep(SEED_RETRY_PAUSE_S)
 
     async def _ask_seed(self, entry: fleet.HostEntry) -> bool:
-        """Learn what a seed knows; tell whether that is enough to serve."""
+        """Apply the data of a seed; return whether it suffices to serve."""
         client = self._get_client(entry)
         answer = await client.ask(
             self._get_in_force(),
@@ -174,7 +179,7 @@
         return changes.is_fresh and self._first.is_complete
 
     async def _synchronize_once(self) -> None:
-        """Learn once more, from the best that there is just now."""
+        """Update once from peers or from the source."""
         self._evacuated.expire_unconfirmed()
         is_first = self._is_first_reader()
         if not (is_first and self._is_due(FALLBACK_RETRY_INTERVAL_S)):
@@ -192,15 +197,15 @@
             await self._pause(RETRY_INTERVAL_S)
 
     def _get_fallback_retry_s(self) -> float:
-        """Return the time between two tries of a host that asks others."""
+        """Return the retry interval of a host that asks peers first."""
         all_s = self._hosts.count() / MAX_FALLBACK_TRIES_PER_S
         return max(FALLBACK_RETRY_INTERVAL_S, all_s * self._retry_factor)
 
     def _is_due(self, retry_s: float) -> bool:
-        """Tell whether a source that is lost is to be tried again.
+        """Return whether to try again to read a source that is lost.
 
-        The host that others look to must try even while peers tell it all:
-        else it would never read for them again.
+        The host that reads for others must retry even while peers send it all
+        data; otherwise it would never read for them again.
         """
         if self.lost_at is None:
             return False
@@ -210,39 +215,41 @@
         return self._hosts.rank_readers()[0].host == self._hosts.own.host
 
     def _list_peers(self) -> list[fleet.HostEntry]:
-        """Return whom to ask before the source, best first.
+        """Return the peers to ask before the source, best first.
 
-        Those are the hosts of its zone that go before this one, and for the
-        first of a zone the first ones of zones that go before; and while the
-        source turns this host away, all others too, or the seeds if it knows
-        none.
+        These are the hosts of the own zone that precede this one. The first
+        host of a zone asks the first hosts of the zones that precede its own.
+        While the source does not answer this host, all other hosts are
+        included, or the seeds if no other host is known.
         """
         now = self._clock.now()
         if self._hosts.is_listed:
-            # For good: the next peer's list may be older and lack this host,
-            # and to go back and forth would be without a pause.
+            # Drop the seed permanently: the list of the next peer may be older
+            # and lack this host, and the host would switch back and forth
+            # without a pause.
             self._seed_peer = None
         ranked = self._hosts.rank_readers()
         own = self._hosts.own.host
         rank = [each.host for each in ranked].index(own)
         wanted = ranked[:rank]
         if self._seed_peer is not None:
-            # Until the registry names this host its list is short of others
-            # that have started with it, and the order is not theirs.
+            # Until the registry lists this host, its list lacks other hosts
+            # that started at the same time, so their order of hosts differs
+            # from its own.
             wanted = [self._seed_peer, *wanted]
         if not (wanted or self._listing.differs_from_reading):
-            # While upstreams are kept only whole listings tell when to drop
-            # them, and those are too long to send between zones.
+            # While upstreams are kept, only full listings show when to drop
+            # them, and those are too large to send between zones.
             wanted = self._hosts.list_earlier_readers()
         if self.lost_at is not None:
             wanted = ranked[:rank] + ranked[rank + 1 :]
             wanted += self._hosts.list_others()
             wanted = wanted or self._seeds
             if self.peer is not None:
-                # The one that had something fresh, as long as it has: one that
-                # goes before it may have that from this very host, and two
-                # hosts that ask each other learn nothing new until their
-                # readings are too old.
+                # Keep asking the peer that had fresh data for as long as it
+                # has. A peer that precedes it may have its data from this very
+                # host, and two hosts that ask each other learn nothing new
+                # until their readings are too old.
                 wanted = [self.peer.entry, *wanted]
         return [
             each
@@ -251,7 +258,7 @@
         ][:MAX_PEERS_ASKED]
 
     async def _ask_peers(self) -> bool:
-        """Ask peers in turn until one has something fresh."""
+        """Ask peers in turn until one has fresh data; return success."""
         for entry in self._list_peers():
             client = self._get_client(entry)
             answer = await client.ask(
@@ -278,7 +285,7 @@
                 case result.Err(problem):
                     self._skip_peer(entry, problem.detail, FAILED_PEER_SKIP_S)
                     if self.lost_at is None:
-                        # Waiting for one more might take too long.
+                        # Waiting for another peer might take too long.
                         return False
         return False
 
@@ -291,27 +298,28 @@
         )
 
     def _is_good(self, changes: peers.Changes) -> bool:
-        """Tell whether a peer's word spares this host its own reading.
+        """Return whether the changes of a peer replace an own reading.
 
-        What has been passed on more often is older by a round each time; it
-        is good enough only for a host that the source turns away.
+        Each relay adds up to one polling period to the age. Data that was
+        relayed several times is therefore enough only where `_accepts_relayed`
+        allows it.
         """
         if not changes.is_fresh:
             return False
         if changes.era < self._listing.position.era:
-            # It is passed over here, so nothing would be learnt from it. A
-            # host of the version before names no era at all.
+            # Readings from an earlier era are ignored here, so the changes
+            # would add nothing. A peer of the previous version sends no era.
             return False
         if self._accepts_relayed():
             return True
         return changes.is_near and changes.origin != self._changes.process
 
     def _accepts_relayed(self) -> bool:
-        """Tell whether what has been passed on often is good enough.
+        """Return whether data that was relayed several times is enough.
 
-        It is while the source turns this host away, and at its start: hosts
-        that start together find their order only then, and each would read
-        the source instead.
+        It is while the source does not answer this host, and during startup:
+        hosts that start together determine their order only then, and
+        otherwise each would read the source.
         """
         return self.lost_at is not None or self._is_settling()
 
@@ -319,9 +327,10 @@
         return self._clock.now() - self._started_at < SETTLING_PERIOD_S
 
     def _is_outdated_host_list(self, found: list[fleet.HostEntry]) -> bool:
-        """Tell whether a peer that has just started knows fewer hosts.
+        """Return whether to ignore the host list of a peer that just started.
 
-        With its list this host would know nobody to ask but the source.
+        Such a list may lack this host and others. With it, this host would
+        have no peer to ask and would read the source.
         """
         named = any(each.host == self._hosts.own.host for each in found)
         return self._is_settling() and self._hosts.is_listed and not named
@@ -398,15 +407,16 @@
             )
         self._log_change(change, origin)
         if self._listing.differs_from_reading or is_older:
-            # Only a whole listing tells when these are to be dropped, and
-            # what the peer knew where it was passed over: it may know more of
-            # an upstream than the source that has come back from a copy.
+            # Request a full listing next time. Only a full listing shows when
+            # to drop these upstreams, and what the peer knew when its data was
+            # ignored: it may have a newer entry for an upstream than the
+            # restored source.
             client.note_applied(None)
         else:
             client.note_applied(changes)
 
     async def _read_source(self) -> bool:
-        """Read what is due from the source; tell whether it answered."""
+        """Read what is due from the source; return whether it answered."""
         self._last_try_at = self._clock.now()
         self._retry_factor = self._random.uniform(0.5, 1.5)
         match await self._source.list_upstreams():
@@ -450,7 +460,7 @@
     def _apply_upstreams(self, reading: sources.UpstreamReading) -> None:
         self._log_new_problems(reading.problems)
         if self._era.note(reading.position, self._listing.position, 'source'):
-            # A watch may go on from a revision that has been given out again.
+            # The watch may continue from a revision that was assigned again.
             self._operators.stop()
             self._hosts_read_at = -HOSTS_INTERVAL_S
         self._reading_count += 1
@@ -463,7 +473,7 @@
         self._log_change(change, 'source')
 
     def _log_new_problems(self, problems: Iterable[str]) -> None:
-        """Log each entry that can't be used, once while it lasts."""
+        """Log each unusable entry once for as long as it stays unusable."""
         found = frozenset(problems)
         for problem in sorted(found - self._problems):
             self._events.record(events.LogKind.ENTRY_REJECTED, problem=problem)
@@ -503,7 +513,7 @@
         self.lost_at = None
         if self._listing.age_s > directory.MAX_HARMLESS_OUTAGE_S:
             self._listing.hold_for(directory.REREGISTRATION_GRACE_S)
-        # The watch may have been cut without a sign.
+        # The watch may have been disconnected without an error.
         self._operators.stop()
         self._events.record(
             events.LogKind.DEPENDENCY_BACK,
--- a/rudderrock/gateway/knowledge/_operators.py
+++ b/rudderrock/gateway/knowledge/_operators.py
@@ -1,4 +1,4 @@
-"""Reading and watching what operators write: the table and evacuations."""
+"""Reads and watches the data that operators write: table, evacuations."""
 
 import asyncio
 
@@ -10,15 +10,16 @@
 from rudderrock.gateway.knowledge import _position as position
 from rudderrock.gateway.knowledge import _sources as sources
 
-# How long one watch waits at the source, in seconds. A watch that a cut has
-# silenced is thus noticed before a table has to be in force everywhere.
+# How long one watch request waits at the source, in seconds. It bounds how
+# long a watch on a silently broken connection goes unnoticed, so that the loss
+# is found before a new table must be in force on all hosts.
 WATCH_S = 2.0
 
 
 class OperatorWatch:
-    """Keeps the table and the evacuations in step with the source.
+    """Keeps the table and the evacuations up to date with the source.
 
-    One watch runs at a time, as a task of its own.
+    One watch runs at a time, in its own task.
     """
 
     def __init__(
@@ -35,12 +36,12 @@
         self._task: asyncio.Task | None = None
 
     async def ensure_running(self) -> result.Result[None, sources.Unavailable]:
-        """See that a watch is under way, after a reading if there was none."""
+        """Start a watch unless one runs, after a full read if needed."""
         read = None
         if self._task is not None:
             if not self._task.done():
                 return result.Ok(None)
-            # A watch that has ended has read what it may have missed.
+            # A watch that has ended has already read what it may have missed.
             read = self._task.result()
         if read is None:
             match await self._read():
@@ -52,7 +53,7 @@
         return result.Ok(None)
 
     def stop(self) -> None:
-        """End the watch; what is known stays."""
+        """Stop the watch; the data already applied stays in force."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
@@ -60,7 +61,7 @@
     async def _read(
         self,
     ) -> result.Result[position.Position, sources.Unavailable]:
-        """Read all; return where the source was."""
+        """Read the table and the evacuations; return the position."""
         answer = await self._source.read_table()
         if answer.is_err():
             return answer
@@ -69,7 +70,7 @@
         return result.Ok(reading.position)
 
     def _apply(self, reading: sources.TableReading, origin: str) -> None:
-        """Put in force what operators have written."""
+        """Put a reading in force."""
         self._tables.apply_reading(reading, origin)
         self._tables.confirm()
         if reading.evacuated is not None:
@@ -81,15 +82,15 @@
     async def _watch(
         self, read: position.Position
     ) -> position.Position | None:
-        """Watch until all has to be read anew, and read it.
+        """Watch until a full read is needed, and do that read.
 
-        Returns where to watch from, None if it could not be read.
+        Return the position to watch from, or None if the read failed.
         """
         while True:
             match await self._source.watch_table(read, WATCH_S):
                 case result.Ok(None):
-                    # The next watch begins at the same place, so what
-                    # this one may have missed comes then.
+                    # The next watch starts from the same position and so
+                    # returns any change that this one missed.
                     self._tables.confirm()
                 case result.Ok(reading):
                     self._apply(reading, 'watch')
--- a/rudderrock/gateway/knowledge/_position.py
+++ b/rudderrock/gateway/knowledge/_position.py
@@ -1,16 +1,16 @@
-"""Where in the history of the source something was read."""
+"""Positions in the change history of the source."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Position:
-    """A place in the history of the source; of two, the greater is later.
+    """A position in the change history of the source; later is greater.
 
-    The source counts its changes by `revision`. It may come back from a copy
-    that is some seconds old: what it wrote since is lost, and revisions go
-    back and are given out again. `era` counts these returns, so a revision
-    tells what is later within one era only.
+    The source numbers its changes by `revision`. When it is restored from a
+    backup that is some seconds old, the changes made since the backup are lost
+    and their revisions are assigned again. `era` counts these restores, so
+    revisions can be compared only within one era.
 
     >>> Position(era=1, revision=372) > Position(era=0, revision=374)
     True
@@ -20,5 +20,5 @@
     revision: int
 
 
-# Before anything has been read.
+# The position before the first reading.
 NOWHERE = Position(-1, -1)
--- a/rudderrock/gateway/knowledge/_registration.py
+++ b/rudderrock/gateway/knowledge/_registration.py
@@ -1,4 +1,4 @@
-"""Keeping this host in the registry of hosts."""
+"""Registration of this host in the registry of hosts."""
 
 import asyncio
 import contextlib
@@ -12,19 +12,17 @@
 from rudderrock.gateway.knowledge import _fleet as fleet
 from rudderrock.gateway.knowledge import _sources as sources
 
-# A registration lasts this long without renewal, and is renewed this
-# often, in seconds.
 LEASE_TTL_S = 12.0
 RENEW_INTERVAL_S = 4.0
 
 
 class Registration:
-    """Keeps this host in the registry while it runs.
+    """Keeps this host registered while it runs.
 
-    A source that has come back from a copy may have lost the lease and have
-    given its number to another. So a lease of an era before is renewed only
-    once the registry has named it for this host, and no lease is ended
-    without asking.
+    A source that was restored from a backup may have lost the lease and
+    assigned its number to another owner. A lease from an earlier era is
+    therefore renewed only after the registry has named it as the lease of this
+    host, and no lease is revoked without that check.
     """
 
     def __init__(
@@ -44,7 +42,7 @@
         self._missing_count = 0
 
     async def run(self) -> None:
-        """Register, and renew until cancelled."""
+        """Register and renew until cancelled."""
         while True:
             if self._lease is None:
                 await self._register()
@@ -53,12 +51,12 @@
             await asyncio.sleep(RENEW_INTERVAL_S)
 
     async def withdraw(self) -> None:
-        """Leave the registry, so that nobody asks this host any more."""
+        """Remove the registration so that peers stop calling this host."""
         if self._lease is None:
             return
         found = (await self._find_own_lease()).ok()
         if found is None:
-            # The registration lapses by itself.
+            # The registration expires with its lease.
             return
         answer = await self._source.withdraw(found)
         if answer.is_err():
@@ -75,7 +73,7 @@
                 self._log_failure('register', problem.detail)
 
     async def _renew_or_register(self) -> None:
-        """Renew; register again where the registry has lost the entry."""
+        """Renew, or register again if the registry lost the entry."""
         self._missing_count = (
             0 if self._hosts.has_own() else self._missing_count + 1
         )
@@ -96,7 +94,7 @@
                 self._log_failure('renew', problem.detail)
 
     async def _renew_in_new_era(self) -> None:
-        """Go on with the lease if it is this host's still."""
+        """Renew the lease if it still belongs to this host."""
         match await self._find_own_lease():
             case result.Ok(None):
                 await self._register()
@@ -125,7 +123,7 @@
 
 @contextlib.asynccontextmanager
 async def keep_registered(registration: Registration):
-    """Hold a registration while the context lasts, then leave."""
+    """Keep the host registered within the context, then withdraw it."""
     task = asyncio.create_task(registration.run())
     try:
         yield
--- a/rudderrock/gateway/knowledge/_restore.py
+++ b/rudderrock/gateway/knowledge/_restore.py
@@ -1,4 +1,4 @@
-"""Telling what came back with a copy of the source from what is new in it."""
+"""Tells entries restored from a backup from new registrations."""
 
 import collections
 from collections.abc import Iterable
@@ -8,12 +8,13 @@
 
 
 class RestoreTracker:
-    """Which upstreams that had left a copy may have brought back.
+    """Tracks which departed upstreams a restored backup may list again.
 
-    A copy says again what an upstream said last, and so does one that lives
-    and registers anew. The one was named from the first reading of the era
-    on, the other was missing before; readings are told apart by their origin,
-    since hosts differ in what they doubt.
+    A restored entry equals the last entry of its upstream, and so does the
+    entry of a live upstream that registers again. A restored entry is present
+    from the first reading of the era on, whereas a new registration is missing
+    from an earlier reading. Readings are tracked per origin because hosts
+    differ in which entries they leave out as unconfirmed.
     """
 
     def __init__(self, clock: core.Clock):
@@ -25,20 +26,20 @@
 
     @property
     def is_settling(self) -> bool:
-        """Tell whether a copy may still show."""
+        """Return whether entries from the backup may still be listed."""
         return self._clock.now() < self._until
 
     def begin(self) -> None:
-        """Doubt from now on what the source names again."""
+        """Start the settling period that follows a restore."""
         self._until = self._clock.now() + era.RESTORE_SETTLING_S
         self._missing.clear()
 
     def record_missing(
         self, origin: str, upstreams: Iterable[core.UpstreamId]
     ) -> None:
-        """Take note of what a reading of some origin did not name."""
+        """Record the upstreams that a reading from an origin lacked."""
         self._missing[origin].update(upstreams)
 
     def was_missing(self, origin: str, upstream: core.UpstreamId) -> bool:
-        """Tell whether an earlier reading of this era did not name it."""
+        """Return whether a reading of this era lacked the upstream."""
         return upstream in self._missing[origin]
--- a/rudderrock/gateway/knowledge/_sources.py
+++ b/rudderrock/gateway/knowledge/_sources.py
@@ -1,4 +1,4 @@
-"""Where a gateway learns its routes, upstreams and hosts: a port."""
+"""The port through which a gateway reads routes, upstreams and hosts."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -25,24 +25,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HistoryGone:
-    """The source can't tell what has changed; the whole must be read."""
+    """The source no longer has the changes; a full read is needed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseEnded:
-    """The lease that a registration hangs on has ended."""
+    """The lease of a registration has expired or was revoked."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SourceReturned:
-    """The source has come back from a copy since a lease was granted."""
+    """The source was restored from a backup after it granted the lease."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lease:
-    """What a registration hangs on.
+    """The lease of a registration, which expires unless it is renewed.
 
-    The source may give its number to another in a later `era`.
+    The source may assign the same number to another owner in a later `era`.
     """
 
     era: int
@@ -51,12 +51,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TableReading:
-    """What operators have written, at a position of the source.
+    """The data that operators have written, at a position of the source.
 
-    `table` is None if there is none, and `problem` says why one that is
-    there can't be used. `raw` is the table as the source has it.
-    `evacuated` are the zones that are evacuated, and the revision at which
-    each of them was; None if the reading does not tell.
+    `table` is None if there is no usable table; `problem` gives the reason if
+    a table exists but cannot be used. `raw` is the table as the source stores
+    it. `evacuated` maps each evacuated zone to the revision at which it was
+    evacuated; it is None if the reading does not include the evacuations.
     """
 
     table: routing.RoutingTable | None
@@ -68,7 +68,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamReading:
-    """All registered upstreams at a position of the source."""
+    """All registered upstreams at a position of the source.
+
+    `problems` describes the entries that cannot be used.
+    """
 
     endpoints: tuple[directory.Endpoint, ...]
     position: position.Position
@@ -76,7 +79,7 @@
 
 
 class SourcePort(Protocol):
-    """What a gateway asks of the service that keeps its configuration."""
+    """The service that stores the configuration and the registrations."""
 
     async def read_table(self) -> result.Result[TableReading, Unavailable]:
         """Return the newest table and the evacuated zones."""
@@ -84,16 +87,16 @@
     async def watch_table(
         self, after: position.Position, wait_s: float
     ) -> result.Result[TableReading | None, Unavailable | HistoryGone]:
-        """Wait for what operators write after a position.
+        """Wait for operators to write something after a position.
 
-        None if nothing came. The reading tells of the table, of the
-        evacuated zones or of both.
+        Return None if nothing was written within `wait_s` seconds. The reading
+        holds the table, the evacuated zones or both.
         """
 
     def decode_table(
         self, raw: bytes, read: position.Position
     ) -> TableReading:
-        """Return a table that another host has read."""
+        """Return the reading for a raw table that a peer has sent."""
 
     async def list_upstreams(
         self,
@@ -113,19 +116,19 @@
     async def find_lease(
         self, host: core.HostId
     ) -> result.Result[Lease | None, Unavailable]:
-        """Return the lease under which a host is registered, if it is."""
+        """Return the lease of a host, or None if it is not registered."""
 
     async def renew(
         self, lease: Lease
     ) -> result.Result[None, Unavailable | LeaseEnded | SourceReturned]:
-        """Prolong a lease by its time to live."""
+        """Extend a lease by its time to live."""
 
     async def withdraw(self, lease: Lease) -> result.Result[None, Unavailable]:
-        """End a lease, and the registration with it."""
+        """Revoke a lease, which removes its registration."""
 
 
 class TableHolder:
-    """The table in force, which never goes back to an older version."""
+    """The table in force, which is never replaced by an older version."""
 
     def __init__(self, clock: core.Clock, events: log.EventLog):
         self.current: routing.RoutingTable | None = None
@@ -139,38 +142,38 @@
 
     @property
     def version(self) -> routing.TableVersion:
-        """Return the version in force."""
+        """Return the version of the table in force."""
         if self.current is None:
             return routing.NO_VERSION
         return self.current.version
 
     @property
     def age_s(self) -> float:
-        """Return for how long the table has been in force, or -1."""
+        """Return the seconds since the table came into force, or -1."""
         if self._applied_at is None:
             return -1.0
         return self._clock.now() - self._applied_at
 
     @property
     def confirmed_s(self) -> float:
-        """Return the time since the source confirmed the table, or -1."""
+        """Return the seconds since the source confirmed the table, or -1."""
         if self._confirmed_at is None:
             return -1.0
         return self._clock.now() - self._confirmed_at
 
     def confirm(self, age_s: float = 0.0) -> None:
-        """Take note that the table was the newest so long ago."""
+        """Record that the table was the newest one `age_s` seconds ago."""
         at = self._clock.now() - age_s
         self._confirmed_at = max(at, self._confirmed_at or at)
 
     def add_listener(
         self, call: Callable[[routing.RoutingTable], None]
     ) -> None:
-        """Have `call` called with each table that comes into force."""
+        """Register a callback for each table that comes into force."""
         self._listeners.append(call)
 
     def apply_reading(self, reading: TableReading, origin: str) -> None:
-        """Put a table in force if it is newer than the present one."""
+        """Put a table in force if it is newer than the current one."""
         if reading.problem:
             self._events.record(
                 events.LogKind.TABLE_REJECTED,
