--- a/rudderrock/gateway/knowledge/_directory.py
+++ b/rudderrock/gateway/knowledge/_directory.py
@@ -7,17 +7,16 @@
 
 from rudderrock import core
 from rudderrock.gateway.knowledge import _position as position
-from rudderrock.gateway.knowledge import _restore as revived
+from rudderrock.gateway.knowledge import _restore as restore
 from rudderrock.gateway.knowledge import _routing as routing
 
 # After an outage of the registry, upstreams whose registration lapsed register
-# again within about two seconds, by the registry's contract. The rest allows
-# for reading it.
+# again within about two seconds, as the contract of the registry states. The
+# rest is the time to read their entries.
 REREGISTRATION_GRACE_S = 2.3
 # A registration lapses after three missed heartbeats of about 1.2 s each. If
-# this host or a peer made a reading within this time before the registry
-# answered again, the outage was too short for a live upstream to lose its
-# registration.
+# this host or a peer has read the registry within this time before it answers
+# again, the outage was too short for a live upstream to lose its registration.
 MAX_HARMLESS_OUTAGE_S = 2.2
 # Number of departed ids whose last entry is remembered, more than enough for
 # 2,400 upstreams that are all replaced once.
@@ -123,7 +122,7 @@
         # The newest order seen for each id, including departed ones, so that
         # an older entry is not taken for a new one.
         self._last_order: dict[core.UpstreamId, tuple[int, int]] = {}
-        self._restore = revived.RestoreTracker(clock)
+        self._restore = restore.RestoreTracker(clock)
         self._cold_until: dict[core.UpstreamId, float] = {}
         self._ready: dict[routing.ServiceName, tuple[Endpoint, ...]] = {}
         self._hold_until = 0.0
--- a/rudderrock/gateway/knowledge/_follow.py
+++ b/rudderrock/gateway/knowledge/_follow.py
@@ -30,8 +30,8 @@
 from rudderrock.gateway.knowledge import _sources as sources
 
 # Interval between readings of the upstreams, in seconds. A draining upstream
-# must get no new work a few seconds after it announced that, and each reading
-# has a cost.
+# must stop getting new work within a few seconds of announcing the drain, but
+# each reading has a cost.
 READ_INTERVAL_S = 1.0
 # Interval between readings of the hosts, in seconds; little depends on them.
 HOSTS_INTERVAL_S = 4.0
@@ -45,7 +45,7 @@
 # random by the fraction `_JITTER`, so that hosts do not ask simultaneously.
 RETRY_INTERVAL_S = 0.5
 FALLBACK_RETRY_INTERVAL_S = 2.0
-# Limit on the attempts per second of all hosts together that ask peers first:
+# Combined limit on the attempts per second of all hosts that ask peers first:
 # the first one that reaches the source passes its data on. With one attempt
 # every 2 s, 195 hosts would make 98 per second while the source recovers.
 MAX_FALLBACK_TRIES_PER_S = 5.0
@@ -55,8 +55,8 @@
 FAILED_PEER_SKIP_S = 4.0
 STALE_PEER_SKIP_S = 1.2
 # For this long after its start, in seconds, a host accepts data that was
-# relayed several times. Hosts that start together skip each peer that was not
-# up yet for `FAILED_PEER_SKIP_S`.
+# relayed several times. When hosts start together, each skips the peers that
+# were not up yet for `FAILED_PEER_SKIP_S`, so the data takes more hops.
 SETTLING_PERIOD_S = FAILED_PEER_SKIP_S + 2.0
 # Peers asked in turn before the source is tried.
 MAX_PEERS_ASKED = 3
@@ -142,12 +142,12 @@
         if self._is_seed or not self._seeds:
             return False
         asking = asyncio.create_task(self._ask_seeds())
-        wanted = asyncio.create_task(self._first.wait_for_waiter())
+        waiter = asyncio.create_task(self._first.wait_for_waiter())
         async with contextlib.AsyncExitStack() as stack:
             stack.push_async_callback(core.end_task, asking)
-            stack.push_async_callback(core.end_task, wanted)
+            stack.push_async_callback(core.end_task, waiter)
             await asyncio.wait(
-                {asking, wanted},
+                {asking, waiter},
                 timeout=SEED_SYNC_TIMEOUT_S,
                 return_when=asyncio.FIRST_COMPLETED,
             )
@@ -231,29 +231,29 @@
         ranked = self._hosts.rank_readers()
         own = self._hosts.own.host
         rank = [each.host for each in ranked].index(own)
-        wanted = ranked[:rank]
+        candidates = ranked[:rank]
         if self._seed_peer is not None:
-            # Until the registry lists this host, its list lacks other hosts
-            # that started at the same time, so their order of hosts differs
-            # from its own.
-            wanted = [self._seed_peer, *wanted]
-        if not (wanted or self._listing.differs_from_reading):
+            # Until the registry lists this host, its list of hosts is
+            # incomplete, because others have started at the same time; their
+            # order of hosts differs.
+            candidates = [self._seed_peer, *candidates]
+        if not (candidates or self._listing.differs_from_reading):
             # While upstreams are kept, only full listings show when to drop
             # them, and those are too large to send between zones.
-            wanted = self._hosts.list_earlier_readers()
+            candidates = self._hosts.list_earlier_readers()
         if self.lost_at is not None:
-            wanted = ranked[:rank] + ranked[rank + 1 :]
-            wanted += self._hosts.list_others()
-            wanted = wanted or self._seeds
+            candidates = ranked[:rank] + ranked[rank + 1 :]
+            candidates += self._hosts.list_others()
+            candidates = candidates or self._seeds
             if self.peer is not None:
                 # Keep asking the peer that had fresh data for as long as it
                 # has. A peer that precedes it may have its data from this very
                 # host, and two hosts that ask each other learn nothing new
                 # until their readings are too old.
-                wanted = [self.peer.entry, *wanted]
+                candidates = [self.peer.entry, *candidates]
         return [
             each
-            for each in dict.fromkeys(wanted)
+            for each in dict.fromkeys(candidates)
             if self._skip_until.get(each.host, now) <= now
         ][:MAX_PEERS_ASKED]
 
