--- a/rudderrock/gateway/knowledge/_directory.py
+++ b/rudderrock/gateway/knowledge/_directory.py
@@ -34,13 +34,14 @@
 class Endpoint:
     """One registered upstream.
 
-    `address` is an IP address and a port. `born` is the start of the
-    upstream's process as a Unix time in milliseconds, or 0 if unknown: an
-    upstream may restart under its id and then has no state from before.
-    `sequence` counts the entries written since that start, so of two entries
-    the one with the greater `life_order` was written later, whatever the order
-    in which they arrive. A different `sequence` alone is not a change. The
-    upstream is cold for `warmup_left_s` seconds from the reading on.
+    `address` is an IP address and a port. `born` identifies the incarnation of
+    the upstream by its start as a Unix time in milliseconds, or is 0 if
+    unknown: an upstream may restart under its id and then has no state from
+    before. `sequence` counts the entries that an incarnation has written, so
+    of two entries the one with the greater `life_order` was written later,
+    whatever the order in which they arrive. A different `sequence` alone is
+    not a change. The upstream is cold for `warmup_left_s` seconds from the
+    reading on.
     """
 
     upstream: core.UpstreamId
@@ -55,12 +56,12 @@
 
     @property
     def life_order(self) -> tuple[int, int]:
-        """Return the sort key that orders the entries of one id by age."""
+        """Return the key that sorts entries of one id by time of writing."""
         return self.born, self.sequence
 
     @property
     def life(self) -> core.UpstreamLife:
-        """Return an id that is unique to this process of the upstream."""
+        """Return an id that is unique to this incarnation."""
         return core.UpstreamLife(f'{self.upstream}/{self.born}')
 
     def is_same_life(self, other: 'Endpoint') -> bool:
@@ -79,7 +80,7 @@
     `added` take new work from now on, `left` no longer do, `held` are missing
     from the reading but kept, and `touched` are all whose entries differ. An
     upstream that has restarted under its id is in `left` for its former
-    process and in `added` for the new one.
+    incarnation and in `added` for the new one.
     """
 
     added: tuple[core.UpstreamId, ...]
@@ -303,7 +304,7 @@
     def _drop_outdated(
         self, found: dict[core.UpstreamId, Endpoint]
     ) -> dict[core.UpstreamId, Endpoint]:
-        """Return the entries, without those older than one already seen.
+        """Return the entries with outdated ones replaced or removed.
 
         A delayed write may put an old entry into the registry after a newer
         one. It would make a draining upstream take new work again.
