--- a/rudderrock/gateway/knowledge/_follow.py
+++ b/rudderrock/gateway/knowledge/_follow.py
@@ -50,14 +50,15 @@
 # every 2 s, 195 hosts would make 98 per second while the source recovers.
 MAX_FALLBACK_TRIES_PER_S = 5.0
 _JITTER = 0.15
-# How long a peer is skipped after it failed, in seconds. One that had no fresh
-# data is skipped for a shorter time, since it is looking for a source too.
-FAILED_PEER_SKIP_S = 4.0
+# How long a peer is skipped, in seconds, after it failed or sent fresh data
+# that was relayed too often. One that had no fresh data is skipped for a
+# shorter time, since it is looking for a source too.
+PEER_SKIP_S = 4.0
 STALE_PEER_SKIP_S = 1.2
 # For this long after its start, in seconds, a host accepts data that was
 # relayed several times. When hosts start together, each skips the peers that
-# were not up yet for `FAILED_PEER_SKIP_S`, so the data takes more hops.
-SETTLING_PERIOD_S = FAILED_PEER_SKIP_S + 2.0
+# were not up yet for `PEER_SKIP_S`, so the data takes more hops.
+SETTLING_PERIOD_S = PEER_SKIP_S + 2.0
 # Peers asked in turn before the source is tried.
 MAX_PEERS_ASKED = 3
 # How long a starting host asks its seeds while no caller waits, the time-out
@@ -277,13 +278,11 @@
                         return True
                     ages = f'{changes.age_ms}, {changes.table_age_ms} ms'
                     skip_s = (
-                        FAILED_PEER_SKIP_S
-                        if changes.is_fresh
-                        else STALE_PEER_SKIP_S
+                        PEER_SKIP_S if changes.is_fresh else STALE_PEER_SKIP_S
                     )
                     self._skip_peer(entry, f'ages {ages}', skip_s)
                 case result.Err(problem):
-                    self._skip_peer(entry, problem.detail, FAILED_PEER_SKIP_S)
+                    self._skip_peer(entry, problem.detail, PEER_SKIP_S)
                     if self.lost_at is None:
                         # Waiting for another peer might take too long.
                         return False
