--- a/rudderrock/gateway/knowledge/_announcer.py
+++ b/rudderrock/gateway/knowledge/_announcer.py
@@ -1,11 +1,11 @@
-"""Telling all other hosts of requests that upstreams have ended under.
-
-The hosts' questions carry knowledge from those that read the source to the
-others. Which requests end upstreams is learnt by any host, and is needed at
-all of them before the next copy comes, so the host that has learnt it tells
-each of the others itself. What this misses travels with the questions, and a
-host that asks no other ones, since it reads the source for them, asks one for
-just this.
+"""Replication of quarantine records to all other hosts.
+
+Other shared state spreads from the hosts that read the source to their peers,
+which poll for changes. Quarantine records can originate at any host, and every
+host needs them before the next copy of a lethal request arrives. The host that
+creates a record therefore sends it to all others directly. Records that are
+lost on the way are delivered with the replies to polls. A host that reads the
+source polls no peer, so it pulls quarantine records from other hosts instead.
 """
 
 import asyncio
@@ -24,99 +24,106 @@
 from rudderrock.gateway.knowledge import _quarantine as quarantine
 
 PATH = b'/v1/quarantine'
-# How long a host may take to be told, in seconds: a new connection to another
-# region and a busy core.
-TELL_TIMEOUT_S = 1.0
-# A host that could not be told is told again after so long, and so often:
-# longer than hosts are frozen or cut off mostly; seconds.
-AGAIN_S = 0.5
-MOST_TIMES = 20
-# Hosts that are told at the same time. With 580 hosts, a way there and back of
-# 20 ms and a new connection each, all are told in some 0.7 s (by sums).
-MOST_AT_ONCE = 32
-# How often a host that reads the source asks another one what it has missed,
-# in seconds: it may just have started, or been frozen or cut off for longer
-# than it is told again. One may know as little, such as the other hosts of a
-# zone that has lost power, so each time it is another one. In its first two
-# seconds a host asks more often, since it knows nothing yet.
-ASK_EVERY_S = 2.0
-ASK_SOON_S = 0.2
-_SOON_TURNS = 10
+# Timeout of one call, in seconds. Allows for a new connection to another
+# region and a busy core at the receiver.
+CALL_TIMEOUT_S = 1.0
+# Delay between attempts, in seconds, and their number. Together they cover
+# most periods in which a host is frozen or cut off.
+RETRY_DELAY_S = 0.5
+MAX_ATTEMPTS = 20
+# Maximum number of concurrent calls. With 580 hosts, a round trip of 20 ms and
+# a new connection for each, sending to all hosts takes a calculated 0.7 s.
+MAX_CONCURRENT_CALLS = 32
+# Interval, in seconds, at which a host that reads the source pulls missed
+# records from another host. It may have just started, or been frozen or cut
+# off until the sender stopped retrying. Each pull goes to a different host,
+# since one host may lack the records too, for example in a zone that has lost
+# power. A new process has no records and pulls more often for two seconds.
+PULL_INTERVAL_S = 2.0
+STARTUP_PULL_INTERVAL_S = 0.2
+_STARTUP_PULLS = 10
 _DECODER = msgspec.json.Decoder(quarantine.Record)
 
 
 class Announcer:
-    """Tells hosts what this one has learnt, and takes what they tell.
+    """Exchanges quarantine records with the other hosts.
 
-    Parameters: `asks_nobody` tells whether this host has no peer whose
-    answers would bring it.
+    Parameters: `has_no_peer` returns whether this host polls no peer, so that
+    it has to pull quarantine records separately.
     """
 
     def __init__(
         self,
-        known: quarantine.Quarantine,
+        known_quarantine: quarantine.Quarantine,
         hosts: fleet.Fleet,
-        asks_nobody: Callable[[], bool],
+        has_no_peer: Callable[[], bool],
     ):
-        self._known = known
+        self._quarantine = known_quarantine
         self._hosts = hosts
-        self._asks_nobody = asks_nobody
-        self._told = 0
-        self._news = asyncio.Event()
-        self._places = asyncio.Semaphore(MOST_AT_ONCE)
-        known.add_own_listener(self._news.set)
+        self._has_no_peer = has_no_peer
+        self._sent_generation = 0
+        self._has_unsent = asyncio.Event()
+        self._call_slots = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
+        known_quarantine.add_local_listener(self._has_unsent.set)
 
     async def run(self) -> None:
-        """Tell what is new, until cancelled."""
+        """Send new records to all hosts until cancelled."""
         while True:
-            await self._news.wait()
-            self._news.clear()
-            await self._tell_all()
+            await self._has_unsent.wait()
+            self._has_unsent.clear()
+            await self._send_to_all()
 
     async def ask(self) -> None:
-        """Ask one host after another what it knows, until cancelled."""
-        for turn in itertools.count():
-            is_young = turn < _SOON_TURNS
-            await asyncio.sleep(ASK_SOON_S if is_young else ASK_EVERY_S)
-            if not self._asks_nobody():
+        """Pull records from one host after another until cancelled.
+
+        Does nothing while this host polls a peer.
+        """
+        for pull in itertools.count():
+            is_starting = pull < _STARTUP_PULLS
+            await asyncio.sleep(
+                STARTUP_PULL_INTERVAL_S if is_starting else PULL_INTERVAL_S
+            )
+            if not self._has_no_peer():
                 continue
             others = self._rank_others()
             if others:
-                await self._ask_one(others[turn % len(others)].address)
+                await self._pull_from(others[pull % len(others)].address)
 
     def _rank_others(self) -> list[fleet.HostEntry]:
-        """Return the other hosts in an order of this host's own."""
+        """Return the other hosts in an order specific to this host."""
         own = self._hosts.own.host
         return sorted(
             self._list_others(),
             key=lambda each: fleet.rank_pair(own, each.host),
         )
 
-    async def _ask_one(self, address: str) -> None:
+    async def _pull_from(self, address: str) -> None:
         match await self._call(address, b'GET', b''):
             case result.Ok(reply) if reply.status == 200:
-                self._take_over(reply.body, address)
+                self._merge_reply(reply.body, address)
 
-    def _take_over(self, body: bytes, origin: str) -> None:
+    def _merge_reply(self, body: bytes, origin: str) -> None:
         try:
-            self._known.merge(read_records(body), origin)
+            self._quarantine.merge(read_records(body), origin)
         except msgspec.DecodeError as error:
-            logging.warning('%s sends what can not be read: %s', origin, error)
-
-    async def _tell_all(self) -> None:
-        """Tell all hosts, those again that did not answer."""
-        body = self._render_news()
-        waiting = self._list_addresses()
-        for _ in range(MOST_TIMES):
-            waiting = await self._tell(waiting, body)
-            if not waiting:
+            logging.warning(
+                'Invalid quarantine records from %s: %s', origin, error
+            )
+
+    async def _send_to_all(self) -> None:
+        """Send new records to all hosts and retry those that don't answer."""
+        body = self._render_unsent()
+        pending = self._list_addresses()
+        for _ in range(MAX_ATTEMPTS):
+            pending = await self._send(pending, body)
+            if not pending:
                 return
-            await core.wait_for_event(self._news, AGAIN_S)
-            if self._news.is_set():
-                self._news.clear()
-                body += self._render_news()
-                waiting = self._list_addresses()
-            waiting &= self._list_addresses()
+            await core.wait_for_event(self._has_unsent, RETRY_DELAY_S)
+            if self._has_unsent.is_set():
+                self._has_unsent.clear()
+                body += self._render_unsent()
+                pending = self._list_addresses()
+            pending &= self._list_addresses()
 
     def _list_others(self) -> list[fleet.HostEntry]:
         own = self._hosts.own.host
@@ -125,67 +132,70 @@
     def _list_addresses(self) -> set[str]:
         return {each.address for each in self._list_others()}
 
-    def _render_news(self) -> bytes:
-        records = self._known.list_since(self._told)
-        self._told = self._known.generation
+    def _render_unsent(self) -> bytes:
+        records = self._quarantine.list_since(self._sent_generation)
+        self._sent_generation = self._quarantine.generation
         return render_records(records)
 
-    async def _tell(self, addresses: Iterable[str], body: bytes) -> set[str]:
-        """Tell hosts at once; return those that did not answer."""
+    async def _send(self, addresses: Iterable[str], body: bytes) -> set[str]:
+        """Send `body` to hosts concurrently; return those without a reply."""
         addresses = list(addresses)
-        done = await asyncio.gather(
-            *(self._tell_one(each, body) for each in addresses)
+        results = await asyncio.gather(
+            *(self._send_to_one(each, body) for each in addresses)
         )
         return {
             each
-            for each, was_told in zip(addresses, done, strict=True)
-            if not was_told
+            for each, was_received in zip(addresses, results, strict=True)
+            if not was_received
         }
 
-    async def _tell_one(self, address: str, body: bytes) -> bool:
+    async def _send_to_one(self, address: str, body: bytes) -> bool:
         match await self._call(address, b'POST', body):
             case result.Ok(reply) if reply.status == 200:
-                self._take_over(reply.body, address)
+                self._merge_reply(reply.body, address)
                 return True
         return False
 
     async def _call(
         self, address: str, method: bytes, body: bytes
     ) -> result.Result[messages.Reply, caller.NoReply]:
-        async with self._places:
+        async with self._call_slots:
             client = caller.HttpCaller(core.split_address(address), 1)
             try:
-                return await client.call(method, PATH, body, TELL_TIMEOUT_S)
+                return await client.call(method, PATH, body, CALL_TIMEOUT_S)
             finally:
                 client.close()
 
     def take(self, request: messages.Request) -> messages.Reply:
-        """Take what another host tells, and answer what is known of that.
+        """Handle a request of another host.
 
-        One that asks gets all. Answers 400 to what can't be read.
+        GET returns all records. POST merges the records that are sent and
+        returns this host's records of the same requests, or status 400 if the
+        body can't be decoded.
         """
-        records = self._known.list_since(0)
+        records = self._quarantine.list_since(0)
         if request.method == b'GET':
             return messages.Reply(200, [], render_records(records))
         try:
-            found = read_records(request.body)
+            received = read_records(request.body)
         except msgspec.DecodeError as error:
             return messages.Reply(400, [], str(error).encode())
-        # A host that has just started may tell as news what is none here.
-        told = {each.digest for each in found}
-        mine = [each for each in records if each.digest in told]
-        self._known.merge(found, 'told by a host')
-        return messages.Reply(200, [], render_records(mine))
+        # A new process may send records that are already known here, so the
+        # reply contains what this host knows of the same requests.
+        digests = {each.digest for each in received}
+        matching = [each for each in records if each.digest in digests]
+        self._quarantine.merge(received, 'told by a host')
+        return messages.Reply(200, [], render_records(matching))
 
 
 def render_records(records: Iterable[quarantine.Record]) -> bytes:
-    """Write records as lines of JSON."""
+    """Return records encoded as lines of JSON."""
     return b''.join(msgspec.json.encode(each) + b'\n' for each in records)
 
 
 def read_records(lines: bytes) -> list[quarantine.Record]:
-    """Return what `render_records` has written.
+    """Return the records that `render_records` has encoded.
 
-    Raises `msgspec.DecodeError` if that can't be read.
+    Raises `msgspec.DecodeError` if `lines` can't be decoded.
     """
     return _DECODER.decode_lines(lines)
--- a/rudderrock/gateway/knowledge/_quarantine.py
+++ b/rudderrock/gateway/knowledge/_quarantine.py
@@ -1,14 +1,14 @@
-"""Requests under which upstreams have ended, and which are kept from them.
+"""Quarantine of requests that crash upstreams.
 
-A request that crashes each upstream that runs it, a query of death, comes
-again under other ids and at other hosts. Hosts therefore remember it by its
-digest, tell one another, and stop sending it after a few trials. See "Site
-Reliability Engineering" (Beyer et al., 2016), chapter 22.
+A request that crashes each upstream that runs it, a query of death, arrives
+repeatedly under other ids and at other hosts. Hosts therefore identify it by
+its digest, exchange records of it, and stop sending it after a few failed
+attempts. See "Site Reliability Engineering" (Beyer et al., 2016), chapter 22.
 
-What is known of one request is a set of trials in which upstreams ended, which
-upstreams these were, and whether any upstream has ever answered it. Two hosts'
-knowledge is merged by taking the union of the sets, so order and repetition
-don't matter.
+The record of a request contains the set of its failed attempts (`trials`), in
+which every upstream that received it crashed, the crashed upstreams (`ended`),
+and whether any upstream has answered it. Records of two hosts are merged by
+set union, so their order and repetition don't matter.
 """
 
 import collections
@@ -24,52 +24,57 @@
 from rudderrock.gateway import _events as events
 from rudderrock.gateway import _log as log
 
-# Trials in which every upstream that had a request has ended, one after
-# another and without any answer, before it is sent to nobody. One is an
-# everyday crash, in which innocent requests are lost beside the guilty one;
-# two can be the crash of a shard's last replicas. The users count from the
-# third upstream on.
+# Number of failed attempts, without any answer, after which a request is
+# quarantined. One can be an ordinary crash, which also affects unrelated
+# requests. Two can be the crash of a shard's last replicas. Users count the
+# upstreams that a request crashes from the third on.
 MOST_TRIALS = 3
-# One that has ended as many upstreams in its first trial, under any number of
-# services, is sent to nobody after one more trial: the first is no everyday
-# crash then, and the users count what comes later from the third upstream on.
-# Two such copies that two hosts try at the same moment are still within that.
-_MOST_SPREAD_TRIALS = 2
-# For how long a request is suspected after the last upstream that ended under
-# it, in seconds: while it is, it costs one upstream a trial and not one for
-# each shard. A request that is suspected wrongly is late by the one answer
-# that is waited for.
-SUSPECT_S = 300.0
-# For how long a quarantine lasts after the last upstream that ended, in
-# seconds. After it one more trial is made, at the cost of one upstream, since
-# upstreams are mended and indexes change. Each such trial that is lost doubles
-# it, up to 16 times: 5 upstreams end in a day, not 24.
-QUARANTINE_S = 3600.0
-_MOST_DOUBLED = 4
-# For how long it is remembered that a quarantine has lapsed, in seconds.
-REMEMBER_S = 24 * 3600.0
-# For how long an answer clears a request of what was held against it before,
-# in seconds: hosts that have not heard of it yet may still say so.
-CLEARED_S = 30.0
-# Requests that are remembered. Each has cost an upstream at least, so a team
-# that fills this has done worse; 256 take some 100 KB.
-MOST_RECORDS = 256
-# For how long an upstream that has ended is taken to be gone, in seconds. Its
-# registration lapses after three missed heartbeats of 1.2 s, and is read a
-# little later; from then on what is registered lives.
+# The same for a request that has crashed `MOST_TRIALS` upstreams or more, of
+# one or several services. So many crashes in a first attempt are not an
+# ordinary crash, so one further failed attempt suffices. Of the later crashes,
+# users again count from the third upstream on, so two canaries that two hosts
+# send at the same moment are still within the limit.
+_SPREAD_QUARANTINE_THRESHOLD = 2
+# How long a request is suspect after its last crash, in seconds. A suspect
+# request is sent to a single upstream first, as a canary, so a copy crashes
+# one upstream and not one of each shard. A request that is suspected wrongly
+# is delayed until the canary is answered.
+SUSPECT_DURATION_S = 300.0
+# How long a quarantine lasts after the last crash, in seconds. The next copy
+# after it is sent as a canary, since upstreams may be fixed and indexes
+# change. If the request is still lethal, the canary crashes one upstream. Each
+# failed canary doubles the duration, up to 16 times the first, so that 5
+# upstreams crash in a day and not 24.
+QUARANTINE_DURATION_S = 3600.0
+_MAX_DOUBLINGS = 4
+# How long the record of a quarantine is kept after the last crash, in seconds.
+RECORD_RETENTION_S = 24 * 3600.0
+# How long the record of an answered request is kept after the last crash, in
+# seconds. Hosts that don't know of the answer yet may still send records of
+# earlier crashes.
+CLEARED_RETENTION_S = 30.0
+# Maximum number of requests with a record. Each has crashed at least one
+# upstream, so a team that fills the table does more harm by the crashes than
+# by the eviction of other records. 256 records take some 100 KB.
+MAX_RECORDS = 256
+# How long a crashed upstream is assumed to be down, in seconds. Its
+# registration lapses after three missed heartbeats of 1.2 s, and hosts read
+# that a little later. An upstream that is registered after that is alive.
 GONE_S = 4.0
-# Upstreams that are named of one request: all replicas of 170 shards.
-_MOST_ENDED = 512
-# Trials that are named of one request; at one in 16 hours they last a month.
-_MOST_NAMED = 64
-# What the trials of all hosts that had not suspected a request are called:
-# copies that are under way together are one trial, and so are all that a
-# shard, a zone or a link takes down at once.
-_FIRST = 'first'
+# Maximum number of crashed upstreams recorded for one request. Suffices for
+# all replicas of 170 shards.
+_MAX_ENDED_UPSTREAMS = 512
+# Maximum number of failed attempts recorded for one request. At one in 16
+# hours they suffice for a month.
+_MAX_TRIAL_IDS = 64
+# Common id of the failed attempts of all hosts that did not suspect the
+# request before. Copies in flight at the same time count as one failed
+# attempt, and so do all that are lost when a shard, a zone or a link fails.
+_INITIAL_TRIAL = 'first'
 
 
 class Standing(enum.Enum):
-    """What is held against a request."""
+    """Whether a request is sent normally, as a canary first, or not at all."""
 
     CLEAR = 'clear'
     SUSPECT = 'suspect'
@@ -77,10 +82,12 @@
 
 
 class Record(msgspec.Struct, frozen=True):
-    """What a host tells another of one request.
+    """Record of one request, as hosts exchange it.
 
-    `age_ms` is the time since an upstream last ended under it, `ended` names
-    the upstreams that have and the time since, in milliseconds.
+    `trials` are the ids of the failed attempts, `answered` is true if an
+    upstream has answered the request, `age_ms` is the time since the last
+    crash, and `ended` maps each crashed upstream to the time since its crash;
+    both in milliseconds.
     """
 
     digest: str
@@ -90,53 +97,57 @@
     ended: dict[core.UpstreamLife, int] = {}
 
 
-class _Known:
-    """What is known of one request; loop times of losses."""
+class _RequestHistory:
+    """Local record of one request.
 
-    __slots__ = ('trials', 'ended', 'answered', 'lost_at', 'generation')
+    `last_crash_at` and the values of `ended` are loop times.
+    """
+
+    __slots__ = ('trials', 'ended', 'answered', 'last_crash_at', 'generation')
 
     def __init__(self) -> None:
         self.trials: frozenset[str] = frozenset()
         self.ended: dict[core.UpstreamLife, float] = {}
         self.answered = False
-        self.lost_at = -math.inf
+        self.last_crash_at = -math.inf
         self.generation = 0
 
     def get_standing(self, now: float) -> Standing:
         if self.answered:
             return Standing.CLEAR
-        if not self.has_failed_all():
+        if not self.has_reached_threshold():
             return Standing.SUSPECT
-        if now - self.lost_at < self.get_quarantine_s():
+        if now - self.last_crash_at < self.get_quarantine_duration_s():
             return Standing.QUARANTINED
         return Standing.SUSPECT
 
-    def has_failed_all(self) -> bool:
-        """Tell whether all trials that it may have are lost."""
-        return len(self.trials) >= self.get_most_trials()
+    def has_reached_threshold(self) -> bool:
+        """Return whether it has the failed attempts for a quarantine."""
+        return len(self.trials) >= self.get_threshold()
 
-    def get_most_trials(self) -> int:
+    def get_threshold(self) -> int:
         if len(self.ended) >= MOST_TRIALS:
-            return _MOST_SPREAD_TRIALS
+            return _SPREAD_QUARANTINE_THRESHOLD
         return MOST_TRIALS
 
-    def get_quarantine_s(self) -> float:
-        more = max(0, len(self.trials) - self.get_most_trials())
-        return QUARANTINE_S * 2 ** min(more, _MOST_DOUBLED)
+    def get_quarantine_duration_s(self) -> float:
+        extra_trials = max(0, len(self.trials) - self.get_threshold())
+        return QUARANTINE_DURATION_S * 2 ** min(extra_trials, _MAX_DOUBLINGS)
 
-    def get_lifetime_s(self) -> float:
+    def get_retention_s(self) -> float:
         if self.answered:
-            return CLEARED_S
-        if not self.has_failed_all():
-            return SUSPECT_S
-        return REMEMBER_S
+            return CLEARED_RETENTION_S
+        if not self.has_reached_threshold():
+            return SUSPECT_DURATION_S
+        return RECORD_RETENTION_S
 
 
 class Quarantine:
-    """What this host knows of requests that upstreams have ended under.
+    """Records of requests that have crashed upstreams.
 
-    Parameters: `process` names this incarnation of the process, so that its
-    trials are told from those of others. `generation` grows with each change.
+    Parameters: `process` identifies this incarnation of the process, so that
+    ids of its failed attempts are unique. `generation` is incremented with
+    each change.
     """
 
     def __init__(self, process: str, clock: core.Clock, events: log.EventLog):
@@ -144,104 +155,113 @@
         self._process = process
         self._clock = clock
         self._events = events
-        self._known: dict[str, _Known] = {}
-        self._trials = 0
-        self._canaries: collections.Counter[str] = collections.Counter()
+        self._histories: dict[str, _RequestHistory] = {}
+        self._trial_count = 0
+        self._canary_counts: collections.Counter[str] = collections.Counter()
         self._listeners: list[Callable[[], None]] = []
-        self._own_listeners: list[Callable[[], None]] = []
+        self._local_listeners: list[Callable[[], None]] = []
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether nothing is held against any request."""
-        return not self._known
+        """Return whether there are no records."""
+        return not self._histories
 
     def add_listener(self, call: Callable[[], None]) -> None:
-        """Have `call` called after each change."""
+        """Register `call` to be called after each change."""
         self._listeners.append(call)
 
-    def add_own_listener(self, call: Callable[[], None]) -> None:
-        """Have `call` called after each change that this host has seen."""
-        self._own_listeners.append(call)
+    def add_local_listener(self, call: Callable[[], None]) -> None:
+        """Register `call` to be called after each change made by this host."""
+        self._local_listeners.append(call)
 
     def count_quarantined(self) -> int:
-        """Return how many requests are sent to nobody."""
+        """Return the number of requests in quarantine."""
         now = self._clock.now()
         return sum(
             each.get_standing(now) is Standing.QUARANTINED
-            for each in self._known.values()
+            for each in self._histories.values()
         )
 
     def get_standing(self, digest: str) -> Standing:
-        """Return what is held against a request."""
-        found = self._known.get(digest)
+        """Return the state of a request, `CLEAR` if there is no record."""
+        history = self._histories.get(digest)
         now = self._clock.now()
-        if found is None or now - found.lost_at >= found.get_lifetime_s():
+        if (
+            history is None
+            or now - history.last_crash_at >= history.get_retention_s()
+        ):
             return Standing.CLEAR
-        return found.get_standing(now)
+        return history.get_standing(now)
 
     def get_left_s(self, digest: str) -> float:
-        """Return for how long a request stays in quarantine, in seconds."""
-        found = self._known.get(digest)
-        if found is None:
+        """Return the remaining time of a quarantine, in seconds."""
+        history = self._histories.get(digest)
+        if history is None:
             return 0.0
-        end = found.lost_at + found.get_quarantine_s()
+        end = history.last_crash_at + history.get_quarantine_duration_s()
         return max(0.0, end - self._clock.now())
 
     def has_spread(self, digest: str) -> bool:
-        """Tell whether a request has outlived more than one upstream.
+        """Return whether a request has crashed more than one upstream.
 
-        One is an everyday crash with innocent requests under it, which may be
-        sent to whoever is left.
+        A single crash can be an ordinary one that affects unrelated requests,
+        which may still be sent to any remaining upstream.
         """
-        found = self._known.get(digest)
+        history = self._histories.get(digest)
         return (
-            found is not None and max(len(found.ended), len(found.trials)) > 1
+            history is not None
+            and max(len(history.ended), len(history.trials)) > 1
         )
 
     def list_ended(self, digest: str) -> list[core.UpstreamLife]:
-        """Return the upstreams that have ended under a request."""
-        found = self._known.get(digest)
-        return sorted(found.ended) if found is not None else []
+        """Return the upstreams that a request has crashed."""
+        history = self._histories.get(digest)
+        return sorted(history.ended) if history is not None else []
 
-    def has_ended(self, life: core.UpstreamLife, lag_s: float = 0.0) -> bool:
-        """Tell whether an upstream has just ended under any request.
+    def has_ended(
+        self, incarnation: core.UpstreamLife, lag_s: float = 0.0
+    ) -> bool:
+        """Return whether an upstream has crashed under any request recently.
 
-        It is taken to be gone for `lag_s` seconds longer.
+        That is within the last `GONE_S + lag_s` seconds.
         """
         oldest = self._clock.now() - GONE_S - lag_s
         return any(
-            each.ended.get(life, -math.inf) > oldest
-            for each in self._known.values()
+            each.ended.get(incarnation, -math.inf) > oldest
+            for each in self._histories.values()
         )
 
     def get_since_s(self, digest: str) -> float:
-        """Return the time since an upstream last ended under a request."""
-        found = self._known.get(digest)
-        if found is None:
+        """Return the time since the last crash, in seconds.
+
+        It is infinite if there is no record.
+        """
+        history = self._histories.get(digest)
+        if history is None:
             return math.inf
-        return self._clock.now() - found.lost_at
+        return self._clock.now() - history.last_crash_at
 
     def get_gone_s(self, digest: str) -> float:
-        """Return how long upstreams that ended under it stay gone, seconds."""
+        """Return how long its crashed upstreams stay excluded, in seconds."""
         return max(0.0, GONE_S - self.get_since_s(digest))
 
     def has_canary(self, digest: str) -> bool:
-        """Tell whether this host has a canary of a request under way."""
-        return self._canaries[digest] > 0
+        """Return whether a canary of a request is in flight at this host."""
+        return self._canary_counts[digest] > 0
 
     def begin_canary(self, digest: str) -> None:
-        """Take note of a canary that is sent.
+        """Record that a canary is being sent.
 
-        Copies that come to one host together would otherwise each be tried,
-        and count each: two within 10 ms were.
+        Otherwise copies that arrive at one host together would each be sent as
+        a canary and each be counted. This happened with two within 10 ms.
         """
-        self._canaries[digest] += 1
+        self._canary_counts[digest] += 1
 
     def end_canary(self, digest: str) -> None:
-        """Take note that it is known what became of a canary."""
-        self._canaries[digest] -= 1
-        if not self._canaries[digest]:
-            del self._canaries[digest]
+        """Record that the outcome of a canary is known."""
+        self._canary_counts[digest] -= 1
+        if not self._canary_counts[digest]:
+            del self._canary_counts[digest]
 
     def note_trial(
         self,
@@ -250,103 +270,120 @@
         was_suspect: bool,
         ended: Iterable[core.UpstreamLife] = (),
     ) -> None:
-        """Take note that all upstreams that had a request have ended.
+        """Record a failed attempt: every upstream with the request crashed.
 
-        Of trials that overlap at this host one counts: they may have had the
-        same cause.
+        `began` is the loop time at which the attempt began, and `was_suspect`
+        is true if the request was suspect then. Of attempts that overlap at
+        this host only one is counted, since they may have had the same cause.
         """
         now = self._clock.now()
-        found = self._known.get(digest)
-        names = {_FIRST}
-        lives = dict.fromkeys(ended, now)
-        if was_suspect and found is not None and began < found.lost_at:
-            names = set()
+        history = self._histories.get(digest)
+        trial_ids = {_INITIAL_TRIAL}
+        crash_times = dict.fromkeys(ended, now)
+        if (
+            was_suspect
+            and history is not None
+            and began < history.last_crash_at
+        ):
+            trial_ids = set()
         elif was_suspect:
-            self._trials += 1
-            names = {f'{self._process}/{self._trials}'}
-        self._take(digest, names, False, now, 'own', lives)
-        for call in self._own_listeners:
+            self._trial_count += 1
+            trial_ids = {f'{self._process}/{self._trial_count}'}
+        self._apply(digest, trial_ids, False, now, 'own', crash_times)
+        for call in self._local_listeners:
             call()
 
     def note_answered(self, digest: str) -> None:
-        """Take note that an upstream has answered, and so survived it."""
-        found = self._known.get(digest)
-        if found is None or found.answered:
+        """Record that an upstream has answered, which clears the request."""
+        history = self._histories.get(digest)
+        if history is None or history.answered:
             return
-        self._take(digest, (), True, found.lost_at, 'own', {})
-        for call in self._own_listeners:
+        self._apply(digest, (), True, history.last_crash_at, 'own', {})
+        for call in self._local_listeners:
             call()
 
     def merge(self, records: Iterable[Record], origin: str) -> None:
-        """Take over what another host knows."""
+        """Merge records of another host; `origin` is logged."""
         now = self._clock.now()
         for each in records:
-            lost_at = now - max(0, each.age_ms) / 1000
-            trials = each.trials[:_MOST_NAMED]
+            last_crash_at = now - max(0, each.age_ms) / 1000
+            trials = each.trials[:_MAX_TRIAL_IDS]
             ended = {
-                life: now - max(0, age_ms) / 1000
-                for life, age_ms in each.ended.items()
+                incarnation: now - max(0, age_ms) / 1000
+                for incarnation, age_ms in each.ended.items()
             }
-            self._take(
-                each.digest, trials, each.answered, lost_at, origin, ended
+            self._apply(
+                each.digest,
+                trials,
+                each.answered,
+                last_crash_at,
+                origin,
+                ended,
             )
 
     def list_since(self, generation: int) -> list[Record]:
-        """Return what has changed since a generation."""
+        """Return the records that have changed since a generation."""
         now = self._clock.now()
         return [
             Record(
                 digest,
                 sorted(each.trials),
                 each.answered,
-                round(1000 * (now - each.lost_at)),
+                round(1000 * (now - each.last_crash_at)),
                 {
-                    life: round(1000 * (now - ended_at))
-                    for life, ended_at in each.ended.items()
+                    incarnation: round(1000 * (now - ended_at))
+                    for incarnation, ended_at in each.ended.items()
                 },
             )
-            for digest, each in self._known.items()
+            for digest, each in self._histories.items()
             if each.generation > generation
         ]
 
-    def _take(
+    def _apply(
         self,
         digest: str,
         trials: Iterable[str],
         answered: bool,
-        lost_at: float,
+        last_crash_at: float,
         origin: str,
         ended: Mapping[core.UpstreamLife, float],
     ) -> None:
         now = self._clock.now()
-        self._forget(now)
-        found = self._known.get(digest, _Known())
-        merged = frozenset(sorted(found.trials.union(trials))[:_MOST_NAMED])
-        gone = _merge_ended(found.ended, ended)
-        cleared = found.answered or answered
-        same = merged == found.trials and gone.keys() == found.ended.keys()
-        if same and cleared == found.answered:
-            # The same losses heard of again, a little older or younger.
+        self._drop_expired(now)
+        history = self._histories.get(digest, _RequestHistory())
+        merged_trials = frozenset(
+            sorted(history.trials.union(trials))[:_MAX_TRIAL_IDS]
+        )
+        merged_ended = _merge_crash_times(history.ended, ended)
+        is_answered = history.answered or answered
+        is_unchanged = (
+            merged_trials == history.trials
+            and merged_ended.keys() == history.ended.keys()
+        )
+        if is_unchanged and is_answered == history.answered:
+            # Nothing new. Repeated reports of a crash differ in age only.
             return
-        before = found.get_standing(now) if found.trials else Standing.CLEAR
-        found.trials = merged
-        found.ended = gone
-        found.answered = cleared
-        found.lost_at = max(found.lost_at, lost_at)
-        if now - found.lost_at >= found.get_lifetime_s():
+        before = (
+            history.get_standing(now) if history.trials else Standing.CLEAR
+        )
+        history.trials = merged_trials
+        history.ended = merged_ended
+        history.answered = is_answered
+        history.last_crash_at = max(history.last_crash_at, last_crash_at)
+        if now - history.last_crash_at >= history.get_retention_s():
             return
         self.generation += 1
-        found.generation = self.generation
-        self._known[digest] = found
-        self._note_change(digest, found, before, now, origin)
+        history.generation = self.generation
+        self._histories[digest] = history
+        self._record_change(digest, history, before, now, origin)
         self._evict(now)
         for call in self._listeners:
             call()
 
-    def _note_change(
+    def _record_change(
         self,
         digest: str,
-        found: _Known,
+        history: _RequestHistory,
         before: Standing,
         now: float,
         origin: str,
@@ -355,38 +392,43 @@
             events.LogKind.QUARANTINE_CHANGED,
             digest=digest,
             before=before.value,
-            standing=found.get_standing(now).value,
-            trials=len(found.trials),
+            standing=history.get_standing(now).value,
+            trials=len(history.trials),
             origin=origin,
         )
 
-    def _forget(self, now: float) -> None:
-        """Drop what is too old to be of use."""
-        for digest, each in list(self._known.items()):
-            if now - each.lost_at >= each.get_lifetime_s():
-                del self._known[digest]
+    def _drop_expired(self, now: float) -> None:
+        """Remove expired records."""
+        for digest, each in list(self._histories.items()):
+            if now - each.last_crash_at >= each.get_retention_s():
+                del self._histories[digest]
 
     def _evict(self, now: float) -> None:
-        """Drop what is least needed if there is too much."""
-        if len(self._known) <= MOST_RECORDS:
+        """Remove one record if there are more than `MAX_RECORDS`.
+
+        Records that have reached the quarantine threshold are removed last.
+        Otherwise answered requests are removed first, then the record with the
+        oldest crash.
+        """
+        if len(self._histories) <= MAX_RECORDS:
             return
-        worst = min(
-            self._known,
+        least_needed = min(
+            self._histories,
             key=lambda digest: (
-                self._known[digest].has_failed_all(),
-                not self._known[digest].answered,
-                self._known[digest].lost_at,
+                self._histories[digest].has_reached_threshold(),
+                not self._histories[digest].answered,
+                self._histories[digest].last_crash_at,
             ),
         )
-        del self._known[worst]
+        del self._histories[least_needed]
 
 
-def _merge_ended(
+def _merge_crash_times(
     one: Mapping[core.UpstreamLife, float],
     other: Mapping[core.UpstreamLife, float],
 ) -> dict[core.UpstreamLife, float]:
-    """Return which upstreams have ended, and when each one last did."""
+    """Return the crashed upstreams with the time of each one's last crash."""
     merged = dict(one)
-    for life, ended_at in other.items():
-        merged[life] = max(ended_at, merged.get(life, ended_at))
-    return dict(sorted(merged.items())[:_MOST_ENDED])
+    for incarnation, ended_at in other.items():
+        merged[incarnation] = max(ended_at, merged.get(incarnation, ended_at))
+    return dict(sorted(merged.items())[:_MAX_ENDED_UPSTREAMS])
