--- a/rudderrock/gateway/knowledge/_peers.py
+++ b/rudderrock/gateway/knowledge/_peers.py
@@ -1,8 +1,8 @@
-"""What hosts tell one another: upstreams, hosts and the routing table.
+"""Long polling between hosts for upstreams, hosts and the routing table.
 
-A host asks a peer for what has changed since it last asked. The reply comes
-as soon as there is a change, or after a short wait, and says how old the
-peer's own reading is, so that a peer which has lost the source is noticed.
+A host polls a peer for the changes since its previous poll. The peer replies
+as soon as there is a change, or after a short wait. The reply contains the age
+of the peer's data, so that the host detects a peer that can't read the source.
 """
 
 import asyncio
@@ -28,51 +28,58 @@
 from rudderrock.gateway.knowledge import _sources as sources
 
 PATH = '/v1/changes'
-# How long a peer may hold a question that has no news, and how much longer
-# the asking host waits for it; seconds. A peer that reads the source answers
-# with each reading, so the first is a little more than one period.
-HOLD_S = 1.3
-SLACK_S = 0.4
-# A reading of the source that is older than this is not relied on; seconds.
-FRESH_S = 2.0
-# So is a table that the source has not confirmed for longer; seconds.
-TABLE_FRESH_S = 4.0
-# A reading may have been passed on so often and still be good enough for a
-# host that the source answers: from the host that reads to the first of
-# each other zone, and from there within the zone. With more, a circle of
-# hosts could take an old reading for a fresh one.
-MOST_HOPS = 1
-# How long a host that has just started holds a question until it knows
-# something, in seconds; it does 0.1 s after it listens.
-FIRST_HOLD_S = 0.5
-# How long a reply that tells all is given to other peers too, in seconds.
-# Hundreds of hosts that start together ask for it at once; to make one of
-# 450 upstreams and 195 hosts takes 0.9 ms of a whole core (the mean of 50),
-# twice that on half a core. `KEPT_MS` says how old it is.
-WHOLE_KEPT_S = 0.1
-KEPT_MS = b'rudderrock-kept-ms'
-# Replies from this size on are sent compressed, in bytes: listings and tables
-# of hundreds of entries shrink to a fifth, and cross regions.
-COMPRESS_FROM = 2048
-DEFLATE = (b'content-encoding', b'deflate')
-# No reply is larger than this when it is whole, in bytes.
-MOST_REPLY_BYTES = 32 * 1024 * 1024
-# Changes that are kept for peers; one that is further behind gets all.
-MOST_CHANGES = 64
+# How long a peer holds a poll while nothing changes, and how much longer the
+# polling host waits for the reply; seconds. A peer that reads the source
+# replies after each reading, so the hold is a little longer than one period.
+POLL_HOLD_S = 1.3
+REPLY_MARGIN_S = 0.4
+# Maximum age of a reading of the source that is used; seconds.
+MAX_AGE_S = 2.0
+# Maximum time since the source last confirmed a table that is used; seconds.
+MAX_TABLE_AGE_S = 4.0
+# Maximum number of hops of a peer's reading that a host accepts while it can
+# read the source itself: the reading host passes it to the first host of each
+# other zone, and that host to the others of its zone. With more hops, hosts
+# that poll one another in a cycle could treat an old reading as fresh.
+MAX_HOPS = 1
+# How long a host that has just started holds a poll until its own first data
+# is complete, in seconds. That takes 0.1 s from when it starts to listen.
+STARTUP_HOLD_S = 0.5
+# How long a full reply is cached and sent to other peers too, in seconds.
+# Hundreds of hosts that start together request it at the same time. Encoding
+# 450 upstreams and 195 hosts takes 0.9 ms on a whole core (the mean of 50) and
+# twice that on half a core. `CACHE_AGE_HEADER` is sent with the time that the
+# reply has been cached, in milliseconds.
+FULL_REPLY_TTL_S = 0.1
+CACHE_AGE_HEADER = b'rudderrock-kept-ms'
+# Replies of at least this size are compressed, in bytes. Listings and tables
+# of hundreds of entries shrink to a fifth, and they are sent across regions.
+COMPRESSION_THRESHOLD_BYTES = 2048
+DEFLATE_HEADER = (b'content-encoding', b'deflate')
+# Maximum size of a decompressed reply, in bytes.
+MAX_REPLY_BYTES = 32 * 1024 * 1024
+# Number of changes kept for peers. A peer that is further behind is sent the
+# full state.
+MAX_CHANGES = 64
 
 
 class Known(msgspec.Struct, frozen=True):
-    """What the asking host has already, of this peer's process.
-
-    `table_version` is that of the last table that it was sent, whether it
-    could use it or not: else it would be sent again at once. Hosts of the
-    version before say instead at which revision of the source it was read,
-    `table`, and are told so too.
-
-    `is_lost` tells that the source turns it away, so that it also takes
-    what the peer has from others. `evacuations` is the revision of the
-    evacuations that it knows, in `evacuations_era`, and `era` is that of the
-    upstreams; hosts of the version before do not say those two.
+    """State that the polling host already has from this peer's process.
+
+    `upstreams`, `hosts` and `quarantine` are the peer's generations that the
+    polling host has applied.
+
+    `table_version` is the version of the last table that the peer sent, even
+    if the polling host rejected it; otherwise the peer would send it again at
+    once. Hosts of the previous release send and expect `table` instead, the
+    revision of the source at which the table was read. Therefore both fields
+    are sent.
+
+    `is_lost` is true if the source refuses the polling host, which then also
+    accepts data that the peer has from other hosts. `evacuations` is the
+    revision of the evacuations that the polling host has, in the era
+    `evacuations_era`, and `era` is the era of its upstreams. Hosts of the
+    previous release do not send these two eras.
     """
 
     process: str = ''
@@ -89,7 +96,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InForce:
-    """What is in force at a host that asks, and where it was read."""
+    """Versions and source positions in force at the polling host."""
 
     table_version: routing.TableVersion = routing.NO_VERSION
     table: position.Position = position.NOWHERE
@@ -98,20 +105,25 @@
 
 
 class Changes(msgspec.Struct, frozen=True, kw_only=True):
-    """What is new, and how old it is.
-
-    `whole` tells that `upstreams` are all there are; else they are what
-    was added or changed, and `left` what is gone. `hosts`, `hosts_left` and
-    `hosts_whole` tell the same of hosts; None if nothing changed. `origin`
-    and `number` name the reading of the source that they come from, `hops`
-    counts the hosts that have passed it on to this one and `age_ms` is its
-    age, -1 if there has been none; `table_age_ms` is the time since the
-    source last confirmed the table. `hold_ms` tells for how long missing
-    upstreams are still kept. `evacuated` are all evacuated zones as of
-    `evacuations_revision`, and `evacuated_at` the revisions at which each was,
-    none where the peer does not say. Each revision belongs to an era of the
-    source, 0 where the peer does not say. `suspects` is what is new of
-    requests that upstreams have ended under.
+    """Changes since a peer's previous poll, and the age of the data.
+
+    If `whole` is true, `upstreams` are all upstreams. Otherwise `upstreams`
+    were added or changed, and `left` are the ids of those removed. `hosts`,
+    `hosts_left` and `hosts_whole` have the same meaning for hosts, and `hosts`
+    is None if no host changed.
+
+    `origin` and `number` identify the reading of the source that the upstreams
+    come from, `hops` is the number of hosts that have forwarded it to this
+    one, and `age_ms` its age, -1 if there is no reading yet. `table_age_ms` is
+    the time since the source last confirmed the table, -1 if it never has.
+    `hold_ms` is how long upstreams that are missing from readings are still
+    kept.
+
+    `evacuated` are all evacuated zones as of `evacuations_revision`, and
+    `evacuated_at` the revisions at which they were evacuated, empty if the
+    peer doesn't send them. Each revision belongs to an era of the source, 0 if
+    the peer doesn't send one. `suspects` are new or changed records of
+    requests that crashed upstreams.
     """
 
     process: str
@@ -144,24 +156,24 @@
 
     @property
     def upstreams_position(self) -> position.Position:
-        """Return where the upstreams were read."""
+        """Return the source position of the upstreams."""
         return position.Position(self.era, self.revision)
 
     @property
     def table_position(self) -> position.Position:
-        """Return where the table was read."""
+        """Return the source position of the table."""
         return position.Position(self.table_era, self.table_revision)
 
     @property
     def evacuations_position(self) -> position.Position:
-        """Return where the evacuations were read."""
+        """Return the source position of the evacuations."""
         return position.Position(
             self.evacuations_era, self.evacuations_revision
         )
 
     @property
     def evacuations_written(self) -> dict[core.ZoneId, int]:
-        """Return the evacuated zones and when each was evacuated."""
+        """Return the evacuated zones with the revision of each evacuation."""
         revisions = itertools.chain(
             self.evacuated_at, itertools.repeat(evacuations.NOT_TOLD)
         )
@@ -170,20 +182,20 @@
 
     @property
     def is_near(self) -> bool:
-        """Tell whether the peer has it from the source or next to it."""
-        return self.hops <= MOST_HOPS
+        """Return whether the data has at most `MAX_HOPS` hops."""
+        return self.hops <= MAX_HOPS
 
     @property
     def is_fresh(self) -> bool:
-        """Tell whether what it says may be relied on."""
-        return _are_fresh(self.age_ms / 1000, self.table_age_ms / 1000)
+        """Return whether upstreams and table are recent enough to use."""
+        return _are_recent(self.age_ms / 1000, self.table_age_ms / 1000)
 
 
 class ChangeBook:
-    """Keeps what has changed here lately, and answers peers.
+    """Keeps recent changes of this host's state and answers polls of peers.
 
-    Parameters: `process` names this incarnation of the process, since
-    generations begin anew with each.
+    Parameters: `process` identifies this incarnation of the process, since
+    generations restart with each.
     """
 
     def __init__(
@@ -206,17 +218,18 @@
         self._first = first_knowledge
         self._quarantine = known_quarantine
         self._clock = clock
-        self._whole: _WholeReply | None = None
+        self._cached_reply: _CachedReply | None = None
         self._changes: collections.deque[
             tuple[int, directory.DirectoryChange]
-        ] = collections.deque(maxlen=MOST_CHANGES)
-        # 62 hosts that start together change their list some 60 times. Sent
-        # whole, 7 KB, to the first hosts of 5 zones, that is 2 MB (by sums).
+        ] = collections.deque(maxlen=MAX_CHANGES)
+        # When 62 hosts start together, the list changes some 60 times. Sending
+        # all of its 7 KB each time to the first hosts of 5 zones would take a
+        # calculated 2 MB.
         self._host_changes: collections.deque[tuple[int, set[core.HostId]]] = (
-            collections.deque(maxlen=MOST_CHANGES)
+            collections.deque(maxlen=MAX_CHANGES)
         )
-        self._told_hosts: dict[core.HostId, fleet.HostEntry] = {}
-        self._news = asyncio.Event()
+        self._hosts_by_id: dict[core.HostId, fleet.HostEntry] = {}
+        self._changed = asyncio.Event()
         listing.add_listener(self._on_upstreams)
         hosts.add_listener(self._on_hosts)
         tables.add_listener(lambda table: self.wake())
@@ -225,7 +238,10 @@
         known_quarantine.add_listener(self.wake)
 
     async def answer(self, request: messages.Request) -> messages.Reply:
-        """Answer a peer's question."""
+        """Return the reply to a poll, held until there is a change.
+
+        The status is 404 for an unknown path, 400 for invalid parameters.
+        """
         path, _, query = request.target.decode('latin-1').partition('?')
         if path != PATH:
             return messages.Reply(404, [])
@@ -236,36 +252,39 @@
         except msgspec.ValidationError as error:
             return messages.Reply(400, [], str(error).encode())
         if not self._first.is_complete:
-            # It has nothing to tell yet, and will soon.
-            await self._first.wait_for(FIRST_HOLD_S)
-        elif not self._has_news(known) and self._is_of_use(known):
-            await self._wait()
+            # This host has just started and has no data to send yet.
+            await self._first.wait_for(STARTUP_HOLD_S)
+        elif not self._has_changes(known) and self._is_acceptable(known):
+            await self._wait_for_change()
         if known.process != self.process:
-            return self._render_whole(known)
+            return self._get_full_reply(known)
         return render_changes(self.list_changes(known))
 
-    def _render_whole(self, known: Known) -> messages.Reply:
-        """Return all that there is, made once for peers that ask together."""
+    def _get_full_reply(self, known: Known) -> messages.Reply:
+        """Return the full state, encoded once for polls at the same time."""
         now = self._clock.now()
-        made = self._whole
-        if made is None or not made.serves(known, now):
+        cached = self._cached_reply
+        if cached is None or not cached.is_valid_for(known, now):
             reply = render_changes(self.list_changes(known))
-            made = _WholeReply(known, now, reply)
-            # One that has nothing to tell yet is not given to others.
-            self._whole = made if self._first.is_complete else None
-        late_ms = _to_ms(now - made.made_at)
-        headers = [*made.reply.headers, (KEPT_MS, b'%d' % late_ms)]
-        return messages.Reply(200, headers, made.reply.body)
+            cached = _CachedReply(known, now, reply)
+            # Incomplete replies of a starting host are not cached.
+            self._cached_reply = cached if self._first.is_complete else None
+        cache_age_ms = _to_ms(now - cached.created_at)
+        headers = [
+            *cached.reply.headers,
+            (CACHE_AGE_HEADER, b'%d' % cache_age_ms),
+        ]
+        return messages.Reply(200, headers, cached.reply.body)
 
     def list_changes(self, known: Known) -> Changes:
-        """Return what a peer lacks."""
-        same = known.process == self.process
-        upstreams, left, whole = self._list_upstreams(known, same)
+        """Return the changes that a peer lacks."""
+        has_baseline = known.process == self.process
+        upstreams, left, whole = self._list_upstreams(known, has_baseline)
         listing = self._listing
         tables = self._tables
         stamp = listing.stamp
         evacuated = self._evacuated.current
-        hosts, hosts_left, hosts_whole = self._list_hosts(known, same)
+        hosts, hosts_left, hosts_whole = self._list_hosts(known, has_baseline)
         return Changes(
             process=self.process,
             generation=self.generation,
@@ -293,18 +312,18 @@
             evacuations_revision=evacuated.position.revision,
             evacuations_era=evacuated.position.era,
             suspects=self._quarantine.list_since(
-                known.quarantine if same else 0
+                known.quarantine if has_baseline else 0
             ),
             quarantine_generation=self._quarantine.generation,
         )
 
     def _list_upstreams(
-        self, known: Known, same: bool
+        self, known: Known, has_baseline: bool
     ) -> tuple[list[directory.Endpoint], list[str], bool]:
         oldest = self._changes[0][0] if self._changes else self.generation
         is_same_era = known.era in (None, self._listing.position.era)
-        same = same and is_same_era
-        if not same or known.upstreams < oldest - 1:
+        has_baseline = has_baseline and is_same_era
+        if not has_baseline or known.upstreams < oldest - 1:
             return list(self._listing.list_all()), [], True
         touched: set[core.UpstreamId] = set()
         for generation, change in self._changes:
@@ -316,24 +335,27 @@
         return upstreams, left, False
 
     def _list_hosts(
-        self, known: Known, same: bool
+        self, known: Known, has_baseline: bool
     ) -> tuple[list[fleet.HostEntry] | None, list[str], bool]:
-        """Return what hosts a peer lacks, which left, and if that is all."""
+        """Return changed hosts, removed ids and whether the list is full.
+
+        The hosts are None if nothing changed.
+        """
         newest = self._hosts.generation
-        if same and known.hosts == newest:
+        if has_baseline and known.hosts == newest:
             return None, [], False
         oldest = self._host_changes[0][0] if self._host_changes else newest
-        if not same or known.hosts < oldest - 1:
+        if not has_baseline or known.hosts < oldest - 1:
             return self._hosts.list_hosts(), [], True
         touched: set[core.HostId] = set()
         for generation, names in self._host_changes:
             if generation > known.hosts:
                 touched |= names
-        there = self._told_hosts
-        hosts = [there[name] for name in sorted(touched & there.keys())]
-        return hosts, sorted(touched - there.keys()), False
+        by_id = self._hosts_by_id
+        hosts = [by_id[name] for name in sorted(touched & by_id.keys())]
+        return hosts, sorted(touched - by_id.keys()), False
 
-    def _has_news(self, known: Known) -> bool:
+    def _has_changes(self, known: Known) -> bool:
         return (
             known.process != self.process
             or known.upstreams != self.generation
@@ -344,32 +366,37 @@
         )
 
     def _has_newer_table(self, known: Known) -> bool:
-        """Tell whether a peer lacks the table in force here.
+        """Return whether a peer lacks the table in force here.
 
-        Operators number their versions upwards, whatever becomes of the
-        source. Its revisions go back when it comes back from a copy, and by
-        them a newer table would seem to be one that the peer has already.
+        Compares versions, which operators only increase. Revisions of the
+        source decrease when it is restored from a backup, so a newer table
+        could have a revision that the peer has already passed. Hosts of the
+        previous release send only the revision.
         """
         if known.table_version is None:
             return known.table < self._tables.position.revision
         return known.table_version < self._tables.version
 
     def _has_newer_evacuations(self, known: Known) -> bool:
-        """Tell whether the zones have changed since a peer learnt them."""
+        """Return whether the evacuations changed after those a peer has."""
         changed_at = self._evacuated.changed_at
         if known.evacuations_era is None:
             return known.evacuations < changed_at.revision
         era = known.evacuations_era
         return position.Position(era, known.evacuations) < changed_at
 
-    def _is_of_use(self, known: Known) -> bool:
-        """Tell whether it pays for a peer to wait for news from here."""
-        if not _are_fresh(self._listing.age_s, self._tables.confirmed_s):
+    def _is_acceptable(self, known: Known) -> bool:
+        """Return whether this host's data is acceptable to a peer.
+
+        If it isn't, the poll is not held, so that the peer can switch to
+        another host.
+        """
+        if not _are_recent(self._listing.age_s, self._tables.confirmed_s):
             return False
-        return known.is_lost or self._listing.stamp.hops <= MOST_HOPS
+        return known.is_lost or self._listing.stamp.hops <= MAX_HOPS
 
-    async def _wait(self) -> None:
-        await core.wait_for_event(self._news, HOLD_S)
+    async def _wait_for_change(self) -> None:
+        await core.wait_for_event(self._changed, POLL_HOLD_S)
 
     def _on_upstreams(self, change: directory.DirectoryChange) -> None:
         self.generation += 1
@@ -378,7 +405,7 @@
 
     def _on_hosts(self) -> None:
         now = {each.host: each for each in self._hosts.list_hosts()}
-        before, self._told_hosts = self._told_hosts, now
+        before, self._hosts_by_id = self._hosts_by_id, now
         touched = {
             name
             for name in before.keys() | now.keys()
@@ -388,46 +415,52 @@
         self.wake()
 
     def wake(self) -> None:
-        """Answer all peers that wait, since there is something to tell."""
-        self._news.set()
-        self._news = asyncio.Event()
+        """Answer all held polls."""
+        self._changed.set()
+        self._changed = asyncio.Event()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _WholeReply:
-    """The reply to a question, and the loop time at which it was made."""
+class _CachedReply:
+    """A full reply, the poll it answers and its loop time of creation."""
 
     known: Known
-    made_at: float
+    created_at: float
     reply: messages.Reply
 
-    def serves(self, known: Known, now: float) -> bool:
-        """Tell whether it may still be given to a peer that knows so much."""
-        return self.known == known and now < self.made_at + WHOLE_KEPT_S
+    def is_valid_for(self, known: Known, now: float) -> bool:
+        """Return whether the reply may answer a poll with this state."""
+        return self.known == known and now < self.created_at + FULL_REPLY_TTL_S
 
 
 class PeerClient:
-    """Asks one peer for changes, again and again."""
+    """Polls one peer for changes and keeps what it has sent so far."""
 
     def __init__(self, entry: fleet.HostEntry):
         self.entry = entry
         self.known = Known()
         self._hosts: dict[core.HostId, fleet.HostEntry] = {}
-        self._sent_table = position.NOWHERE.revision
-        self._sent_version = routing.NO_VERSION
+        self._received_table_revision = position.NOWHERE.revision
+        self._received_table_version = routing.NO_VERSION
         self._caller = caller.HttpCaller(core.split_address(entry.address))
 
     async def ask(
         self,
         in_force: InForce,
         is_lost: bool,
-        timeout_s: float = HOLD_S + SLACK_S,
+        timeout_s: float = POLL_HOLD_S + REPLY_MARGIN_S,
     ) -> result.Result[Changes, sources.Unavailable]:
-        """Return what is new to a host with so much in force."""
+        """Return the peer's changes since the state that is in force here.
+
+        Returns `Unavailable` if the peer doesn't answer within `timeout_s`
+        seconds, or not with a valid reply.
+        """
         known = msgspec.structs.replace(
             self.known,
-            table=max(in_force.table.revision, self._sent_table),
-            table_version=max(in_force.table_version, self._sent_version),
+            table=max(in_force.table.revision, self._received_table_revision),
+            table_version=max(
+                in_force.table_version, self._received_table_version
+            ),
             is_lost=is_lost,
             era=in_force.upstreams.era,
             evacuations=in_force.evacuations.revision,
@@ -451,17 +484,17 @@
         except (msgspec.DecodeError, zlib.error) as error:
             return result.Err(sources.Unavailable(f'unreadable: {error}'))
         if changes.table is not None:
-            self._sent_table = changes.table_revision
-            self._sent_version = changes.table_version
+            self._received_table_revision = changes.table_revision
+            self._received_table_version = changes.table_version
         return result.Ok(changes)
 
     @property
     def is_in_step(self) -> bool:
-        """Tell whether only what is new will be asked for."""
+        """Return whether the next poll requests only changes."""
         return self.known.process != ''
 
     def merge_hosts(self, changes: Changes) -> list[fleet.HostEntry]:
-        """Return all hosts that the peer knows, after its changes."""
+        """Apply changes to the peer's list of hosts and return all of them."""
         if changes.hosts_whole:
             self._hosts.clear()
         for name in changes.hosts_left:
@@ -470,7 +503,7 @@
         return list(self._hosts.values())
 
     def note_applied(self, changes: Changes | None) -> None:
-        """Take note of what has been taken over; None asks for all."""
+        """Record which changes were applied; None requests the full state."""
         if changes is None:
             self.known = Known()
             return
@@ -487,41 +520,44 @@
 
 
 def render_changes(changes: Changes) -> messages.Reply:
-    """Return the reply that carries changes, compressed if it is long."""
+    """Return a reply with changes, compressed if it is large."""
     body = msgspec.json.encode(changes)
-    if len(body) < COMPRESS_FROM:
+    if len(body) < COMPRESSION_THRESHOLD_BYTES:
         return messages.Reply(200, [caller.JSON], body)
-    return messages.Reply(200, [caller.JSON, DEFLATE], zlib.compress(body))
+    return messages.Reply(
+        200, [caller.JSON, DEFLATE_HEADER], zlib.compress(body)
+    )
 
 
 def read_changes(reply: messages.Reply) -> Changes:
-    """Return the changes that a reply carries.
+    """Return the changes in a reply, with ages that include its caching.
 
-    Raises `msgspec.DecodeError` or `zlib.error` if it can't be read; one
-    that would be longer than `MOST_REPLY_BYTES` is cut, and so can't be.
+    Raises `msgspec.DecodeError` or `zlib.error` if the reply can't be decoded.
+    A reply that decompresses to more than `MAX_REPLY_BYTES` is truncated,
+    which makes it invalid.
     """
     body = reply.body
-    if reply.get_header(DEFLATE[0]) == DEFLATE[1]:
-        body = zlib.decompressobj().decompress(body, MOST_REPLY_BYTES)
+    if reply.get_header(DEFLATE_HEADER[0]) == DEFLATE_HEADER[1]:
+        body = zlib.decompressobj().decompress(body, MAX_REPLY_BYTES)
     changes = msgspec.json.decode(body, type=Changes)
-    kept = reply.get_header(KEPT_MS) or b''
-    if not kept.isdigit():
+    cache_age = reply.get_header(CACHE_AGE_HEADER) or b''
+    if not cache_age.isdigit():
         return changes
     return msgspec.structs.replace(
         changes,
-        age_ms=_grow_older(changes.age_ms, int(kept)),
-        table_age_ms=_grow_older(changes.table_age_ms, int(kept)),
+        age_ms=_add_age(changes.age_ms, int(cache_age)),
+        table_age_ms=_add_age(changes.table_age_ms, int(cache_age)),
     )
 
 
-def _grow_older(age_ms: int, by_ms: int) -> int:
-    """Return an age after some time; -1 stays, as there is no reading."""
+def _add_age(age_ms: int, by_ms: int) -> int:
+    """Return an age after `by_ms` more; -1 (no reading) is unchanged."""
     return age_ms + by_ms if age_ms >= 0 else age_ms
 
 
-def _are_fresh(upstreams_s: float, table_s: float) -> bool:
-    """Tell whether ages in seconds may be relied on; -1 is no reading."""
-    return 0 <= upstreams_s <= FRESH_S and 0 <= table_s <= TABLE_FRESH_S
+def _are_recent(upstreams_s: float, table_s: float) -> bool:
+    """Return whether both ages, in seconds, are recent; -1 is no reading."""
+    return 0 <= upstreams_s <= MAX_AGE_S and 0 <= table_s <= MAX_TABLE_AGE_S
 
 
 def _to_ms(seconds: float) -> int:
