--- a/rudderrock/gateway/knowledge/_fleet.py
+++ b/rudderrock/gateway/knowledge/_fleet.py
@@ -1,4 +1,4 @@
-"""The hosts of the tier, as this one knows them."""
+"""Registered hosts of the tier, their number per zone and their ranking."""
 
 import collections
 from collections.abc import Callable
@@ -10,18 +10,18 @@
 
 from rudderrock import core
 
-# A host that has left the registry still counts for this long, in seconds:
-# registrations may lapse while their hosts live, and counting too few of
-# them would let each spend too much of what all share.
-REMEMBER_S = 30.0
+# How long a host that has left the registry is still counted, in seconds. A
+# registration may lapse while its host is alive. If too few hosts were
+# counted, each would use too large a share of the common limits.
+LEFT_RETENTION_S = 30.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class HostEntry:
-    """One registered host; `address` is where its peers may call it.
+    """One registered host.
 
-    `capacity` compares hosts: the speed of its processor in cores times
-    the bandwidth of its link in Mbit/s.
+    `address` is the address for calls from its peers. `capacity` is used to
+    compare hosts: processor speed in cores times link bandwidth in Mbit/s.
     """
 
     host: core.HostId
@@ -31,58 +31,59 @@
 
 
 class Fleet:
-    """All known hosts, and how many of them share what there is.
+    """All known hosts, and the number that share the common limits.
 
-    Parameters: `own` is this host, `assumed` how many hosts are taken to
-    be there until a registry has been read.
+    Parameters: `own` is this host, `assumed` the number of hosts assumed
+    until the first listing has been read. `generation` is incremented with
+    each change.
     """
 
     def __init__(self, own: HostEntry, assumed: int, clock: core.Clock):
         self.own = own
         self.generation = 0
-        self._assumed = assumed
+        self._assumed_count = assumed
         self._clock = clock
         self._hosts: dict[core.HostId, HostEntry] = {own.host: own}
-        self._seen: dict[HostEntry, float] = {}
-        self._known = False
-        # Worked out once a listing: with hundreds of hosts and upstreams
-        # these would cost most of a starting process's time.
+        self._last_seen: dict[HostEntry, float] = {}
+        self._has_listing = False
+        # Cached until the next listing. With hundreds of hosts and upstreams,
+        # computing these on each use takes most of the start-up time.
         self._counts: collections.Counter[core.ZoneId] = collections.Counter()
-        self._counts_until = -math.inf
-        self._ranked: dict[core.ZoneId, list[HostEntry]] = {}
+        self._counts_valid_until = -math.inf
+        self._ranked_by_zone: dict[core.ZoneId, list[HostEntry]] = {}
         self._listeners: list[Callable[[], None]] = []
 
     def add_listener(self, call: Callable[[], None]) -> None:
-        """Have `call` called after each change."""
+        """Register `call` to be called after each change."""
         self._listeners.append(call)
 
     def list_hosts(self) -> list[HostEntry]:
-        """Return the registered hosts."""
+        """Return the hosts of the latest listing."""
         return list(self._hosts.values())
 
     def has_own(self) -> bool:
-        """Tell whether the registry named this host when last read."""
+        """Return whether the latest listing contains this host's entry."""
         return self._hosts.get(self.own.host) == self.own
 
     @property
     def is_listed(self) -> bool:
-        """Tell whether a listing has named this host.
+        """Return whether a listing has been read and contains this host.
 
-        When all hosts start together the first listings name few of them.
+        When all hosts start together, the first listings are incomplete.
         """
-        return self._known and self.has_own()
+        return self._has_listing and self.has_own()
 
     def apply_listing(self, hosts: Iterable[HostEntry]) -> bool:
-        """Take over a listing; tell whether it changed anything."""
+        """Replace the known hosts; return whether anything changed."""
         found = {each.host: each for each in hosts}
         now = self._clock.now()
         for each in found.values():
-            self._seen[each] = now
-        changed = found != self._hosts or not self._known
-        self._known = True
+            self._last_seen[each] = now
+        changed = found != self._hosts or not self._has_listing
+        self._has_listing = True
         self._hosts = found
-        self._counts_until = -math.inf
-        self._ranked.clear()
+        self._counts_valid_until = -math.inf
+        self._ranked_by_zone.clear()
         if changed:
             self.generation += 1
             for call in self._listeners:
@@ -90,53 +91,59 @@
         return changed
 
     def count_by_zone(self) -> collections.Counter[core.ZoneId]:
-        """Return how many hosts there are in each zone.
+        """Return the number of hosts in each zone.
 
-        Hosts that have left lately count too. Before any listing the
-        assumed number is put down for the own zone.
+        Includes hosts that left the registry less than `LEFT_RETENTION_S`
+        ago. Before the first listing, returns the assumed number for this
+        host's zone.
         """
-        if not self._known:
-            return collections.Counter({self.own.zone: self._assumed})
+        if not self._has_listing:
+            return collections.Counter({self.own.zone: self._assumed_count})
         now = self._clock.now()
-        if now >= self._counts_until:
-            self._count(now)
+        if now >= self._counts_valid_until:
+            self._update_counts(now)
         return self._counts
 
-    def _count(self, now: float) -> None:
-        """Count anew; that holds until the next one is forgotten."""
-        self._seen = {
+    def _update_counts(self, now: float) -> None:
+        """Recompute the counts, valid until a departed host expires."""
+        self._last_seen = {
             entry: at
-            for entry, at in self._seen.items()
-            if now - at < REMEMBER_S or self._is_registered(entry)
+            for entry, at in self._last_seen.items()
+            if now - at < LEFT_RETENTION_S or self._is_registered(entry)
         }
-        zones = {entry.host: entry.zone for entry in self._seen}
+        zones = {entry.host: entry.zone for entry in self._last_seen}
         zones.setdefault(self.own.host, self.own.zone)
         self._counts = collections.Counter(zones.values())
-        leaving = (
+        left_at = (
             at
-            for entry, at in self._seen.items()
+            for entry, at in self._last_seen.items()
             if not self._is_registered(entry)
         )
-        self._counts_until = min(leaving, default=math.inf) + REMEMBER_S
+        self._counts_valid_until = (
+            min(left_at, default=math.inf) + LEFT_RETENTION_S
+        )
 
     def _is_registered(self, entry: HostEntry) -> bool:
         return self._hosts.get(entry.host) == entry
 
     def count(self) -> int:
-        """Return how many hosts share what there is."""
+        """Return the number of hosts that share the common limits."""
         return max(1, self.count_by_zone().total())
 
     def rank_readers(self) -> list[HostEntry]:
-        """Return the hosts of this zone in the order in which they read.
+        """Return the hosts of this zone, ranked as readers of the source.
 
-        The order is the same at every host that knows the same hosts, so
-        no election is needed.
+        All hosts with the same listing compute the same order, so no election
+        is needed.
         """
         return self.rank_zone(self.own.zone)
 
     def rank_zone(self, zone: core.ZoneId) -> list[HostEntry]:
-        """Return the hosts of a zone in the order of their hashes."""
-        ranked = self._ranked.get(zone)
+        """Return the hosts of a zone in the order of their hashes.
+
+        For this host's zone the result always contains this host.
+        """
+        ranked = self._ranked_by_zone.get(zone)
         if ranked is None:
             found = [
                 each
@@ -146,14 +153,14 @@
             if zone == self.own.zone:
                 found.append(self.own)
             ranked = sorted(found, key=lambda each: _rank(each.host))
-            self._ranked[zone] = ranked
+            self._ranked_by_zone[zone] = ranked
         return ranked
 
     def list_earlier_readers(self) -> list[HostEntry]:
-        """Return the first readers of other zones that go before the own.
+        """Return first readers of the zones that rank before this one.
 
-        The zones are ranked by the hashes of their first readers, so all
-        hosts that know the same hosts agree on which of them goes first.
+        Zones are ranked by the hash of their first reader, so all hosts with
+        the same listing agree on the order.
         """
         firsts = [
             self.rank_zone(zone)[0]
@@ -167,7 +174,7 @@
         )
 
     def list_others(self) -> list[HostEntry]:
-        """Return the hosts of other zones in an order of this host's own."""
+        """Return hosts of other zones in an order specific to this host."""
         return sorted(
             (
                 each
@@ -179,12 +186,12 @@
 
 
 def rank_name(name: bytes) -> int:
-    """Return a number for a name, the same at every host."""
+    """Return a hash of a name, equal at every host."""
     return xxhash.xxh64_intdigest(name)
 
 
 def rank_pair(one: str, other: str) -> int:
-    """Return a number for two names, the same at every host."""
+    """Return a hash of an ordered pair of names, equal at every host."""
     return _rank(f'{one}/{other}')
 
 
@@ -195,7 +202,7 @@
 def make_seed_entries(
     seeds: Iterable[tuple[str, int]], own: HostEntry
 ) -> list[HostEntry]:
-    """Return hosts of which only the addresses are known."""
+    """Return placeholder entries for the configured seed addresses."""
     addresses = ['%s:%d' % seed for seed in seeds]
     return [
         HostEntry(
--- a/rudderrock/gateway/knowledge/_place.py
+++ b/rudderrock/gateway/knowledge/_place.py
@@ -1,4 +1,4 @@
-"""Where a host is, how far other zones are, and where data may be."""
+"""Zone of a host, distances between zones, and data residency."""
 
 import dataclasses
 from typing import NewType
@@ -7,7 +7,7 @@
 
 RegionId = NewType('RegionId', str)
 
-# Distances of another zone in the same region, and of one in another.
+# Distance to another zone of the same region, and to a zone of another region.
 SAME_REGION = 1
 FARTHEST = 2
 
@@ -19,30 +19,30 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Within:
-    """Requests may be handled and kept in some regions only."""
+    """Requests may be handled and stored only in these regions."""
 
     regions: frozenset[RegionId]
 
 
-# Where a request may be handled: data residency, as the field calls it.
+# Data residency: the regions in which a request may be handled.
 Residency = Anywhere | Within
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Place:
-    """Where this host is, and the region of each availability zone."""
+    """Availability zone of this host, and the region of each zone."""
 
     zone: core.ZoneId
     regions: dict[core.ZoneId, RegionId]
 
     def get_distance(self, zone: core.ZoneId) -> int:
-        """Return 0 for the same zone, 1 for the same region, else 2."""
+        """Return the distance from this host's zone, 0 to 2."""
         return self.compare_zones(self.zone, zone)
 
     def allows(self, residency: Residency, zone: core.ZoneId) -> bool:
-        """Tell whether a request may be handled in a zone.
+        """Return whether a request may be handled in a zone.
 
-        A zone whose region is not known is outside of every region.
+        A zone without a known region is not part of any allowed region.
         """
         match residency:
             case Anywhere():
@@ -51,7 +51,7 @@
                 return self.regions.get(zone) in regions
 
     def list_unknown(self, residency: Residency) -> list[RegionId]:
-        """Return the regions that no zone of the settings is in."""
+        """Return the allowed regions that contain no configured zone."""
         match residency:
             case Anywhere():
                 return []
@@ -59,7 +59,11 @@
                 return sorted(regions - frozenset(self.regions.values()))
 
     def compare_zones(self, one: core.ZoneId, other: core.ZoneId) -> int:
-        """Return the distance between two zones, 0 to 2."""
+        """Return the distance between two zones.
+
+        It is 0 for the same zone, 1 for two zones of the same region, else 2.
+        A zone without a known region is a region of its own.
+        """
         if one == other:
             return 0
         region = self.regions.get(one, one)
--- a/rudderrock/gateway/knowledge/_routing.py
+++ b/rudderrock/gateway/knowledge/_routing.py
@@ -1,6 +1,6 @@
-"""Routes: which requests go to which services, at one version.
+"""Routing table: the services that requests are sent to, by version.
 
-A `RoutingTable` is immutable. A request keeps the table that it found when
+A `RoutingTable` is immutable. A request uses the table that was in force when
 it arrived, so all parts of one answer come from one version.
 """
 
@@ -30,14 +30,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Single:
-    """All requests go to one service."""
+    """Target that sends all requests to one service."""
 
     service: ServiceName
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Share:
-    """One part of a split; `weight` is relative to the other parts."""
+    """Share of a service in a `Split`; weights are relative to their sum."""
 
     service: ServiceName
     weight: float
@@ -45,17 +45,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Split:
-    """Requests are spread over services in proportion to weights."""
+    """Target that distributes requests over services by weight."""
 
     shares: tuple[Share, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Scatter:
-    """Each request goes to every shard and their records are merged.
+    """Target that sends each request to every shard and merges the records.
 
-    `top_k` is the number of records in an answer, `min_coverage` the least
-    fraction of the shards that an answer must contain, 0 to 1.
+    `top_k` is the number of records in an answer, and `min_coverage` the
+    minimum fraction of the shards that an answer must include, 0 to 1.
     """
 
     shards: tuple[ServiceName, ...]
@@ -68,13 +68,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Route:
-    """One way from a host name and a path prefix to upstreams.
+    """Mapping of a host name and a path prefix to a target.
 
-    `timeout_s` is the longest that a request may be kept waiting, `goal_s`
-    the latency that the operators aim at, both in seconds. Priority 0 is
-    the most urgent. `max_attempts` bounds the upstreams that one request
-    is sent to, for each shard. `residency` says in which regions its
-    requests may be handled.
+    `timeout_s` is the timeout of a request and `goal_s` the latency objective,
+    both in seconds. Priority 0 is the most urgent. `max_attempts` is the
+    maximum number of upstreams that one request is sent to, per shard.
+    `residency` restricts the regions in which requests may be handled.
     """
 
     name: RouteName
@@ -90,11 +89,14 @@
 
     @functools.cached_property
     def digest(self) -> bytes:
-        """Return what is the same where a query means the same.
+        """Return a hash of the properties that determine a query's answer.
 
-        Hosts whose tables have the same digest of a route ask the same shards
-        for the same records within the same regions, whatever else has
-        changed between their versions.
+        Hosts whose tables have the same digest of a route query the same
+        shards for the same records within the same regions, even if their
+        tables differ in version.
+
+        The hash includes the names of the target's class and fields and of the
+        members of `Repeat`. Renaming any of these changes it.
         """
         match self.residency:
             case place.Anywhere():
@@ -107,11 +109,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Service:
-    """What holds for all upstreams of one service.
+    """Limits that apply to each upstream of one service.
 
-    `max_connections` is what one upstream accepts from all hosts together.
-    One that has just started is cold for `warmup_s` seconds and stands
-    `warmup_per_s` requests a second meanwhile; 0 sets no bound.
+    `max_connections` is the number of connections that one upstream accepts
+    from all hosts together. An upstream is cold for `warmup_s` seconds after
+    its start and accepts `warmup_per_s` requests per second during that time;
+    0 sets no limit.
     """
 
     name: ServiceName
@@ -122,7 +125,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class IntakeLimits:
-    """What a caller may send and how long it may take; bytes, seconds."""
+    """Limits on the size and duration of requests; bytes and seconds."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 262144
@@ -151,13 +154,13 @@
         self.routes = {
             (route.host.lower(), route.prefix): route for route in routes
         }
-        self._urgencies = _list_urgencies(self.routes.values())
+        self._priorities_by_shards = _collect_priorities(self.routes.values())
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of `path`, if any.
+        """Return the route with the longest prefix of `path`, or None.
 
-        `host` may carry a port and is compared without regard to case;
-        `path` is without its query.
+        `host` may include a port and is compared without regard to case.
+        `path` must not include the query string.
         """
         name = host.partition(':')[0].lower()
         end = path.rfind('/')
@@ -169,12 +172,18 @@
         return None
 
     def get_rank(self, route: Route) -> int:
-        """Return how many more urgent priorities ask the same shards."""
-        priorities = self._urgencies[route.target.shards]
+        """Return the number of more urgent priorities with the same shards.
+
+        The target of `route` must be a `Scatter`.
+        """
+        priorities = self._priorities_by_shards[route.target.shards]
         return sum(priority < route.priority for priority in priorities)
 
     def list_wide_only(self, least: int) -> frozenset[ServiceName]:
-        """Return the services that only queries over so many shards ask."""
+        """Return the services of routes to at least `least` services.
+
+        Services that a narrower route uses too are left out.
+        """
         wide: set[ServiceName] = set()
         others: set[ServiceName] = set()
         for route in self.routes.values():
@@ -184,7 +193,7 @@
         return frozenset(wide - others)
 
     def list_services(self, route: Route) -> tuple[ServiceName, ...]:
-        """Return every service that a route may send to."""
+        """Return all services that a route may send requests to."""
         match route.target:
             case Single(service=service):
                 return (service,)
@@ -194,10 +203,10 @@
                 return shards
 
 
-def _list_urgencies(
+def _collect_priorities(
     routes: Iterable[Route],
 ) -> dict[tuple[ServiceName, ...], set[int]]:
-    """Return the priorities of the routes to each set of shards."""
+    """Return the priorities of the routes, by their shards."""
     found: dict[tuple[ServiceName, ...], set[int]] = {}
     for route in routes:
         match route.target:
