--- a/rudderrock/gateway/knowledge/_routing.py
+++ b/rudderrock/gateway/knowledge/_routing.py
@@ -95,8 +95,8 @@
         shards for the same records within the same regions, even if their
         tables differ in version.
 
-        The hash includes the names of the target's class and fields and of the
-        members of `Repeat`. Renaming any of these changes it.
+        The hash covers the `repr` of the target and the `str` of the `Repeat`
+        member, so renaming any of these classes, fields or members changes it.
         """
         match self.residency:
             case place.Anywhere():
