--- a/rudderrock/gateway/knowledge/_registration.py
+++ b/rudderrock/gateway/knowledge/_registration.py
@@ -1,4 +1,4 @@
-"""Keeping this host in the registry of hosts."""
+"""Registration of this host in the registry of hosts."""
 
 import asyncio
 import contextlib
@@ -12,19 +12,17 @@
 from rudderrock.gateway.knowledge import _fleet as fleet
 from rudderrock.gateway.knowledge import _sources as sources
 
-# A registration lasts this long without renewal, and is renewed this
-# often, in seconds.
-LEASE_S = 12.0
-RENEW_EVERY_S = 4.0
+LEASE_TTL_S = 12.0
+RENEW_INTERVAL_S = 4.0
 
 
 class Registration:
-    """Keeps this host in the registry while it runs.
+    """Keeps this host registered while it runs.
 
-    A source that has come back from a copy may have lost the lease and have
-    given its number to another. So a lease of an era before is renewed only
-    once the registry has named it for this host, and no lease is ended
-    without asking.
+    A source that was restored from a backup may have lost the lease and
+    assigned its number to another owner. A lease from an earlier era is
+    therefore renewed only after the registry has named it as the lease of this
+    host, and no lease is revoked without that check.
     """
 
     def __init__(
@@ -41,81 +39,83 @@
         self._clock = clock
         self._events = events
         self._lease: sources.Lease | None = None
-        self._missing = 0
+        self._missing_count = 0
 
     async def run(self) -> None:
-        """Register, and renew until cancelled."""
+        """Register and renew until cancelled."""
         while True:
             if self._lease is None:
                 await self._register()
             else:
-                await self._renew()
-            await asyncio.sleep(RENEW_EVERY_S)
+                await self._renew_or_register()
+            await asyncio.sleep(RENEW_INTERVAL_S)
 
     async def withdraw(self) -> None:
-        """Leave the registry, so that nobody asks this host any more."""
+        """Remove the registration so that peers stop calling this host."""
         if self._lease is None:
             return
-        found = (await self._find_own()).ok()
+        found = (await self._find_own_lease()).ok()
         if found is None:
-            # The registration lapses by itself.
+            # The registration expires with its lease.
             return
         answer = await self._source.withdraw(found)
         if answer.is_err():
-            self._note('withdraw', answer.err_value.detail)
+            self._log_failure('withdraw', answer.err_value.detail)
 
     async def _register(self) -> None:
         self._lease = None
-        answer = await self._source.register(self._hosts.own, LEASE_S)
+        answer = await self._source.register(self._hosts.own, LEASE_TTL_S)
         match answer:
             case result.Ok(lease):
                 self._lease = lease
-                self._missing = 0
+                self._missing_count = 0
             case result.Err(problem):
-                self._note('register', problem.detail)
+                self._log_failure('register', problem.detail)
 
-    async def _renew(self) -> None:
-        """Renew; register again where the registry has lost the entry."""
-        self._missing = 0 if self._hosts.has_own() else self._missing + 1
-        if self._missing >= 2:
+    async def _renew_or_register(self) -> None:
+        """Renew, or register again if the registry lost the entry."""
+        self._missing_count = (
+            0 if self._hosts.has_own() else self._missing_count + 1
+        )
+        if self._missing_count >= 2:
             await self._register()
         elif self._lease.era < self._era.current:
             await self._renew_in_new_era()
         else:
-            await self._prolong()
+            await self._renew_lease()
 
-    async def _prolong(self) -> None:
+    async def _renew_lease(self) -> None:
         match await self._source.renew(self._lease):
             case result.Err(sources.LeaseEnded()):
                 await self._register()
             case result.Err(sources.SourceReturned()):
                 await self._renew_in_new_era()
             case result.Err(problem):
-                self._note('renew', problem.detail)
+                self._log_failure('renew', problem.detail)
 
     async def _renew_in_new_era(self) -> None:
-        """Go on with the lease if it is this host's still."""
-        match await self._find_own():
+        """Renew the lease if it still belongs to this host."""
+        match await self._find_own_lease():
             case result.Ok(None):
                 await self._register()
             case result.Ok(found):
                 self._lease = found
-                await self._prolong()
+                await self._renew_lease()
 
-    async def _find_own(
+    async def _find_own_lease(
         self,
     ) -> result.Result[sources.Lease | None, sources.Unavailable]:
         """Return the lease if the registry names it for this host."""
         answer = await self._source.find_lease(self._hosts.own.host)
         match answer:
             case result.Err(problem):
-                self._note('find_lease', problem.detail)
+                self._log_failure('find_lease', problem.detail)
             case result.Ok(found) if found is not None:
                 is_own = found.number == self._lease.number
                 return result.Ok(found if is_own else None)
         return answer
 
-    def _note(self, call: str, detail: str) -> None:
+    def _log_failure(self, call: str, detail: str) -> None:
         self._events.record(
             events.LogKind.SOURCE_FAILED, call=call, detail=detail
         )
@@ -123,7 +123,7 @@
 
 @contextlib.asynccontextmanager
 async def keep_registered(registration: Registration):
-    """Hold a registration while the context lasts, then leave."""
+    """Keep the host registered within the context, then withdraw it."""
     task = asyncio.create_task(registration.run())
     try:
         yield
