--- a/rudderrock/gateway/forwarding/__init__.py
+++ b/rudderrock/gateway/forwarding/__init__.py
@@ -1,6 +1,7 @@
-"""The way of a request: from a caller to upstreams and back.
+"""Forwarding of requests from callers to upstreams.
 
-`_gateway` routes it; `_forward` carries one call to its services, each of
-which is a `_pursuit`; `_gather`, `_parts` and `_delegate` spread a query over
-shards and hosts, and merge what comes back.
+`_gateway` routes a request. `_forward` sends one call to its services; a
+`_service_call` handles each service, with retries and a hedge. `_gather`,
+`_parts` and `_delegate` distribute a query over shards and hosts and merge
+the answers.
 """
--- a/rudderrock/gateway/forwarding/_calls.py
+++ b/rudderrock/gateway/forwarding/_calls.py
@@ -1,4 +1,4 @@
-"""One request of a caller on its way, and what all requests share."""
+"""State of one request in flight, and state shared by all requests."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,7 +16,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Counters:
-    """What all requests of this host have cost its upstreams."""
+    """Counts of the attempts that this host has sent to upstreams.
+
+    `denied` counts extra attempts that the budget did not allow.
+    """
 
     firsts: int = 0
     hedges: int = 0
@@ -25,8 +28,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Tools:
-    """What pursuits share in one host."""
+class ForwardingContext:
+    """Objects that all service calls of one host share."""
 
     loop: asyncio.AbstractEventLoop
     names: dialect.HeaderNames
@@ -38,30 +41,30 @@
 
 @dataclasses.dataclass(slots=True)
 class Call:
-    """One request of a caller, as its pursuits see it.
+    """One request of a caller, as seen by its service calls.
 
-    `end` is the loop time at which it is given up, `goal_at` that at which
-    its answer should leave, `late_s` the time in
-    seconds after which an attempt counts as late. `spared` of its services
-    may be missing. `is_again` tells that another host has been sent the
-    request and may have begun on it, so that each attempt is an extra one.
-    `canary` says which attempts may be sent.
+    `expires_at` is the loop time at which the request is abandoned, and
+    `goal_at` the loop time by which its answer should be sent. An attempt
+    counts as late after `late_after_s` seconds. Up to `max_missing` services
+    may be missing from the answer. With `may_have_run_elsewhere`, the request
+    has been sent to another host, which may have started it, so each attempt
+    counts as an extra one. `canary` decides which attempts may be sent.
     """
 
     request: messages.Request
     request_id: bytes
     route: routing.Route
-    end: float
+    expires_at: float
     goal_at: float
-    late_s: float
+    late_after_s: float
     head: messages.Headers
     canary: canary.Canary
-    spared: int = 0
-    is_again: bool = False
+    max_missing: int = 0
+    may_have_run_elsewhere: bool = False
 
-    def get_left_ms(self, now: float) -> bytes:
-        """Return the time that is left as a header says it, 1 at least."""
-        return b'%d' % max(1, int((self.end - now) * 1000))
+    def format_remaining_ms(self, now: float) -> bytes:
+        """Return the remaining time in ms as a header value, at least 1."""
+        return b'%d' % max(1, int((self.expires_at - now) * 1000))
 
     def render(
         self,
@@ -69,10 +72,10 @@
         names: dialect.HeaderNames,
         now: float,
     ) -> bytes:
-        """Write the request to one upstream, with the time that is left."""
+        """Return the request to one upstream, with the remaining time."""
         headers = [
             *self.head,
-            (names.deadline_ms, self.get_left_ms(now)),
+            (names.deadline_ms, self.format_remaining_ms(now)),
             (names.expected_upstream, upstream.encode('ascii')),
         ]
         request = self.request
--- a/rudderrock/gateway/forwarding/_connections.py
+++ b/rudderrock/gateway/forwarding/_connections.py
@@ -1,4 +1,4 @@
-"""Which connections this host needs, and how many of them it may open."""
+"""Connections that this host needs, and limits on how many it opens."""
 
 from rudderrock import core
 from rudderrock.gateway.decisions import _replicas as replicas
@@ -10,18 +10,18 @@
 from rudderrock.gateway.knowledge import _routing as routing
 from rudderrock.gateway.knowledge import _sources as sources
 
-# The slack of extra requests to services that only wide queries ask: the part
-# that the hosts which run such queries share, and the part that all others
-# do, for queries that a host has not begun on. What is left is for hosts that
-# take the place of others within the window of the budget. Split over all 62
-# hosts the slack left hedges denied in heavy seconds (docs/benchmarks.md,
-# figures of thresholds).
-REGULAR_SLACK_PART = 0.6
-OTHER_SLACK_PART = 0.25
+# How the slack of extra requests is divided for services that only wide
+# queries use: one fraction for the coordinators, one for all other hosts,
+# which send a query themselves when a coordinator has not started it. The rest
+# is reserved for hosts that become coordinators within the budget's window.
+# When the slack was divided evenly over all 62 hosts, hedges were denied in
+# seconds of heavy load (docs/benchmarks.md, figures of thresholds).
+COORDINATOR_SLACK_FRACTION = 0.6
+OTHER_HOST_SLACK_FRACTION = 0.25
 
 
 class Connections:
-    """Opens connections before they are needed, within this host's shares."""
+    """Opens connections in advance, within this host's limits."""
 
     def __init__(
         self,
@@ -36,16 +36,19 @@
         self._hosts = hosts
         self._place = place
         self._delegation = delegation
-        # Services that only wide queries ask.
+        # Services that only wide queries use.
         self._wide_only: frozenset[routing.ServiceName] = frozenset()
 
-    def take_table(self, table: routing.RoutingTable) -> None:
-        """Take note of a new table."""
+    def update_table(self, table: routing.RoutingTable) -> None:
+        """Update the services that only wide queries use."""
         self._wide_only = table.list_wide_only(delegate.WIDE_SHARDS)
 
     def warm(self, book: replicas.ReplicaBook) -> None:
-        """Open the connections that this host will need."""
-        self._delegation.drop_unused()
+        """Open the connections that this host will need.
+
+        Connections to hosts that are no longer registered are closed.
+        """
+        self._delegation.close_unlisted()
         for service in self.list_wanted(book):
             book.warm(service)
         table = self._tables.current
@@ -53,40 +56,42 @@
             return
         for route in table.routes.values():
             match route.target:
-                case routing.Scatter(shards=shards) if self.runs(shards):
+                case routing.Scatter(shards=shards) if self.runs_locally(
+                    shards
+                ):
                     self._delegation.warm()
                     return
 
     def is_wide(self, shards: tuple[routing.ServiceName, ...]) -> bool:
-        """Tell whether queries over some shards are run by few hosts."""
+        """Return whether only coordinators run queries over these shards."""
         return len(shards) >= delegate.WIDE_SHARDS
 
-    def runs(self, shards: tuple[routing.ServiceName, ...]) -> bool:
-        """Tell whether this host itself runs queries over some shards."""
+    def runs_locally(self, shards: tuple[routing.ServiceName, ...]) -> bool:
+        """Return whether this host itself runs queries over these shards."""
         return (
             not self.is_wide(shards) or self._delegation.coordinators.has_own()
         )
 
     def share_slack(self, service: routing.ServiceName, slack: float) -> float:
-        """Return this host's part of the extra requests to a service.
+        """Return this host's share of the extra requests to a service.
 
-        `slack` is what all hosts together may send beyond what their
-        requests earn. Services that only wide queries ask are asked by few
-        hosts, so these share most of it.
+        `slack` is the number of extra requests that all hosts together may
+        send in addition to what their own requests allow. Few hosts send to
+        services that only wide queries use, so those hosts share most of it.
         """
         if service not in self._wide_only:
             return slack / self._hosts.count()
         coordinators = self._delegation.coordinators
         hosts = sum(coordinators.count_by_zone().values())
         if coordinators.has_own():
-            return REGULAR_SLACK_PART * slack / max(1, hosts)
+            return COORDINATOR_SLACK_FRACTION * slack / max(1, hosts)
         others = max(1, self._hosts.count() - hosts)
-        return OTHER_SLACK_PART * slack / others
+        return OTHER_HOST_SLACK_FRACTION * slack / others
 
     def list_wanted(
         self, book: replicas.ReplicaBook
     ) -> set[routing.ServiceName]:
-        """Return the services that this host itself will send to."""
+        """Return the services to which this host itself sends requests."""
         table = self._tables.current
         if table is None or not self._hosts.is_listed:
             return set()
@@ -95,22 +100,23 @@
             services = table.list_services(route)
             if len(services) < delegate.WIDE_SHARDS:
                 wanted.update(services)
-            elif self.runs(services):
+            elif self.runs_locally(services):
                 wanted.update(filter(book.has_nearest, services))
         return wanted
 
     def find_service(
         self, service: routing.ServiceName
     ) -> routing.Service | None:
-        """Return what the table in force says of a service, if anything."""
+        """Return a service's entry in the current table, or None."""
         table = self._tables.current
         return table.services.get(service) if table is not None else None
 
     def list_senders(self, endpoint: directory.Endpoint) -> list[core.HostId]:
-        """Return the hosts that send to an upstream while it is cold.
+        """Return the hosts that may send to an upstream while it is cold.
 
-        They are the ones of its zone, which are the nearest and ask it for
-        others; all hosts where that zone has none.
+        These are the hosts of the upstream's zone, which also query it on
+        behalf of hosts in other zones. If the zone has no host, all hosts are
+        returned.
         """
         zone = endpoint.zone
         if endpoint.service in self._wide_only:
@@ -120,7 +126,7 @@
         return [each.host for each in found or self._hosts.list_hosts()]
 
     def get_share(self, endpoint: directory.Endpoint) -> shares.LinkShare:
-        """Return what this host may open to one upstream."""
+        """Return how many connections this host may open to an upstream."""
         service = endpoint.service
         found = self.find_service(service)
         is_wide = service in self._wide_only
@@ -136,7 +142,7 @@
             self._place,
         )
         if is_wide and not coordinators.has_own():
-            # This host sends there only while those that should have no room
-            # or are gone; its connections close soon after.
+            # This host sends to the upstream only while the coordinators are
+            # full or gone, so its connections are closed soon after use.
             return shares.LinkShare(1, True)
         return share
--- a/rudderrock/gateway/forwarding/_delegate.py
+++ b/rudderrock/gateway/forwarding/_delegate.py
@@ -1,11 +1,12 @@
-"""Handing wide queries to the few hosts of a zone that are best at them.
-
-A query over many shards costs its host the link that all parts come by, and
-a connection to each shard. If a few hosts of a zone send all wide queries,
-their connections are used often enough to stay open, what they learn of slow
-upstreams serves more queries, and a host with a thin link carries only the
-merged answer. Where the nearest upstreams of some shards are in another
-zone, one of these hosts there asks them and sends back merged records.
+"""Delegation of wide queries to the coordinators of a zone.
+
+A query over many shards needs a connection to each shard, and all answers
+arrive over the link of the host that runs it. Therefore a few hosts of each
+zone, the coordinators, run all wide queries. Their connections are used often
+enough to stay open, their knowledge of slow upstreams serves more queries, and
+a host with a slow link transfers only the merged answer. If the nearest
+upstreams of some shards are in another zone, a coordinator of that zone
+queries them and returns the merged records.
 """
 
 import asyncio
@@ -28,122 +29,128 @@
 from rudderrock.gateway.knowledge import _fleet as fleet
 from rudderrock.gateway.knowledge import _routing as routing
 
-# A query over at least so many shards is wide.
+# Minimum number of shards of a wide query.
 WIDE_SHARDS = 48
-# One that showed no sign of having read a query may just have been busy: it
-# is passed over for so long at first, in seconds.
-SILENT_SKIP_S = 1.0
-# One that does not take a query, mostly since its table is another, is passed
-# over for so long: tables are the same again as soon; seconds.
-NOT_TAKEN_PAUSE_S = 0.3
-# One that is full is passed over for so long, in seconds: the work that it
-# has begun is a tenth of a goal, some 10 to 30 ms, and it is asked again soon
-# after, so that the others are left alone when a burst is over.
+# How long a host is initially skipped if it sent no interim reply. It may just
+# have been busy.
+UNRESPONSIVE_SKIP_S = 1.0
+# How long a host is skipped after it refused a query, usually because its
+# routing table differs. The tables converge within this time.
+REFUSAL_PAUSE_S = 0.3
+# How long a full host is skipped. Its queued work takes a tenth of a latency
+# goal, about 10 to 30 ms. It is asked again soon afterwards, so that the load
+# on other hosts ends with the burst.
 FULL_PAUSE_S = 0.1
-# One that holds a query for so long beyond its goal is passed over; seconds.
+# A host is skipped if its answer is this much later than the latency goal.
 SUSPECT_AFTER_S = 0.1
-# What the asking host sends along: the version of its table, and for how
-# long it has had the query.
+# Headers of a delegated query: the table version of the delegating host, and
+# the time in ms since that host received the query.
 VERSION = b'rudderrock-table-version'
 ELAPSED = b'rudderrock-elapsed-ms'
-# The shards that are asked of a host, by commas, if not all of the query's.
+# Comma-separated shards to query, if not all shards of the query.
 SHARDS = b'rudderrock-shards'
-# What the route of the query means, by the asking host's table.
+# Digest of the query's route in the delegating host's table.
 ROUTE = b'rudderrock-route'
-# How many of them are enough.
-LEAST = b'rudderrock-least'
-# The shards, by commas, that the reply lacks.
-MISSING = b'rudderrock-missing-shards'
-# Tells that shards are missing since upstreams have ended under the query, and
-# which, by commas.
-HELD = b'rudderrock-held-back'
-# Tells a host to run the query also while it is full.
+# How many answers are enough once the latency goal is reached.
+MIN_ANSWERS = b'rudderrock-least'
+# Comma-separated shards that are missing from the reply.
+MISSING_SHARDS = b'rudderrock-missing-shards'
+# Comma-separated upstreams that ended while handling the query. The header is
+# present if shards are missing for that reason.
+ENDED_UPSTREAMS = b'rudderrock-held-back'
+# Requires a host to run the query even if it is full.
 MUST_RUN = b'rudderrock-must-run'
-# Marks the reply of a host that has not begun on the query, and says why.
-NOT_TAKEN = b'rudderrock-not-taken'
-# These are never passed on to upstreams.
-OWN_HEADERS = frozenset({VERSION, ELAPSED, SHARDS, LEAST, MUST_RUN, ROUTE})
-_CONNECTIONS = 16
-# Connections to a host of another zone that are opened before they are
-# needed: opening one costs a way there and back, which is a third of some
-# goals, and now and then two queries need one at a time.
-_WARM = 2
-# How long a host keeps the idle connections of its peers, in seconds. They
-# are few, and cost memory only.
+# Reason why a host has not started the query.
+REFUSAL_REASON = b'rudderrock-not-taken'
+# Headers that are never forwarded to upstreams.
+OWN_HEADERS = frozenset(
+    {VERSION, ELAPSED, SHARDS, MIN_ANSWERS, MUST_RUN, ROUTE}
+)
+_MAX_CONNECTIONS = 16
+# Connections to a host of another zone that are opened in advance. Opening one
+# takes a round trip, which is a third of some latency goals, and occasionally
+# two queries need a connection at the same time.
+_WARM_CONNECTIONS = 2
+# Idle timeout of connections between hosts. They are few and use only memory.
 PEER_IDLE_S = 60.0
-# What a peer may send, in bytes: what a caller may, by any table, and more.
+# Limits for requests of other hosts. They exceed the limits for callers that
+# any table allows.
 PEER_HEADER_BYTES = 256 * 1024
 PEER_BODY_BYTES = 8 * 1024 * 1024
-# What a host that asks another leaves it less time by, in seconds, beside
-# the way there and back: reading, merging and writing on a busy core.
-HOP_S = 0.006
-# The way there and back while it has not been measured, in seconds.
-ROUND_TRIP_S = 0.006
-# Time for a part, beside ways there and back, in late points of its route.
-PART_ROOM = 1.1
-# How much longer than there and back a host may take to show that it has
-# read a query, in seconds: one that is frozen or cut off shows nothing, and
-# one that is busy reads between two pieces of work. Each host without a sign
-# has its shards asked from the other zone: with 20 ms instead of 50, bytes
-# between zones cost 1.65 times as much (docs/benchmarks.md, figures of
-# thresholds).
-SIGN_S = 0.05
-# What another host's failure is to the log of this one; else it is lost.
-_OUTCOMES = {
+# Time needed in addition to the round trip for reading, merging and writing on
+# a busy core. It is subtracted from the time given to the other host.
+HOP_OVERHEAD_S = 0.006
+# Round-trip time that is assumed until it has been measured.
+DEFAULT_ROUND_TRIP_S = 0.006
+# Time for a part of a query without round trips, as a multiple of the route's
+# hedge threshold.
+PART_TIME_FACTOR = 1.1
+# How long a host may take, in addition to the round trip, to send the interim
+# reply that shows it has read a query. A frozen or disconnected host sends
+# none; a busy one reads between two tasks. Without an interim reply, the
+# shards are queried across zones: with 20 ms instead of 50 ms, traffic between
+# zones cost 1.65 times as much (docs/benchmarks.md, figures of thresholds).
+INTERIM_REPLY_TIMEOUT_S = 0.05
+# Outcomes by the status of another host's reply; any other failure is `LOST`.
+_OUTCOME_BY_STATUS = {
     503: results.Outcome.NOT_RUN,
     504: results.Outcome.TIMED_OUT,
 }
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Turn:
-    """Whose turn it is to run a query or a part; the last must take it."""
+class Candidate:
+    """The host to ask next for a query or a part.
+
+    The last candidate must not refuse because it is full.
+    """
 
     entry: fleet.HostEntry
     is_last: bool
 
 
-class NotTaken(enum.Enum):
-    """Why a host has not begun on a query."""
+class RefusalReason(enum.Enum):
+    """Why a host refused to run a query."""
 
     STOPPING = 'stopping'
     TABLE = 'another table'
     FULL = 'full'
 
 
-# What a host may say in `NOT_TAKEN`; anything else is not repeated in a line.
-_REASON = re.compile(
-    '|'.join(each.value for each in NotTaken) + r'( \d{1,6} ms)?'
+# Valid values of the header `REFUSAL_REASON`; others are not logged.
+_REASON_PATTERN = re.compile(
+    '|'.join(each.value for each in RefusalReason) + r'( \d{1,6} ms)?'
 )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PartAnswer:
-    """What a host of another zone brings of some shards.
+    """Answer of a host in another zone for some shards.
 
-    `stamps` sign the answers whose records are merged in `body`; `missing`
-    are the shards that are not in; with `held` that is since these upstreams
-    have ended under the query, and the asking host is to try by itself.
+    `stamps` are the signatures of the answers whose records are merged in
+    `body`, `missing` the shards without an answer. If `ended_upstreams` is
+    not None, shards are missing because these upstreams ended while handling
+    the query, and the delegating host has to query the shards itself.
     """
 
     stamps: list[bytes]
     body: bytes
     missing: frozenset[routing.ServiceName]
-    held: tuple[core.UpstreamLife, ...] | None = None
+    ended_upstreams: tuple[core.UpstreamLife, ...] | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Unbegun:
-    """A host has shown no sign of having begun on a query.
+class NotStarted:
+    """Result for a host that is not known to have started a query.
 
-    If it was `sent`, that may still come when the host wakes.
+    If the query was `sent`, the host may still start it later.
     """
 
     sent: bool
 
 
 class Delegation:
-    """Chooses a host for each wide query and brings back its answer."""
+    """Chooses a host for each wide query and returns its answer."""
 
     def __init__(
         self,
@@ -165,81 +172,86 @@
         request_id: bytes,
         has_room: bool,
         tried: tuple[core.HostId, ...],
-    ) -> Turn | None:
-        """Return who shall run a wide query, None for this host itself.
+    ) -> Candidate | None:
+        """Return the host to run a wide query, or None for this host.
 
-        This host runs it if it is one of those that may be asked and has
-        room, or if nobody is left.
+        This host runs the query if it is a coordinator with free capacity,
+        or if no other candidate is left.
         """
         own = self._hosts.own
         if self.coordinators.has_own() and has_room:
             return None
         if not has_room:
             tried = (*tried, own.host)
-        turn = self._make_turn(
+        candidate = self._pick_candidate(
             own.zone, request_id, tried, coordinators.MOST_TURNS
         )
-        return None if turn is None or turn.entry == own else turn
+        return (
+            None if candidate is None or candidate.entry == own else candidate
+        )
 
-    def choose_far(
+    def choose_in_zone(
         self,
         zone: core.ZoneId,
         request_id: bytes,
         tried: tuple[core.HostId, ...],
-    ) -> Turn | None:
-        """Return who in another zone shall ask for a part, None for nobody."""
+    ) -> Candidate | None:
+        """Return the host of another zone to ask for a part, or None."""
         if len(tried) >= coordinators.MOST_FAR_TURNS:
             return None
-        return self._make_turn(
+        return self._pick_candidate(
             zone, request_id, tried, coordinators.MOST_FAR_TURNS
         )
 
-    def _make_turn(
+    def _pick_candidate(
         self,
         zone: core.ZoneId,
         request_id: bytes,
         tried: tuple[core.HostId, ...],
-        most: int,
-    ) -> Turn | None:
-        """Return whose turn it is; the last of `most` must take it."""
+        max_candidates: int,
+    ) -> Candidate | None:
+        """Return the next candidate; number `max_candidates` is the last."""
         entry = self.coordinators.pick(zone, request_id, tried)
         if entry is None:
             return None
-        return Turn(entry, len(tried) + 1 >= most)
+        return Candidate(entry, len(tried) + 1 >= max_candidates)
 
     def warm(self) -> None:
-        """Open connections to hosts that may be asked for parts."""
+        """Open connections to the coordinators of other zones."""
         own = self._hosts.own.zone
         for zone in self._hosts.count_by_zone():
             if zone == own:
                 continue
             for entry in self.coordinators.list_regular(zone):
-                self._get_caller(entry).warm(_WARM)
+                self._get_caller(entry).warm(_WARM_CONNECTIONS)
 
-    def has_time(self, zone: core.ZoneId, call: calls.Call) -> bool:
-        """Tell whether a host of a zone could hedge and still be in time.
+    def has_time_to_hedge(self, zone: core.ZoneId, call: calls.Call) -> bool:
+        """Return whether every host of a zone can hedge and meet the goal.
 
-        A hedge may go as far again, after a first attempt that was late.
+        A hedge, sent after a late first attempt, may need another round trip
+        of the same length. Round trips that are too long are measured again.
         """
         open_now = self.coordinators.list_open(zone)
         if not open_now:
             return False
         left_s = call.goal_at - self._clock.now()
-        room_s = (left_s - HOP_S - PART_ROOM * call.late_s) / 2
+        room_s = (
+            left_s - HOP_OVERHEAD_S - PART_TIME_FACTOR * call.late_after_s
+        ) / 2
         has_time = True
         for entry in open_now:
             peer = self._get_caller(entry)
-            if (peer.round_trip_s or ROUND_TRIP_S) > room_s:
+            if (peer.round_trip_s or DEFAULT_ROUND_TRIP_S) > room_s:
                 has_time = False
                 peer.measure()
         return has_time
 
     def list_callers(self) -> list[caller.HttpCaller]:
-        """Return the callers of the hosts that have been asked so far."""
+        """Return the HTTP clients of the hosts contacted so far."""
         return list(self._callers.values())
 
-    def drop_unused(self) -> None:
-        """Forget the connections to hosts that are no longer registered."""
+    def close_unlisted(self) -> None:
+        """Close idle clients of hosts that are no longer registered."""
         known = {each.address for each in self._hosts.list_hosts()}
         for address, peer in list(self._callers.items()):
             if address not in known and not peer.is_busy:
@@ -248,20 +260,20 @@
 
     async def ask_part(
         self,
-        turn: Turn,
+        candidate: Candidate,
         call: calls.Call,
         shards: tuple[routing.ServiceName, ...],
-        least: int,
+        min_answers: int,
     ) -> result.Result[PartAnswer, caller.NoReply]:
-        """Have a host ask some shards and merge what they answer.
+        """Ask a host to query some shards and to merge their answers.
 
-        At the goal, `least` answers are enough.
+        Once the latency goal is reached, `min_answers` answers are enough.
         """
-        more = [
+        extra_headers = [
             (SHARDS, ','.join(shards).encode()),
-            (LEAST, b'%d' % least),
+            (MIN_ANSWERS, b'%d' % min_answers),
         ]
-        answer = await self._ask(turn, call, more)
+        answer = await self._ask(candidate, call, extra_headers)
         match answer:
             case result.Ok(reply):
                 return self._read_part(shards, reply)
@@ -270,29 +282,32 @@
     def _read_part(
         self, shards: tuple[routing.ServiceName, ...], reply: messages.Reply
     ) -> result.Result[PartAnswer, caller.NoReply]:
-        """Return a part, if its stamps and missing shards make it up."""
-        lacking = reply.get_header(MISSING)
+        """Return the answer in a reply.
+
+        Its stamps and missing shards must add up to `shards`.
+        """
+        lacking = reply.get_header(MISSING_SHARDS)
         if reply.status != 200 or lacking is None:
             return result.Err(caller.NoReply(True, f'status {reply.status}'))
         signed = reply.get_header(self._names.part_stamps) or b''
         stamps = [each.strip() for each in signed.split(b',') if each]
-        missing = frozenset(split_names(lacking))
+        missing = frozenset(parse_service_names(lacking))
         if len(stamps) + len(missing) != len(shards):
             return result.Err(caller.NoReply(True, 'parts do not add up'))
         return result.Ok(
-            PartAnswer(stamps, reply.body, missing, read_ended(reply))
+            PartAnswer(stamps, reply.body, missing, parse_ended_header(reply))
         )
 
     async def run(
-        self, turn: Turn, call: calls.Call
-    ) -> results.Result | Unbegun:
-        """Have a host run a query, unless it does not begin on it."""
-        answer = await self._ask(turn, call, [])
+        self, candidate: Candidate, call: calls.Call
+    ) -> results.Result | NotStarted:
+        """Return the result of a query that another host runs."""
+        answer = await self._ask(candidate, call, [])
         match answer:
             case result.Ok(reply):
-                return self._read(turn.entry, reply)
+                return self._read(candidate.entry, reply)
             case result.Err(caller.NoReply(signed=False) as problem):
-                return Unbegun(problem.sent)
+                return NotStarted(problem.sent)
             case result.Err(problem):
                 return results.fail(
                     self._names,
@@ -303,32 +318,34 @@
 
     async def _ask(
         self,
-        turn: Turn,
+        candidate: Candidate,
         call: calls.Call,
-        more: messages.Headers,
+        extra_headers: messages.Headers,
     ) -> result.Result[messages.Reply, caller.NoReply]:
-        """Send a query to a host, and suspect it if it takes too long.
+        """Send a query to a host, and skip the host if it takes too long.
 
-        A host that has not begun on it counts as one that got nothing.
+        A refusal is returned as if the query had not been sent.
         """
         loop = asyncio.get_running_loop()
-        entry = turn.entry
-        if turn.is_last:
-            more = [*more, (MUST_RUN, b'1')]
+        entry = candidate.entry
+        if candidate.is_last:
+            extra_headers = [*extra_headers, (MUST_RUN, b'1')]
         peer = self._get_caller(entry)
-        round_trip_s = peer.round_trip_s or ROUND_TRIP_S
+        round_trip_s = peer.round_trip_s or DEFAULT_ROUND_TRIP_S
         version = self._get_version()
 
         def make_headers() -> messages.Headers:
             now = loop.time()
-            elapsed_s = now - call.request.arrived + round_trip_s + HOP_S
+            elapsed_s = (
+                now - call.request.arrived + round_trip_s + HOP_OVERHEAD_S
+            )
             return [
                 *call.head,
-                (self._names.deadline_ms, call.get_left_ms(now)),
+                (self._names.deadline_ms, call.format_remaining_ms(now)),
                 (VERSION, b'%d' % version),
                 (ROUTE, call.route.digest),
                 (ELAPSED, b'%d' % int(elapsed_s * 1000)),
-                *more,
+                *extra_headers,
             ]
 
         suspect = loop.call_later(
@@ -342,41 +359,43 @@
                 call.request.method,
                 call.request.target,
                 call.request.body,
-                call.end - loop.time(),
+                call.expires_at - loop.time(),
                 make_headers,
                 call.request_id,
-                sign_s=round_trip_s + SIGN_S,
+                sign_s=round_trip_s + INTERIM_REPLY_TIMEOUT_S,
             )
         finally:
             suspect.cancel()
         match answer:
-            case result.Ok(reply) if reply.get_header(NOT_TAKEN) is None:
+            case result.Ok(reply) if reply.get_header(REFUSAL_REASON) is None:
                 self.coordinators.note_good(entry)
                 return answer
             case result.Ok(reply):
-                return self._note_not_taken(entry, reply)
+                return self._handle_refusal(entry, reply)
             case result.Err(problem):
                 skip_s = (
-                    coordinators.SKIP_S if problem.signed else SILENT_SKIP_S
+                    coordinators.SKIP_S
+                    if problem.signed
+                    else UNRESPONSIVE_SKIP_S
                 )
                 self.coordinators.skip(entry, problem.detail, skip_s)
                 return answer
 
-    def _note_not_taken(
+    def _handle_refusal(
         self, entry: fleet.HostEntry, reply: messages.Reply
     ) -> result.Err[caller.NoReply]:
-        """Pass over a host that has sent a query back, by its reason."""
-        why = (reply.get_header(NOT_TAKEN) or b'').decode('latin-1')
-        if not _REASON.fullmatch(why):
-            why = 'no reason that is known'
-        detail = f'did not take a query: {why}'
-        is_full = why.startswith(NotTaken.FULL.value)
-        pause_s = FULL_PAUSE_S if is_full else NOT_TAKEN_PAUSE_S
+        """Skip a host that refused a query, for a time set by its reason."""
+        reason = (reply.get_header(REFUSAL_REASON) or b'').decode('latin-1')
+        if not _REASON_PATTERN.fullmatch(reason):
+            reason = 'no reason that is known'
+        detail = f'did not take a query: {reason}'
+        is_full = reason.startswith(RefusalReason.FULL.value)
+        pause_s = FULL_PAUSE_S if is_full else REFUSAL_PAUSE_S
         self.coordinators.pause(entry, detail, pause_s)
         return result.Err(caller.NoReply(False, detail))
 
     def close(self) -> None:
-        """Close the connections to other hosts."""
+        """Close all connections to other hosts."""
         for each in self._callers.values():
             each.close()
 
@@ -386,7 +405,9 @@
         passed = messages.pass_on(reply)
         detail = f'by {entry.host}'
         if reply.status != 200:
-            outcome = _OUTCOMES.get(reply.status, results.Outcome.LOST)
+            outcome = _OUTCOME_BY_STATUS.get(
+                reply.status, results.Outcome.LOST
+            )
             return results.Result(passed, outcome, detail)
         missing = int(reply.get_header(self._names.missing_parts) or b'0')
         stamps = reply.get_header(self._names.part_stamps) or b''
@@ -407,7 +428,7 @@
         if found is None:
             found = caller.HttpCaller(
                 core.split_address(entry.address),
-                _CONNECTIONS,
+                _MAX_CONNECTIONS,
                 self._names,
                 PEER_IDLE_S,
             )
@@ -415,38 +436,42 @@
         return found
 
 
-def name_missing(
+def make_missing_header(
     services: Iterable[routing.ServiceName],
 ) -> tuple[bytes, bytes]:
-    """Return the header that names the shards which a part lacks."""
-    return MISSING, ','.join(services).encode()
+    """Return the header that lists the missing shards of a part."""
+    return MISSING_SHARDS, ','.join(services).encode()
 
 
-def name_ended(lives: Iterable[core.UpstreamLife]) -> tuple[bytes, bytes]:
-    """Return the header that says which upstreams ended under a query."""
-    return HELD, ','.join(lives).encode()
+def make_ended_header(
+    lives: Iterable[core.UpstreamLife],
+) -> tuple[bytes, bytes]:
+    """Return the header that lists upstreams that ended during a query."""
+    return ENDED_UPSTREAMS, ','.join(lives).encode()
 
 
-def read_ended(reply: messages.Reply) -> tuple[core.UpstreamLife, ...] | None:
-    """Return the upstreams that ended under a query; None if none is held."""
-    listed = reply.get_header(HELD)
+def parse_ended_header(
+    reply: messages.Reply,
+) -> tuple[core.UpstreamLife, ...] | None:
+    """Return the upstreams that ended during a query, None if not given."""
+    listed = reply.get_header(ENDED_UPSTREAMS)
     if listed is None:
         return None
-    return tuple(core.UpstreamLife(life) for life in _split(listed))
+    return tuple(core.UpstreamLife(life) for life in _split_list(listed))
 
 
-def split_names(listed: bytes) -> tuple[routing.ServiceName, ...]:
-    """Return the services that a header names."""
-    return tuple(routing.ServiceName(name) for name in _split(listed))
+def parse_service_names(listed: bytes) -> tuple[routing.ServiceName, ...]:
+    """Return the services listed in a header."""
+    return tuple(routing.ServiceName(name) for name in _split_list(listed))
 
 
-def _split(listed: bytes) -> list[str]:
+def _split_list(listed: bytes) -> list[str]:
     return [each for each in listed.decode('latin-1').split(',') if each]
 
 
-def refuse_delegated(
-    names: dialect.HeaderNames, why: NotTaken, detail: str = ''
+def make_refusal(
+    names: dialect.HeaderNames, reason: RefusalReason, detail: str = ''
 ) -> messages.Reply:
-    """Return the reply that sends a query back to the host it came from."""
-    said = f'{why.value} {detail}'.strip().encode('latin-1')
-    return messages.Reply(503, [(NOT_TAKEN, said), (names.not_run, b'1')])
+    """Return the reply that refuses a delegated query."""
+    said = f'{reason.value} {detail}'.strip().encode('latin-1')
+    return messages.Reply(503, [(REFUSAL_REASON, said), (names.not_run, b'1')])
--- a/rudderrock/gateway/forwarding/_forward.py
+++ b/rudderrock/gateway/forwarding/_forward.py
@@ -1,4 +1,4 @@
-"""Carrying one call to its services, until enough of them have answered."""
+"""Sending one call to its services until enough of them have answered."""
 
 import asyncio
 import dataclasses
@@ -7,130 +7,139 @@
 from rudderrock.gateway.forwarding import _calls as calls
 from rudderrock.gateway.forwarding import _delegate as delegate
 from rudderrock.gateway.forwarding import _parts as parts
-from rudderrock.gateway.forwarding import _pursuit as pursuit
 from rudderrock.gateway.forwarding import _results as results
+from rudderrock.gateway.forwarding import _service_call as service_call
 from rudderrock.gateway.http import _messages as messages
 from rudderrock.gateway.knowledge import _place as place
 from rudderrock.gateway.knowledge import _routing as routing
 
-# The part of first attempts that shall be late, and so be hedged. Extra
-# requests are bounded by their budget; this keeps hedges well within it.
-LATE_PART = 0.05
-# Where the late point starts and how far it moves, as parts of the goal.
-LATE_START = 0.3
-LATE_LOWEST = 0.12
-LATE_HIGHEST = 0.4
-# If more than this part of a query's shards is late at once, the cause is
-# common (this host's link, or everything is slow) and hedges would add to
-# it. The question is put again after this part of the goal.
-COMMON_PART = 0.3
-ASK_AGAIN = 0.08
-# Hedges begin no later than at this part of the goal.
-LAST_HEDGE = 0.6
-# An answer leaves this long before the goal or the end, in seconds, for the
-# way back to the caller, the way there that its own clock has counted, and a
-# busy core. With 12 ms a third more answers were late, with 23 ms the shards
-# that were given up outweighed the answers gained (docs/benchmarks.md, figures
-# of thresholds).
-MARGIN_S = 0.018
-
-
-class LatePoints:
-    """For each route the latency beyond which an attempt counts as late.
-
-    A route whose goal changes begins anew, since the goal bounds the point.
+# Target fraction of first attempts that are late and therefore hedged. It
+# keeps hedges well within the budget of extra requests.
+HEDGE_FRACTION = 0.05
+# Initial value and bounds of the hedge threshold, as fractions of the goal.
+THRESHOLD_START_FRACTION = 0.3
+THRESHOLD_MIN_FRACTION = 0.12
+THRESHOLD_MAX_FRACTION = 0.4
+# If more than this fraction of a query's shards is late at once, the cause is
+# common (this host's link, or all upstreams are slow) and hedges would make it
+# worse. The check is repeated after `RECHECK_FRACTION` of the goal.
+COMMON_CAUSE_FRACTION = 0.3
+RECHECK_FRACTION = 0.08
+# A repeated check, and the hedges it sends, must start before this fraction of
+# the goal.
+HEDGE_CUTOFF_FRACTION = 0.6
+# An answer is sent this long before the goal or the deadline. The margin
+# covers the network time in both directions, which the caller's clock
+# includes, and a busy core. With 12 ms a third more answers were late. With
+# 23 ms the loss from abandoned shards outweighed the additional answers in
+# time (docs/benchmarks.md, figures of thresholds).
+REPLY_MARGIN_S = 0.018
+
+
+class HedgeThresholds:
+    """Holds for each route the latency above which an attempt is late.
+
+    If the goal of a route changes, its threshold starts again at the initial
+    value, because the goal bounds the threshold.
     """
 
     def __init__(self) -> None:
-        self._points: dict[
+        self._thresholds: dict[
             tuple[routing.RouteName, float], core.LatePoint
         ] = {}
 
     def get(self, route: routing.Route) -> core.LatePoint:
-        """Return a route's late point."""
+        """Return the hedge threshold of a route."""
         key = (route.name, route.goal_s)
-        point = self._points.get(key)
-        if point is None:
-            point = core.LatePoint(
-                LATE_PART,
-                start=LATE_START * route.goal_s,
-                lowest=LATE_LOWEST * route.goal_s,
-                highest=LATE_HIGHEST * route.goal_s,
+        threshold = self._thresholds.get(key)
+        if threshold is None:
+            threshold = core.LatePoint(
+                HEDGE_FRACTION,
+                start=THRESHOLD_START_FRACTION * route.goal_s,
+                lowest=THRESHOLD_MIN_FRACTION * route.goal_s,
+                highest=THRESHOLD_MAX_FRACTION * route.goal_s,
             )
-            self._points[key] = point
-        return point
+            self._thresholds[key] = threshold
+        return threshold
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Whole:
-    """All services of a query; `least` answers are enough at the goal."""
+class WholeQuery:
+    """All `total` services of a query.
+
+    Once the latency goal is reached, `min_answers` answers are enough.
+    """
 
     total: int
-    least: int
+    min_answers: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Portion:
-    """Some services of a query that another host has.
+class QueryPart:
+    """Some services of a query that another host runs.
 
-    `total` are all of the query. `least` answers are enough at the goal;
-    with fewer, the others are still of use to that host.
+    `total` counts all services of the query. Once the latency goal is
+    reached, `min_answers` answers are enough. Fewer answers are still useful
+    to the other host.
     """
 
     total: int
-    least: int
+    min_answers: int
 
 
-Extent = Whole | Portion
+QueryScope = WholeQuery | QueryPart
 
 
 class Forwarder:
     """Sends one call to all its services and waits for the answers.
 
-    One future is awaited; outcomes and timers complete it. With a
-    `delegation`, services whose nearest upstreams are in another zone are
-    asked by a host there, many with one message.
+    `run` awaits a single future, which outcomes and timers complete. With a
+    `delegation`, a host in another zone queries the services whose nearest
+    upstreams are in that zone. One message to it covers many services.
     """
 
     def __init__(
         self,
-        tools: calls.Tools,
+        context: calls.ForwardingContext,
         call: calls.Call,
         services: tuple[routing.ServiceName, ...],
-        point: core.LatePoint,
-        extent: Extent,
+        threshold: core.LatePoint,
+        scope: QueryScope,
         delegation: delegate.Delegation | None = None,
     ):
-        self.pursuits = [
-            pursuit.Pursuit(tools, call, service, self._on_settled)
+        self.service_calls = [
+            service_call.ServiceCall(context, call, service, self._on_settled)
             for service in services
         ]
         self.parts: list[parts.Part] = []
         self.timed_out = False
-        # What was missing at the goal, if that was too much.
+        # Description of the missing services, if there were too many of them
+        # when the latency goal was reached.
         self.waited_for = ''
-        self._tools = tools
+        self._context = context
         self._call = call
-        self._point = point
-        self._extent = extent
+        self._threshold = threshold
+        self._scope = scope
         self._delegation = delegation
-        self._open = len(services)
+        self._open_count = len(services)
         self._failed = 0
-        self._noted_late = False
+        self._late_recorded = False
         self._timers: list[asyncio.TimerHandle] = []
         self._tasks: list[asyncio.Task] = []
-        self._finished: asyncio.Future[None] = tools.loop.create_future()
+        self._finished: asyncio.Future[None] = context.loop.create_future()
 
     async def run(self) -> None:
-        """Return when the answer is there, or nothing better will come."""
-        if not self.pursuits or self._lacks_too_many():
+        """Run the call until it has enough answers, fails or expires."""
+        if not self.service_calls or self._skip_if_unsatisfiable():
             return
-        loop = self._tools.loop
+        loop = self._context.loop
         call = self._call
         self._timers = [
-            loop.call_at(loop.time() + call.late_s, self._on_late),
-            loop.call_at(min(call.goal_at, call.end), self._settle_for_enough),
-            loop.call_at(call.end, self._time_out),
+            loop.call_at(loop.time() + call.late_after_s, self._on_late),
+            loop.call_at(
+                min(call.goal_at, call.expires_at), self._finish_if_sufficient
+            ),
+            loop.call_at(call.expires_at, self._time_out),
         ]
         try:
             self._start()
@@ -140,139 +149,151 @@
                 timer.cancel()
             for task in self._tasks:
                 task.cancel()
-            for each in self.pursuits:
+            for each in self.service_calls:
                 if not each.settled:
-                    each.give_up()
+                    each.abort()
             call.canary.finish()
 
     def count_answers(self) -> int:
         """Return how many services have answered."""
-        return sum(each.has_answer for each in self.pursuits)
+        return sum(each.has_answer for each in self.service_calls)
 
     def _start(self) -> None:
-        """Ask for parts in other zones, and send the rest."""
-        # A suspect is sent to one upstream alone; each part would send it too.
+        """Request the parts in other zones and send the remaining calls."""
+        # A suspect request is sent to a single upstream at a time. Each part
+        # would send it to another one.
         if self._delegation is not None and not self._call.canary.is_suspect:
             self.parts = parts.plan_parts(
-                self._tools.book, self._call, self.pursuits, self._delegation
+                self._context.book,
+                self._call,
+                self.service_calls,
+                self._delegation,
             )
         for part in self.parts:
-            part.begin()
+            part.mark_delegated()
             fetch = part.fetch(self._delegation, self._call)
-            self._tasks.append(self._tools.loop.create_task(fetch))
-        for each in self._order_starts():
+            self._tasks.append(self._context.loop.create_task(fetch))
+        for each in self._order_first_attempts():
             each.start()
 
-    def _order_starts(self) -> list[pursuit.Pursuit]:
-        """Return what to ask from here; a canary goes to the first."""
-        here = [each for each in self.pursuits if not each.is_elsewhere]
+    def _order_first_attempts(self) -> list[service_call.ServiceCall]:
+        """Return the service calls that this host sends itself, in order.
+
+        The first one sends the canary of a suspect request, so services with
+        the most live upstreams come first in that case.
+        """
+        here = [each for each in self.service_calls if not each.is_delegated]
         if self._call.canary.is_suspect:
             here.sort(key=lambda each: each.count_live(), reverse=True)
         return here
 
-    def _lacks_too_many(self) -> bool:
-        """Tell whether too few services have upstreams, and send nothing.
+    def _skip_if_unsatisfiable(self) -> bool:
+        """Skip all services and return True if too few have upstreams.
 
-        Just after an outage of the registry some may not be back yet; work
-        that has to be broken off at once would help nobody.
+        Shortly after an outage of the registry, upstreams may still be
+        missing. Sending requests that must be cancelled would waste work.
         """
-        book = self._tools.book
+        book = self._context.book
         lacking = [
             each
-            for each in self.pursuits
+            for each in self.service_calls
             if not book.has_ready(each.service, self._call.route.residency)
         ]
-        if self._may_suffice(len(lacking)):
+        if self._can_still_succeed(len(lacking)):
             return False
-        for each in self.pursuits:
+        for each in self.service_calls:
             each.skip('not asked')
         for each in lacking:
-            each.skip(pursuit.NO_UPSTREAM)
+            each.skip(service_call.NO_UPSTREAM)
         return True
 
-    def _may_suffice(self, failed: int) -> bool:
-        """Tell whether enough can still come when so many have failed.
+    def _can_still_succeed(self, failed: int) -> bool:
+        """Return whether enough services can answer after some failed.
 
-        For another host anything is of use.
+        For a part of another host's query, any answer is enough.
         """
-        match self._extent:
-            case Whole(least=least):
-                return len(self.pursuits) - failed >= least
-            case Portion():
+        match self._scope:
+            case WholeQuery(min_answers=min_answers):
+                return len(self.service_calls) - failed >= min_answers
+            case QueryPart():
                 return True
 
-    def _on_settled(self, settled: pursuit.Pursuit) -> None:
-        self._open -= 1
+    def _on_settled(self, settled: service_call.ServiceCall) -> None:
+        self._open_count -= 1
         self._failed += not settled.has_answer
-        if not settled.is_late and not settled.was_elsewhere:
-            self._point.note(False)
-        if self._open == 0 or not self._may_suffice(self._failed):
+        if not settled.is_late and not settled.was_delegated:
+            self._threshold.note(False)
+        if self._open_count == 0 or not self._can_still_succeed(self._failed):
             self._finish()
-        elif self._tools.loop.time() >= self._call.goal_at:
-            self._settle_for_enough()
+        elif self._context.loop.time() >= self._call.goal_at:
+            self._finish_if_sufficient()
 
-    def _settle_for_enough(self) -> None:
-        if self.count_answers() >= self._extent.least:
+    def _finish_if_sufficient(self) -> None:
+        if self.count_answers() >= self._scope.min_answers:
             self._finish()
         elif not self.waited_for:
-            self.waited_for = results.join_some(
+            self.waited_for = results.join_truncated(
                 each.describe_wait()
-                for each in self.pursuits
+                for each in self.service_calls
                 if not each.has_answer
             )
 
-    def _list_waiting(self) -> list[pursuit.Pursuit]:
-        """Return what this host itself has sent and has no answer to."""
+    def _list_unanswered(self) -> list[service_call.ServiceCall]:
+        """Return the unsettled service calls that this host sent itself."""
         return [
             each
-            for each in self.pursuits
-            if not each.settled and not each.is_elsewhere
+            for each in self.service_calls
+            if not each.settled and not each.is_delegated
         ]
 
-    def _is_common(self, late: int) -> bool:
-        """Tell whether so many are late that the cause must be common."""
-        return late > max(1, COMMON_PART * self._extent.total)
+    def _has_common_cause(self, late: int) -> bool:
+        """Return whether so many are late that the cause must be common."""
+        return late > max(1, COMMON_CAUSE_FRACTION * self._scope.total)
 
     def _on_late(self) -> None:
-        late = self._list_waiting()
-        if not self._noted_late:
-            self._noted_late = True
+        late = self._list_unanswered()
+        if not self._late_recorded:
+            self._late_recorded = True
             for each in late:
                 each.is_late = True
-                self._point.note(True)
-        if self._is_common(len(late)):
-            self._look_again()
+                self._threshold.note(True)
+        if self._has_common_cause(len(late)):
+            self._schedule_late_check()
             return
-        if self._lacks_evidence() and self._look_again():
+        if self._has_no_answer_yet() and self._schedule_late_check():
             return
-        # Each one is worth an extra request, also into another region: where
-        # wide queries were spared one of them, 1,101 of 1,531 answers left
-        # shards out, not some 500 of 1,540 (single runs with 62 hosts).
+        # Every late shard is worth an extra request, even to another region.
+        # When wide queries sent one hedge less, 1,101 of 1,531 answers lacked
+        # shards instead of about 500 of 1,540 (single runs with 62 hosts).
         for each in late:
             each.hedge()
 
-    def _lacks_evidence(self) -> bool:
-        """Tell whether nothing says that any upstream can answer the call.
+    def _has_no_answer_yet(self) -> bool:
+        """Return whether no upstream has answered a call of many services.
 
-        Hedges of all its shards at once took the last upstream of each one
-        when the call crashed them: 36 of 56 upstreams in place of 28 (a
-        scenario of 28 shards, 8 of them in a part). So they wait, until the
-        last moment for hedges if need be: where the first upstreams of the
-        part are all dark, its query took 0.28 s, not 0.16 s, of a goal of
-        0.5 s. One hedge alone beforehand: 29 upstreams, and 0.2 s.
+        If the call crashes upstreams, hedging all shards at once also crashes
+        the last upstream of each shard: 36 of 56 upstreams instead of 28, in a
+        scenario of 28 shards with 8 of them in a part. Hedges therefore wait
+        for a first answer, at most until `HEDGE_CUTOFF_FRACTION` of the goal.
+        The cost: if the first upstreams of the part are all unreachable, its
+        query takes 0.28 s instead of 0.16 s, of a goal of 0.5 s. Sending a
+        single hedge beforehand crashed 29 upstreams and took 0.2 s.
         """
-        return len(self.pursuits) > 1 and not self._call.canary.is_answered
+        return (
+            len(self.service_calls) > 1 and not self._call.canary.is_answered
+        )
 
-    def _look_again(self) -> bool:
-        """Look for what is late once more soon, unless it is too late.
+    def _schedule_late_check(self) -> bool:
+        """Schedule another check for late attempts.
 
-        Tells whether that will be.
+        Return whether a check was scheduled; past `HEDGE_CUTOFF_FRACTION` of
+        the goal, none is.
         """
-        loop = self._tools.loop
+        loop = self._context.loop
         call = self._call
         goal_s = call.route.goal_s
-        again = loop.time() + ASK_AGAIN * goal_s
-        if again >= call.request.arrived + LAST_HEDGE * goal_s:
+        again = loop.time() + RECHECK_FRACTION * goal_s
+        if again >= call.request.arrived + HEDGE_CUTOFF_FRACTION * goal_s:
             return False
         self._timers.append(loop.call_at(again, self._on_late))
         return True
@@ -287,15 +308,17 @@
 
 
 async def forward_to_one(
-    tools: calls.Tools,
+    context: calls.ForwardingContext,
     call: calls.Call,
     service: routing.ServiceName,
-    point: core.LatePoint,
+    threshold: core.LatePoint,
 ) -> results.Result:
-    """Forward to one service and pass its answer on unchanged."""
-    forwarder = Forwarder(tools, call, (service,), point, Whole(1, 1))
+    """Forward a call to one service and return its answer unchanged."""
+    forwarder = Forwarder(
+        context, call, (service,), threshold, WholeQuery(1, 1)
+    )
     await forwarder.run()
-    only = forwarder.pursuits[0]
+    only = forwarder.service_calls[0]
     late = int(only.is_late)
     if only.answer is not None:
         reply = messages.pass_on(only.answer)
@@ -305,7 +328,7 @@
             answered=1,
             late=late,
             lost=only.lost,
-            far=count_far([only]),
+            far=count_cross_region([only]),
         )
     if only.failure is not None:
         reply = messages.pass_on(only.failure)
@@ -317,7 +340,7 @@
             lost=only.lost,
         )
     found = results.explain_failure(
-        tools.names,
+        context.names,
         call.request_id,
         may_have_run([only]),
         forwarder.timed_out,
@@ -327,17 +350,17 @@
     return dataclasses.replace(found, late=late, lost=only.lost)
 
 
-def may_have_run(pursuits: list[pursuit.Pursuit]) -> bool:
-    """Tell whether any upstream may have run a part of a call."""
+def may_have_run(service_calls: list[service_call.ServiceCall]) -> bool:
+    """Return whether any upstream may have run a part of a call."""
     return any(
-        each.has_answer or each.may_have_run or each.was_cut
-        for each in pursuits
+        each.has_answer or each.may_have_run or each.was_cancelled
+        for each in service_calls
     )
 
 
-def count_far(pursuits: list[pursuit.Pursuit]) -> int:
-    """Return how many answers came from another region."""
+def count_cross_region(service_calls: list[service_call.ServiceCall]) -> int:
+    """Return the number of answers that came from another region."""
     return sum(
         each.winner is not None and each.winner.distance == place.FARTHEST
-        for each in pursuits
+        for each in service_calls
     )
--- a/rudderrock/gateway/forwarding/_gateway.py
+++ b/rudderrock/gateway/forwarding/_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway of one host: from a caller's request to its reply."""
+"""The gateway of one host, which answers the requests of callers."""
 
 import asyncio
 import collections
@@ -21,8 +21,8 @@
 from rudderrock.gateway.forwarding import _delegate as delegate
 from rudderrock.gateway.forwarding import _forward as forward
 from rudderrock.gateway.forwarding import _gather as gather
-from rudderrock.gateway.forwarding import _pursuit as pursuit
 from rudderrock.gateway.forwarding import _results as results
+from rudderrock.gateway.forwarding import _service_call as service_call
 from rudderrock.gateway.forwarding import _zones as zones
 from rudderrock.gateway.http import _digest as digest
 from rudderrock.gateway.http import _messages as messages
@@ -36,19 +36,19 @@
 from rudderrock.gateway.knowledge import _routing as routing
 from rudderrock.gateway.knowledge import _sources as sources
 
-# How soon a caller may come back to a host that knows no routes yet, or
-# that is about to stop; seconds.
-NOT_READY_RETRY_S = 0.3
-# How often connections that are of no more use are looked for, seconds.
-SWEEP_EVERY_S = 0.25
-# How often connections for hedges are looked after, in seconds: an idle one is
-# closed after 7.5 s, so for a seventh of that at most there is none.
-WARM_EVERY_S = 1.0
+# Value of retry-after while a host does not know all routes, upstreams and
+# evacuations yet.
+NOT_READY_RETRY_AFTER_S = 0.3
+# Interval between searches for connections that are no longer needed.
+SWEEP_INTERVAL_S = 0.25
+# Interval at which connections for hedges are renewed. An idle connection is
+# closed after 7.5 s, so one is missing for at most a seventh of the time.
+WARM_INTERVAL_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Parts:
-    """What the composition root has made for a gateway."""
+    """Dependencies of a gateway, created by the composition root."""
 
     tables: sources.TableHolder
     evacuations: evacuations.EvacuationHolder
@@ -99,7 +99,7 @@
             self._connections,
             self.cold_limits,
             parts.hosts.own.host,
-            # Each host makes its trials at a moment of its own.
+            # A random delay keeps hosts from sending canaries at once.
             functools.partial(
                 parts.quarantine.has_ended,
                 lag_s=parts.chance.uniform(0.0, canary.TRIAL_SPREAD_S),
@@ -114,13 +114,13 @@
         self.takes_delegated = True
         self._config = config
         self._parts = parts
-        self._points = forward.LatePoints()
+        self._thresholds = forward.HedgeThresholds()
         self._budgets: dict[routing.ServiceName, budget.ExtraBudget] = {}
-        self._turns: dict[
+        self._split_counts: dict[
             routing.RouteName, collections.Counter[routing.ServiceName]
         ] = {}
         self.checker = reach.ReachChecker(asyncio.get_running_loop())
-        self._tools = calls.Tools(
+        self._context = calls.ForwardingContext(
             asyncio.get_running_loop(),
             config.names,
             self.book,
@@ -128,24 +128,24 @@
             self.counters,
             self.checker,
         )
-        parts.tables.add_listener(self._on_table)
-        parts.hosts.add_listener(self._on_hosts)
-        zone_keeper = zones.Zones(
+        parts.tables.add_listener(self._on_table_change)
+        parts.hosts.add_listener(self._on_hosts_change)
+        zone_policy = zones.ZonePolicy(
             parts.listing,
             config.place,
             self._connections.find_service,
             parts.events,
         )
-        parts.tables.add_listener(zone_keeper.check_table)
-        parts.evacuations.add_listener(zone_keeper.apply_evacuations)
+        parts.tables.add_listener(zone_policy.check_table)
+        parts.evacuations.add_listener(zone_policy.apply_evacuations)
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether routes and upstreams are known."""
+        """Return whether routes, upstreams and evacuations are known."""
         return self._parts.first.is_complete
 
-    def _on_hosts(self) -> None:
-        """Share budgets and connections anew among the hosts."""
+    def _on_hosts_change(self) -> None:
+        """Redistribute budgets and connections among the hosts."""
         self._share_slack()
         self.book.set_caps()
         self._connections.warm(self.book)
@@ -155,41 +155,49 @@
             each.slack = self.get_extra_slack(service)
 
     async def sweep(self) -> None:
-        """Close connections that are of no more use, until cancelled."""
+        """Close connections that are no longer needed, until cancelled."""
         while True:
-            await asyncio.sleep(SWEEP_EVERY_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             self.book.sweep()
 
     async def warm_hedges(self) -> None:
-        """Keep the connections that hedges will need, until cancelled."""
+        """Keep connections open for hedges, until cancelled."""
         while True:
-            await asyncio.sleep(WARM_EVERY_S)
+            await asyncio.sleep(WARM_INTERVAL_S)
             for service in self._connections.list_wanted(self.book):
                 self.book.warm_hedge(service)
 
     async def handle_delegated(
         self, request: messages.Request
     ) -> messages.Reply:
-        """Answer a wide query that another host has handed over.
+        """Answer a wide query that another host has delegated.
 
-        It is sent back if this host stops, has an older table or no room.
+        The query is refused if this host is stopping or full, has no table,
+        or has an older table that defines the route differently. A query with
+        a list of shards is also refused if a newer table defines the route
+        differently.
         """
         version = request.get_header(delegate.VERSION) or b''
         names = self._config.names
         table = self._parts.tables.current
         if not self.takes_delegated:
-            return delegate.refuse_delegated(names, delegate.NotTaken.STOPPING)
+            return delegate.make_refusal(
+                names, delegate.RefusalReason.STOPPING
+            )
         if table is None or not version.isdigit():
-            return delegate.refuse_delegated(names, delegate.NotTaken.TABLE)
+            return delegate.make_refusal(names, delegate.RefusalReason.TABLE)
         listed = request.get_header(delegate.SHARDS)
-        # Some shards are named by the table that the other host uses.
-        newer = listed is None and table.version > int(version)
-        if not (newer or self._means_same(table, request, int(version))):
-            return delegate.refuse_delegated(names, delegate.NotTaken.TABLE)
-        if not self._takes_now(table, request):
-            return delegate.refuse_delegated(
+        # A list of shards refers to the table of the delegating host.
+        has_newer_table = listed is None and table.version > int(version)
+        if not (
+            has_newer_table
+            or self._has_same_meaning(table, request, int(version))
+        ):
+            return delegate.make_refusal(names, delegate.RefusalReason.TABLE)
+        if not self._has_room_for(table, request):
+            return delegate.make_refusal(
                 names,
-                delegate.NotTaken.FULL,
+                delegate.RefusalReason.FULL,
                 f'{1000 * self.work.get_delay_s():.0f} ms',
             )
         elapsed = request.get_header(delegate.ELAPSED) or b''
@@ -200,23 +208,25 @@
             return await self.handle(
                 request,
                 may_delegate=False,
-                shards=delegate.split_names(listed or b''),
+                shards=delegate.parse_service_names(listed or b''),
             )
         finally:
             self.delegated -= 1
 
-    def _means_same(
+    def _has_same_meaning(
         self,
         table: routing.RoutingTable,
         request: messages.Request,
         version: int,
     ) -> bool:
-        """Tell whether a query means the same by this table as by another's.
-
-        Most versions change something else: while three of them came each
-        second 49 queries and parts were sent back within 4 s, and their
-        shards were asked from another region instead. The part of requests in
-        time on that day rose from 0.91 to 0.92 (60 hosts, one run each).
+        """Return whether both hosts' tables define the query's route equally.
+
+        Most table versions leave a given route unchanged. With a comparison
+        of versions only and three new versions per second, 49 queries and
+        parts were refused within 4 s, and their shards were queried from
+        another region. With the comparison of routes, the fraction of
+        requests answered in time rose from 0.91 to 0.92 (60 hosts, one run
+        each).
         """
         if table.version == version:
             return True
@@ -224,10 +234,10 @@
         digest = request.get_header(delegate.ROUTE)
         return route is not None and route.digest == digest
 
-    def _takes_now(
+    def _has_room_for(
         self, table: routing.RoutingTable, request: messages.Request
     ) -> bool:
-        """Tell whether a query that is handed over has room here."""
+        """Return whether this host has capacity for a delegated query."""
         if request.get_header(delegate.MUST_RUN) is not None:
             return True
         route = self._find_route(table, request)
@@ -239,9 +249,9 @@
         may_delegate: bool = True,
         shards: tuple[routing.ServiceName, ...] = (),
     ) -> messages.Reply:
-        """Answer one request; log and count how it ended.
+        """Answer one request, and log and count its outcome.
 
-        `shards` are the only ones to ask, if there are any.
+        If `shards` is not empty, only these shards are queried.
         """
         if not self.is_ready:
             await self._parts.first.wait()
@@ -257,7 +267,7 @@
                 table, route, request, may_delegate, shards
             )
         finally:
-            self._note(table, route, request, found)
+            self._record(table, route, request, found)
         return found.reply
 
     async def _answer(
@@ -276,7 +286,7 @@
             return results.refuse(
                 names,
                 request_id,
-                NOT_READY_RETRY_S,
+                NOT_READY_RETRY_AFTER_S,
                 results.Outcome.NOT_READY,
             )
         if route is None:
@@ -286,43 +296,50 @@
             deadline_s = route.timeout_s
         probe = self._make_canary(request, is_part=bool(shards))
         if probe.standing is quarantine.Standing.QUARANTINED:
-            return self._keep_back(request_id, probe, shards)
+            return self._refuse_quarantined(request_id, probe, shards)
         call = self._make_call(request, request_id, route, deadline_s, probe)
-        point = self._points.get(route)
+        threshold = self._thresholds.get(route)
         match route.target:
             case routing.Single(service=service):
                 return await forward.forward_to_one(
-                    self._tools, call, service, point
+                    self._context, call, service, threshold
                 )
             case routing.Split():
-                service = self._take_turn(route, route.target)
+                service = self._choose_share(route, route.target)
                 return await forward.forward_to_one(
-                    self._tools, call, service, point
+                    self._context, call, service, threshold
                 )
             case routing.Scatter() if shards:
                 kind = work.Kind(route.name, is_part=True)
                 self.work.note_begun(kind, len(shards))
-                least = request.get_header(delegate.LEAST) or b'1'
-                found = await gather.answer_portion(
-                    self._tools, call, route.target, point, shards, int(least)
+                min_answers = request.get_header(delegate.MIN_ANSWERS) or b'1'
+                found = await gather.answer_part(
+                    self._context,
+                    call,
+                    route.target,
+                    threshold,
+                    shards,
+                    int(min_answers),
+                )
+                self.work.note_ended(
+                    kind, found.requests_sent, found.bytes_received
                 )
-                self.work.note_ended(kind, found.asked, found.received)
                 return found
             case routing.Scatter():
                 rank = table.get_rank(route)
-                if may_delegate and self._may_hand_over(route):
+                if may_delegate and self._is_delegable(route):
                     return await self._run_wide(
-                        call, route.target, point, rank
+                        call, route.target, threshold, rank
                     )
                 return await self._run_admitted(
-                    call, route.target, point, rank
+                    call, route.target, threshold, rank
                 )
 
-    def _may_hand_over(self, route: routing.Route) -> bool:
-        """Tell whether another host of this zone may run a query.
+    def _is_delegable(self, route: routing.Route) -> bool:
+        """Return whether another host of this zone may run a query.
 
-        Where its data must not be, only the host that the caller has chosen
-        may have it.
+        In a zone outside the route's data residency, only the host that the
+        caller has chosen may process the query.
         """
         config = self._config.place
         return self._connections.is_wide(
@@ -333,36 +350,40 @@
         self,
         call: calls.Call,
         scatter: routing.Scatter,
-        point: core.LatePoint,
+        threshold: core.LatePoint,
         rank: int,
     ) -> results.Result:
-        """Have a wide query run by a host that has room, else run it here."""
+        """Delegate a wide query to a host with capacity, or run it here."""
         is_last = False
         tried: tuple[core.HostId, ...] = ()
         while not is_last:
             has_room = self.work.has_room(call.route.goal_s)
-            turn = self.delegation.choose(call.request_id, has_room, tried)
-            if turn is None:
+            candidate = self.delegation.choose(
+                call.request_id, has_room, tried
+            )
+            if candidate is None:
                 break
-            match await self.delegation.run(turn, call):
-                case delegate.Unbegun(sent=True):
-                    call = dataclasses.replace(call, is_again=True)
+            match await self.delegation.run(candidate, call):
+                case delegate.NotStarted(sent=True):
+                    call = dataclasses.replace(
+                        call, may_have_run_elsewhere=True
+                    )
                     break
-                case delegate.Unbegun():
-                    tried = (*tried, turn.entry.host)
+                case delegate.NotStarted():
+                    tried = (*tried, candidate.entry.host)
                 case found:
                     return found
-            is_last = turn.is_last
-        return await self._run_admitted(call, scatter, point, rank)
+            is_last = candidate.is_last
+        return await self._run_admitted(call, scatter, threshold, rank)
 
     async def _run_admitted(
         self,
         call: calls.Call,
         scatter: routing.Scatter,
-        point: core.LatePoint,
+        threshold: core.LatePoint,
         rank: int,
     ) -> results.Result:
-        """Run a query over shards, if there is room for it."""
+        """Run a query over shards if admission control allows it."""
         gate = self.admission.get_gate(scatter.shards)
         if not self.admission.try_enter(gate, rank):
             return results.refuse(
@@ -378,9 +399,11 @@
         self.work.note_begun(kind, len(scatter.shards))
         try:
             found = await gather.forward_to_all(
-                self._tools, call, scatter, point, self.delegation
+                self._context, call, scatter, threshold, self.delegation
+            )
+            self.work.note_ended(
+                kind, found.requests_sent, found.bytes_received
             )
-            self.work.note_ended(kind, found.asked, found.received)
             elapsed_s = self._parts.clock.now() - call.request.arrived
             congested = admission.is_congested(
                 found.late, found.shards, elapsed_s, call.route.goal_s
@@ -398,16 +421,18 @@
         probe: canary.Canary,
     ) -> calls.Call:
         names = self._config.names
-        patience_s = min(deadline_s, route.timeout_s) - forward.MARGIN_S
+        time_limit_s = (
+            min(deadline_s, route.timeout_s) - forward.REPLY_MARGIN_S
+        )
         set_here = {names.deadline_ms, names.expected_upstream}
         set_here |= delegate.OWN_HEADERS
         return calls.Call(
             request=request,
             request_id=request_id,
             route=route,
-            end=request.arrived + patience_s,
-            goal_at=request.arrived + route.goal_s - forward.MARGIN_S,
-            late_s=self._points.get(route).get(),
+            expires_at=request.arrived + time_limit_s,
+            goal_at=request.arrived + route.goal_s - forward.REPLY_MARGIN_S,
+            late_after_s=self._thresholds.get(route).get(),
             head=[
                 pair
                 for pair in messages.drop_connection_headers(request.headers)
@@ -426,16 +451,16 @@
             is_part,
         )
 
-    def _keep_back(
+    def _refuse_quarantined(
         self,
         request_id: bytes,
         probe: canary.Canary,
         shards: tuple[routing.ServiceName, ...],
     ) -> results.Result:
-        """Send a request to nobody, since upstreams have ended under it."""
+        """Refuse a request that is quarantined because it ends upstreams."""
         names = self._config.names
         if shards:
-            return gather.miss_portion(
+            return gather.refuse_part(
                 names, request_id, shards, probe.list_ended()
             )
         return results.refuse(
@@ -443,15 +468,19 @@
             request_id,
             probe.get_retry_after_s(),
             results.Outcome.QUARANTINED,
-            pursuit.QUARANTINED,
+            service_call.QUARANTINED,
         )
 
     def _digest_if_suspect(
         self, request: messages.Request, found: results.Result
     ) -> str:
-        """Return what tells copies of a request that lost upstreams."""
-        is_kept = found.outcome is results.Outcome.QUARANTINED
-        if not (found.lost or is_kept):
+        """Return the digest of a request with lost attempts, else ''.
+
+        Copies of the request have the same digest. It is also returned for a
+        quarantined request.
+        """
+        is_quarantined = found.outcome is results.Outcome.QUARANTINED
+        if not (found.lost or is_quarantined):
             return ''
         return digest.digest_request(request, self._config.names)
 
@@ -464,27 +493,29 @@
         path = request.target.partition(b'?')[0]
         return table.find_route(host.decode('latin-1'), path.decode('latin-1'))
 
-    def _take_turn(
+    def _choose_share(
         self, route: routing.Route, split: routing.Split
     ) -> routing.ServiceName:
-        """Return the share that is furthest behind its weight."""
-        turns = self._turns.setdefault(route.name, collections.Counter())
+        """Return the service with the fewest requests for its weight."""
+        counts = self._split_counts.setdefault(
+            route.name, collections.Counter()
+        )
         chosen = min(
             (share for share in split.shares if share.weight > 0),
-            key=lambda share: (turns[share.service] + 1) / share.weight,
+            key=lambda share: (counts[share.service] + 1) / share.weight,
         )
-        turns[chosen.service] += 1
+        counts[chosen.service] += 1
         return chosen.service
 
-    def _on_table(self, table: routing.RoutingTable) -> None:
-        self._turns.clear()
-        self._connections.take_table(table)
+    def _on_table_change(self, table: routing.RoutingTable) -> None:
+        self._split_counts.clear()
+        self._connections.update_table(table)
         self._share_slack()
         self.book.set_caps()
         self._connections.warm(self.book)
 
     def get_extra_slack(self, service: routing.ServiceName) -> float:
-        """Return the extra requests that are always allowed in a window."""
+        """Return how many extra requests a window always allows."""
         return self._connections.share_slack(service, self._config.extra_slack)
 
     def _get_budget(self, service: routing.ServiceName) -> budget.ExtraBudget:
@@ -499,7 +530,7 @@
             self._budgets[service] = found
         return found
 
-    def _note(
+    def _record(
         self,
         table: routing.RoutingTable | None,
         route: routing.Route | None,
@@ -541,7 +572,7 @@
 
 
 def _read_deadline(value: bytes | None) -> float | None:
-    """Return a deadline in seconds, or None if none was given."""
+    """Return the deadline in seconds, or None if missing or malformed."""
     if value is None or not value.strip().isdigit():
         return None
     return int(value) / 1000
--- a/rudderrock/gateway/forwarding/_gather.py
+++ b/rudderrock/gateway/forwarding/_gather.py
@@ -1,4 +1,4 @@
-"""Queries over many shards: asking all, and merging what they answer."""
+"""Scatter-gather queries: sending to all shards and merging the answers."""
 
 import dataclasses
 import math
@@ -7,46 +7,46 @@
 from rudderrock.gateway.forwarding import _calls as calls
 from rudderrock.gateway.forwarding import _delegate as delegate
 from rudderrock.gateway.forwarding import _forward as forward
-from rudderrock.gateway.forwarding import _pursuit as pursuit
 from rudderrock.gateway.forwarding import _records as records
 from rudderrock.gateway.forwarding import _results as results
+from rudderrock.gateway.forwarding import _service_call as service_call
 from rudderrock.gateway.http import _dialect as dialect
 from rudderrock.gateway.http import _messages as messages
 from rudderrock.gateway.knowledge import _routing as routing
 
 
-def count_least(shards: int, min_coverage: float) -> int:
-    """Return how many of some shards an answer must contain."""
+def count_min_answers(shards: int, min_coverage: float) -> int:
+    """Return how many of `shards` shards an answer must contain."""
     return max(1, math.ceil(shards * min_coverage - 1e-9))
 
 
 async def forward_to_all(
-    tools: calls.Tools,
+    context: calls.ForwardingContext,
     call: calls.Call,
     scatter: routing.Scatter,
-    point: core.LatePoint,
+    threshold: core.LatePoint,
     delegation: delegate.Delegation,
 ) -> results.Result:
-    """Forward to every shard and merge the records of the answers."""
+    """Forward a call to every shard and merge the records of the answers."""
     total = len(scatter.shards)
-    least = count_least(total, scatter.min_coverage)
-    call = dataclasses.replace(call, spared=total - least)
+    min_answers = count_min_answers(total, scatter.min_coverage)
+    call = dataclasses.replace(call, max_missing=total - min_answers)
     forwarder = forward.Forwarder(
-        tools,
+        context,
         call,
         scatter.shards,
-        point,
-        forward.Whole(total, least),
+        threshold,
+        forward.WholeQuery(total, min_answers),
         delegation,
     )
     await forwarder.run()
-    merged = _merge(tools, call, scatter, forwarder)
-    if merged.answered >= least:
+    merged = _merge(context, call, scatter, forwarder)
+    if merged.answered >= min_answers:
         return merged
     failed = results.explain_failure(
-        tools.names,
+        context.names,
         call.request_id,
-        forward.may_have_run(forwarder.pursuits),
+        forward.may_have_run(forwarder.service_calls),
         forwarder.timed_out,
         merged.detail,
         call.canary,
@@ -56,99 +56,101 @@
     )
 
 
-async def answer_portion(
-    tools: calls.Tools,
+async def answer_part(
+    context: calls.ForwardingContext,
     call: calls.Call,
     scatter: routing.Scatter,
-    point: core.LatePoint,
+    threshold: core.LatePoint,
     shards: tuple[routing.ServiceName, ...],
-    least: int,
+    min_answers: int,
 ) -> results.Result:
-    """Ask some shards for another host, and name those that are missing.
+    """Query some shards for another host, and list the missing ones.
 
-    `least` answers are enough at the goal.
+    Once the latency goal is reached, `min_answers` answers are enough.
     """
-    extent = forward.Portion(len(scatter.shards), least)
-    forwarder = forward.Forwarder(tools, call, shards, point, extent)
+    scope = forward.QueryPart(len(scatter.shards), min_answers)
+    forwarder = forward.Forwarder(context, call, shards, threshold, scope)
     await forwarder.run()
-    merged = _merge(tools, call, scatter, forwarder)
+    merged = _merge(context, call, scatter, forwarder)
     missing = [
-        each.service for each in forwarder.pursuits if not each.has_answer
+        each.service for each in forwarder.service_calls if not each.has_answer
     ]
-    merged.reply.headers.append(delegate.name_missing(missing))
+    merged.reply.headers.append(delegate.make_missing_header(missing))
     if missing and call.canary.is_held:
         merged.reply.headers.append(
-            delegate.name_ended(call.canary.list_ended())
+            delegate.make_ended_header(call.canary.list_ended())
         )
     return merged
 
 
-def miss_portion(
+def refuse_part(
     names: dialect.HeaderNames,
     request_id: bytes,
     shards: tuple[routing.ServiceName, ...],
     ended: list[core.UpstreamLife],
 ) -> results.Result:
-    """Answer another host that none of the shards is asked, and why."""
+    """Return an answer without any shard, because of `ended` upstreams."""
     headers = [
-        *_sign_parts(names, request_id, [], len(shards)),
-        delegate.name_missing(shards),
-        delegate.name_ended(ended),
+        *_make_part_headers(names, request_id, [], len(shards)),
+        delegate.make_missing_header(shards),
+        delegate.make_ended_header(ended),
     ]
     return results.Result(
         messages.Reply(200, headers),
         results.Outcome.QUARANTINED,
-        pursuit.QUARANTINED,
+        service_call.QUARANTINED,
         shards=len(shards),
     )
 
 
 def _merge(
-    tools: calls.Tools,
+    context: calls.ForwardingContext,
     call: calls.Call,
     scatter: routing.Scatter,
     forwarder: forward.Forwarder,
 ) -> results.Result:
-    """Make one answer of what the shards and the parts have brought."""
-    pursuits = forwarder.pursuits
-    own = [each.answer for each in pursuits if each.answer is not None]
-    brought = [
+    """Merge the answers of shards and parts into one result."""
+    service_calls = forwarder.service_calls
+    own = [each.answer for each in service_calls if each.answer is not None]
+    part_answers = [
         part.answer for part in forwarder.parts if part.answer is not None
     ]
-    stamps = [each.get_header(tools.names.stamp) for each in own]
+    stamps = [each.get_header(context.names.stamp) for each in own]
     bodies = [each.body for each in own]
-    for each in brought:
+    for each in part_answers:
         stamps += each.stamps
         bodies.append(each.body)
-    missing = len(pursuits) - forwarder.count_answers()
-    headers = _sign_parts(tools.names, call.request_id, stamps, missing)
+    missing = len(service_calls) - forwarder.count_answers()
+    headers = _make_part_headers(
+        context.names, call.request_id, stamps, missing
+    )
     return results.Result(
         messages.Reply(
             200, headers, records.merge_records(bodies, scatter.top_k)
         ),
         results.Outcome.PARTIAL if missing else results.Outcome.ANSWERED,
-        _list_missing(pursuits),
-        shards=len(pursuits),
+        _describe_missing(service_calls),
+        shards=len(service_calls),
         answered=len(stamps),
-        asked=sum(not each.was_elsewhere for each in pursuits)
+        requests_sent=sum(not each.was_delegated for each in service_calls)
         + len(forwarder.parts),
-        received=sum(len(each) for each in bodies),
-        late=sum(each.is_late for each in pursuits),
-        far=forward.count_far(pursuits),
-        extras=sum(each.extras for each in pursuits),
-        denied=sum(each.denied for each in pursuits),
-        lost=sum(each.lost for each in pursuits),
+        bytes_received=sum(len(each) for each in bodies),
+        late=sum(each.is_late for each in service_calls),
+        far=forward.count_cross_region(service_calls),
+        extras=sum(each.extras for each in service_calls),
+        denied=sum(each.denied for each in service_calls),
+        lost=sum(each.lost for each in service_calls),
         waited_for=forwarder.waited_for,
     )
 
 
-def _sign_parts(
+def _make_part_headers(
     names: dialect.HeaderNames,
     request_id: bytes,
     stamps: list[bytes],
     missing: int,
 ) -> messages.Headers:
-    """Return the headers that say whose answers are in, and how many not."""
+    """Return the headers with the stamps and the number of missing shards."""
     return [
         (names.request_id, request_id),
         (names.part_stamps, b', '.join(stamps)),
@@ -156,10 +158,10 @@
     ]
 
 
-def _list_missing(pursuits: list[pursuit.Pursuit]) -> str:
-    """Name the shards that are missing, and why each one is."""
-    return results.join_some(
+def _describe_missing(service_calls: list[service_call.ServiceCall]) -> str:
+    """Return the missing shards and the reason for each one."""
+    return results.join_truncated(
         f'{each.service}: {each.explain()}'
-        for each in pursuits
+        for each in service_calls
         if not each.has_answer
     )
--- a/rudderrock/gateway/forwarding/_parts.py
+++ b/rudderrock/gateway/forwarding/_parts.py
@@ -1,8 +1,8 @@
-"""Parts of a query: shards that a host of another zone asks.
+"""Parts of a query, each run by a host of another zone.
 
-A host there has connections to the upstreams and sends back one merged
-body, so what crosses between zones and regions is a fraction of the shards'
-own answers.
+A host of that zone has connections to the upstreams and returns one merged
+body, which is a fraction of the size of the shards' answers. This reduces the
+traffic between zones and regions.
 """
 
 import collections
@@ -14,73 +14,78 @@
 from rudderrock.gateway.decisions import _replicas as replicas
 from rudderrock.gateway.forwarding import _calls as calls
 from rudderrock.gateway.forwarding import _delegate as delegate
-from rudderrock.gateway.forwarding import _pursuit as pursuit
+from rudderrock.gateway.forwarding import _service_call as service_call
 from rudderrock.gateway.http import _caller as caller
 from rudderrock.gateway.knowledge import _fleet as fleet
 from rudderrock.gateway.knowledge import _place as place
 
-# Fewer shards than this are not worth a message to another zone of the
-# region, and fewer than that to another region, where bytes cost more.
-LEAST_SHARDS = 8
-LEAST_FAR_SHARDS = 3
+# Minimum number of shards of a part. For fewer shards, a message to another
+# zone is not worth its cost. The limit is lower for another region, because
+# traffic between regions costs more.
+MIN_SHARDS_SAME_REGION = 8
+MIN_SHARDS_OTHER_REGION = 3
 
-# Who was asked for a part, and what became of it.
+# The host that was asked for a part, and its answer.
 _PartOutcome = tuple[
     core.HostId, result.Result[delegate.PartAnswer, caller.NoReply]
 ]
 
 
 class Part:
-    """Some shards of one query, and the host that asks them.
+    """Some shards of one query, to be queried by a host of another zone.
 
-    Each pursuit has its own replica of that zone, which is what it would
-    have asked from here.
+    `members` holds for each service call a replica of that zone, to which
+    this host would otherwise have sent the call.
     """
 
     def __init__(
         self,
         zone: core.ZoneId,
-        members: dict[pursuit.Pursuit, replicas.Replica],
+        members: dict[service_call.ServiceCall, replicas.Replica],
     ):
         self.zone = zone
         self.answer: delegate.PartAnswer | None = None
         self._members = members
 
-    def begin(self) -> None:
-        """Take note in each pursuit that it is asked elsewhere."""
+    def mark_delegated(self) -> None:
+        """Mark all service calls of the part as delegated."""
         for each, replica in self._members.items():
-            each.start_elsewhere(replica)
+            each.start_delegated(replica)
 
     async def fetch(
         self, delegation: delegate.Delegation, call: calls.Call
     ) -> None:
-        """Have the shards asked; tell each pursuit what became of it."""
+        """Request the part and pass the outcome to its service calls."""
         try:
-            answer = await self._ask_in_turn(delegation, call)
+            answer = await self._ask_hosts(delegation, call)
         except Exception:
-            # A defect must cost this part only and leave a trace.
+            # An unexpected error must only affect this part, and be logged.
             logging.exception('a part of a query failed on a defect')
-            self._lose('defect', pursuit.PartFate.LOST)
+            self._mark_failed('defect', service_call.PartFailure.LOST)
             return
         match answer:
             case None:
-                self._close_unsent()
+                self._start_locally()
             case host, result.Ok(found):
-                self._take(found, host, call)
+                self._accept(found, host, call)
             case host, result.Err(problem):
                 detail = f'{host}: {problem.detail}'
-                self._lose(detail, pursuit.PartFate.LOST)
+                self._mark_failed(detail, service_call.PartFailure.LOST)
 
-    async def _ask_in_turn(
+    async def _ask_hosts(
         self, delegation: delegate.Delegation, call: calls.Call
     ) -> _PartOutcome | None:
-        """Ask hosts of the zone until one has begun; None if none has."""
+        """Ask hosts of the zone until one accepts, None if none does."""
         shards = tuple(each.service for each in self._members)
-        least = max(1, len(shards) - call.spared)
+        min_answers = max(1, len(shards) - call.max_missing)
         tried: tuple[core.HostId, ...] = ()
-        while turn := delegation.choose_far(self.zone, call.request_id, tried):
-            host = turn.entry.host
-            answer = await delegation.ask_part(turn, call, shards, least)
+        while candidate := delegation.choose_in_zone(
+            self.zone, call.request_id, tried
+        ):
+            host = candidate.entry.host
+            answer = await delegation.ask_part(
+                candidate, call, shards, min_answers
+            )
             match answer:
                 case result.Err(caller.NoReply(sent=False)):
                     tried = (*tried, host)
@@ -88,47 +93,49 @@
                     return host, answer
         return None
 
-    def _close_unsent(self) -> None:
-        """Ask from here: nobody has begun on any of them."""
+    def _start_locally(self) -> None:
+        """Send the service calls from this host, as no other host did."""
         for each in self._members:
-            each.start_here()
+            each.start_locally()
 
-    def _take(
+    def _accept(
         self, found: delegate.PartAnswer, host: core.HostId, call: calls.Call
     ) -> None:
-        """Take what the part has brought."""
+        """Settle the service calls according to the answer of the part."""
         if len(found.missing) < len(self._members):
             self.answer = found
-        fate = pursuit.PartFate.LACKING
+        part_failure = service_call.PartFailure.NO_ANSWER
         for each in self._members:
             if each.service not in found.missing:
-                each.take_from_part()
-        if found.held is not None:
-            fate = pursuit.PartFate.HELD
-            call.canary.warn(found.held)
-        # After those: an answer clears the request, so what is missing may be
-        # asked for at once.
+                each.settle_from_part()
+        if found.ended_upstreams is not None:
+            part_failure = service_call.PartFailure.HELD_BACK
+            call.canary.warn(found.ended_upstreams)
+        # Missing shards come last: an answer clears the request of suspicion,
+        # so their retries may be sent at once.
         for each in self._members:
             if each.service in found.missing:
-                each.miss_elsewhere(f'missing by {host}', fate)
+                each.handle_part_failure(f'missing by {host}', part_failure)
 
-    def _lose(self, detail: str, fate: pursuit.PartFate) -> None:
+    def _mark_failed(
+        self, detail: str, part_failure: service_call.PartFailure
+    ) -> None:
         for each in self._members:
-            each.miss_elsewhere(detail, fate)
+            each.handle_part_failure(detail, part_failure)
 
 
 def plan_parts(
     book: replicas.ReplicaBook,
     call: calls.Call,
-    pursuits: list[pursuit.Pursuit],
+    service_calls: list[service_call.ServiceCall],
     delegation: delegate.Delegation,
 ) -> list[Part]:
-    """Return the parts that other zones shall ask for.
+    """Return the parts to delegate to other zones.
 
-    The zone with the nearest upstreams of the most shards is taken first;
-    chance, by the request's id, decides between equals.
+    Zones are taken in descending order of the number of shards whose nearest
+    upstreams they have. A hash of the request id breaks ties.
     """
-    nearest = _find_nearest(book, call, pursuits, delegation)
+    nearest = _find_nearest(book, call, service_calls, delegation)
     parts = []
     while nearest:
         counts = collections.Counter(
@@ -137,7 +144,7 @@
         zones = [
             zone
             for zone, count in counts.items()
-            if count >= _get_least(book.get_distance(zone))
+            if count >= _get_min_shards(book.get_distance(zone))
         ]
         if not zones:
             break
@@ -162,30 +169,39 @@
 def _find_nearest(
     book: replicas.ReplicaBook,
     call: calls.Call,
-    pursuits: list[pursuit.Pursuit],
+    service_calls: list[service_call.ServiceCall],
     delegation: delegate.Delegation,
-) -> dict[pursuit.Pursuit, dict[core.ZoneId, replicas.Replica]]:
-    """Return the best upstreams of each shard that has none in this zone."""
+) -> dict[service_call.ServiceCall, dict[core.ZoneId, replicas.Replica]]:
+    """Return the nearest replicas by zone for shards without a local one.
+
+    Zones whose hosts can't answer in time are left out.
+    """
     nearest = {}
-    able: dict[core.ZoneId, bool] = {}
-    for each in pursuits:
+    has_time_by_zone: dict[core.ZoneId, bool] = {}
+    for each in service_calls:
         found = book.list_nearest(
-            each.service, call.route.residency, call.late_s
+            each.service, call.route.residency, call.late_after_s
         )
         if not found or found[0].distance == 0:
             continue
         zones = {}
         for replica in found:
             zone = replica.endpoint.zone
-            if zone not in able:
-                able[zone] = delegation.has_time(zone, call)
-            if able[zone]:
+            if zone not in has_time_by_zone:
+                has_time_by_zone[zone] = delegation.has_time_to_hedge(
+                    zone, call
+                )
+            if has_time_by_zone[zone]:
                 zones[zone] = replica
         if zones:
             nearest[each] = zones
     return nearest
 
 
-def _get_least(distance: int) -> int:
-    """Return how many shards are worth a message so far away."""
-    return LEAST_FAR_SHARDS if distance == place.FARTHEST else LEAST_SHARDS
+def _get_min_shards(distance: int) -> int:
+    """Return the minimum number of shards of a part at a distance."""
+    return (
+        MIN_SHARDS_OTHER_REGION
+        if distance == place.FARTHEST
+        else MIN_SHARDS_SAME_REGION
+    )
--- a/rudderrock/gateway/forwarding/_records.py
+++ b/rudderrock/gateway/forwarding/_records.py
@@ -1,4 +1,4 @@
-"""Merging the records of many shards into the greatest few."""
+"""Merging the records of many shards into the top k."""
 
 from collections.abc import Iterable
 import heapq
@@ -7,7 +7,7 @@
 
 
 def split_records(body: bytes) -> list[bytes]:
-    """Cut a part into its records; a shorter remainder is none."""
+    """Return the records of a body; an incomplete last one is dropped."""
     whole = len(body) - len(body) % RECORD_BYTES
     return [
         body[start : start + RECORD_BYTES]
@@ -16,9 +16,9 @@
 
 
 def merge_records(parts: Iterable[bytes], top_k: int) -> bytes:
-    """Return the greatest records of all parts, greatest first.
+    """Return the `top_k` greatest records of all parts in descending order.
 
-    Records are compared byte by byte; equal ones all count.
+    Records are compared byte by byte. Duplicates are kept.
 
     >>> merge_records([b'b' * 16 + b'a' * 16, b'b' * 16], 2) == b'b' * 32
     True
--- a/rudderrock/gateway/forwarding/_results.py
+++ b/rudderrock/gateway/forwarding/_results.py
@@ -1,4 +1,4 @@
-"""How a request ended, and the answers that the tier gives itself."""
+"""Outcomes of requests, and replies that the gateway makes itself."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -8,15 +8,15 @@
 from rudderrock.gateway.http import _dialect as dialect
 from rudderrock.gateway.http import _messages as messages
 
-# How soon a caller may come back after a request that did not run, in
-# seconds: long enough for a passing shortage, well inside a deadline.
+# Value of retry-after for a request that did not run. It is long enough for a
+# short overload to end, and much shorter than a deadline.
 RETRY_AFTER_S = 0.1
-# Shards that the line of a query names, so that it stays short.
-MOST_NAMED = 8
+# Maximum number of shards listed in a log line, to limit its length.
+MAX_NAMED_SHARDS = 8
 
 
 class Outcome(enum.Enum):
-    """How a request ended, for logs and metrics."""
+    """Outcome of a request in logs and metrics."""
 
     ANSWERED = 'answered'
     PARTIAL = 'partial'
@@ -34,11 +34,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Result:
-    """The reply to a caller and how it came about.
+    """The reply to a caller, and statistics of the request.
 
-    This host has `asked` so many upstreams and hosts, and `received` so many
-    bytes of records from them. `lost` of its attempts ended with the
-    connection, after they had been sent.
+    `requests_sent` counts the requests that this host sent to upstreams and
+    other hosts, `bytes_received` the bytes of records in their answers.
+    `lost` counts the attempts whose connection ended after they were sent.
     """
 
     reply: messages.Reply
@@ -46,8 +46,8 @@
     detail: str = ''
     shards: int = 1
     answered: int = 0
-    asked: int = 0
-    received: int = 0
+    requests_sent: int = 0
+    bytes_received: int = 0
     late: int = 0
     far: int = 0
     extras: int = 0
@@ -56,12 +56,12 @@
     waited_for: str = ''
 
 
-def join_some(items: Iterable[str]) -> str:
-    """Return the first of some items, and how many more there are."""
+def join_truncated(items: Iterable[str]) -> str:
+    """Return the first items as one text, and the number of the others."""
     listed = list(items)
-    named = listed[:MOST_NAMED]
-    if len(listed) > MOST_NAMED:
-        named.append(f'{len(listed) - MOST_NAMED} more')
+    named = listed[:MAX_NAMED_SHARDS]
+    if len(listed) > MAX_NAMED_SHARDS:
+        named.append(f'{len(listed) - MAX_NAMED_SHARDS} more')
     return '; '.join(named)
 
 
@@ -72,7 +72,7 @@
     outcome: Outcome,
     detail: str = '',
 ) -> Result:
-    """Say that a request has not run and when to come back."""
+    """Return a 503 reply to a request that has not run, with retry-after."""
     headers = [
         (names.request_id, request_id),
         (b'retry-after', b'%.2f' % retry_after_s),
@@ -86,7 +86,7 @@
     timed_out: bool,
     detail: str,
 ) -> Result:
-    """Answer for a request that may have run and has no answer."""
+    """Return a 502 or 504 reply to a request that may have run."""
     outcome = Outcome.TIMED_OUT if timed_out else Outcome.LOST
     headers = [(names.request_id, request_id)]
     reply = messages.Reply(504 if timed_out else 502, headers)
@@ -101,7 +101,10 @@
     detail: str,
     probe: canary.Canary,
 ) -> Result:
-    """Answer for what failed: 503 only if no upstream may have run it."""
+    """Return the reply to a failed request.
+
+    The status is 503 only if no upstream can have run the request.
+    """
     if reached:
         return fail(names, request_id, timed_out, detail)
     if probe.is_stopped:
--- a/rudderrock/gateway/forwarding/_pursuit.py
+++ b/rudderrock/gateway/forwarding/_service_call.py
@@ -1,4 +1,4 @@
-"""Getting one good answer from one service, with retries and a hedge."""
+"""Calls to one service, with retries and a hedge."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,157 +16,161 @@
 from rudderrock.gateway.http import _verdicts as verdicts
 from rudderrock.gateway.knowledge import _routing as routing
 
-# A request is not sent with less time left than this, in seconds: the
-# upstream could not answer in it.
-LEAST_LEFT_S = 0.003
-# How long an attempt that lost against a hedge may go on, in seconds.
-# Closing its connection would cost the upstream a new handshake.
-LOSER_PATIENCE_S = 0.3
-# Attempts that never reached an upstream are not counted by the route's
-# bound; this many are made at most.
-MOST_UNSENT = 4
+# With less time left, a request is not retried, because the upstream could
+# not answer in time.
+MIN_TIME_LEFT_S = 0.003
+# How long an attempt may continue after another attempt has answered. Closing
+# its connection at once would cost the upstream a new handshake.
+LOSER_TIMEOUT_S = 0.3
+# Maximum number of attempts that do not reach an upstream. They do not count
+# towards the route's limit on attempts.
+MAX_UNSENT = 4
 NO_UPSTREAM = 'no upstream is registered'
 QUARANTINED = 'upstreams have ended under this request'
-# Pause before the same upstream is tried again, in seconds.
-SAME_AGAIN_S = 0.04
+# Delay before a retry may go to an upstream that was tried before.
+SAME_UPSTREAM_RETRY_S = 0.04
 
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """One exchange with one replica, asked for at the loop time `began`."""
+    """One exchange with one replica, started at loop time `started_at`."""
 
     replica: replicas.Replica
     exchange: link.Exchange
-    began: float
+    started_at: float
 
     def describe(self, now: float) -> str:
-        """Say who is asked, and for how long."""
+        """Return the upstream and the time in ms since the attempt started."""
         sent = '' if self.exchange.sent_at is not None else ', not sent'
-        waited_ms = 1000 * (now - self.began)
+        waited_ms = 1000 * (now - self.started_at)
         return f'{self.replica.endpoint.upstream} {waited_ms:.0f} ms{sent}'
 
 
-class PartFate(enum.Enum):
-    """Why a part that another host asks for has not brought an answer."""
+class PartFailure(enum.Enum):
+    """Why a part run by another host has no answer for a service."""
 
-    LACKING = 'lacking'
-    # The other host has not asked all replicas, on suspicion of the request.
-    HELD = 'held'
+    NO_ANSWER = 'lacking'
+    # The other host has not tried all replicas as the request is suspect.
+    HELD_BACK = 'held'
     LOST = 'lost'
 
 
-class Pursuit:
-    """One service's part of a call.
+class ServiceCall:
+    """The call to one service on behalf of a request.
 
-    After `start`, `on_settled` is called once: then either `answer` is
-    set, or the answer is among a part that another host has brought and
-    `in_part` is set, or the pursuit has failed and `failure`,
-    `may_have_run` and `detail` say how.
+    After `start`, `on_settled` is called once. Then either `answer` is set,
+    or `is_in_part` is set because the answer is merged into a part that
+    another host returned, or the call has failed and `failure`,
+    `may_have_run` and `detail` describe how.
     """
 
     def __init__(
         self,
-        tools: calls.Tools,
+        context: calls.ForwardingContext,
         call: calls.Call,
         service: routing.ServiceName,
-        on_settled: Callable[['Pursuit'], None],
+        on_settled: Callable[['ServiceCall'], None],
     ):
         self.service = service
         self.answer: messages.Reply | None = None
         self.failure: messages.Reply | None = None
-        self.may_have_run = call.is_again
-        self.was_cut = False
-        # Upstreams that had the call when it was given up.
+        self.may_have_run = call.may_have_run_elsewhere
+        self.was_cancelled = False
+        # Upstreams that were processing the call when it was aborted.
         self.unanswered: tuple[core.UpstreamId, ...] = ()
         self.detail = ''
         self.sent = 0
-        # Extra attempts made, and those that the budget did not allow.
+        # Extra attempts that were sent, and those that the budget denied.
         self.extras = 0
         self.denied = 0
-        # Attempts that ended with the connection after they had been sent.
+        # Attempts whose connection ended after they were sent.
         self.lost = 0
         self.is_late = False
-        self.in_part = False
-        self.was_elsewhere = False
+        self.is_in_part = False
+        self.was_delegated = False
         self.settled = False
         self.winner: replicas.Replica | None = None
-        self._tools = tools
+        self._context = context
         self._call = call
         self._on_settled = on_settled
         self._attempts: list[Attempt] = []
-        self._elsewhere: replicas.Replica | None = None
+        self._delegated_replica: replicas.Replica | None = None
         self._tried: tuple[core.UpstreamId, ...] = ()
-        self._unsent = 0
+        self._unsent_count = 0
         self._timer: asyncio.TimerHandle | None = None
-        self._budget = tools.get_budget(service)
-        self._repeatable = call.route.repeat is routing.Repeat.IDEMPOTENT
+        self._budget = context.get_budget(service)
+        self._is_idempotent = call.route.repeat is routing.Repeat.IDEMPOTENT
 
     @property
-    def is_waiting(self) -> bool:
-        """Tell whether an upstream may be at work on it."""
-        return self.is_elsewhere or any(
+    def is_in_flight(self) -> bool:
+        """Return whether an upstream may be processing the call."""
+        return self.is_delegated or any(
             attempt.exchange.sent_at is not None for attempt in self._attempts
         )
 
     @property
     def has_answer(self) -> bool:
-        """Tell whether there is an answer, of its own or in a part."""
-        return self.answer is not None or self.in_part
+        """Return whether there is an answer, directly or in a part."""
+        return self.answer is not None or self.is_in_part
 
     @property
-    def is_elsewhere(self) -> bool:
-        """Tell whether another host is asking and has not replied yet."""
-        return self._elsewhere is not None
+    def is_delegated(self) -> bool:
+        """Return whether another host is still processing the call."""
+        return self._delegated_replica is not None
 
     def explain(self) -> str:
-        """Say why there is no answer, and whose is still missing."""
+        """Return why there is no answer, with the silent upstreams."""
         if not self.unanswered:
             return self.detail or 'no answer in time'
         late = f'no answer in time from {", ".join(self.unanswered)}'
         return f'{self.detail}; {late}' if self.detail else late
 
     def describe_wait(self) -> str:
-        """Say which service is missing, and who has been asked."""
-        now = self._tools.loop.time()
-        if self._elsewhere is not None:
+        """Return the service and the upstreams that have not answered yet."""
+        now = self._context.loop.time()
+        if self._delegated_replica is not None:
             return f'{self.service} in a part'
-        asked = [each.describe(now) for each in self._attempts]
-        return f'{self.service}: {", ".join(asked) or self.detail}'
+        attempts = [each.describe(now) for each in self._attempts]
+        return f'{self.service}: {", ".join(attempts) or self.detail}'
 
     def start(self) -> None:
-        """Send the first attempt, as soon as it may be sent."""
-        self._proceed(self._send_first)
+        """Send the first attempt as soon as the canary allows it."""
+        self._run_when_allowed(self._send_first)
 
-    def _proceed(self, step: Callable[[], None]) -> None:
-        """Do what sends an attempt, unless too many upstreams have ended.
+    def _run_when_allowed(self, send_attempt: Callable[[], None]) -> None:
+        """Send an attempt now or later, or fail, as the canary decides.
 
-        Every first attempt and every retry goes through here. Where they
-        went out by themselves, the copies of one request crashed 146 upstreams
-        in a minute (a query over 20 shards, seven hosts, from their records).
+        Every first attempt and every retry uses this method. Without this
+        check, copies of a single request crashed 146 upstreams within a
+        minute (a query over 20 shards on seven hosts).
         """
         if self.settled:
             return
         match self._call.canary.judge():
             case canary.Advice.SEND:
-                step()
+                send_attempt()
             case canary.Advice.WAIT:
                 self._call.canary.wait(
                     canary.Waiter(
-                        resume=functools.partial(self._proceed, step),
-                        send=functools.partial(self._send_canary, step),
+                        resume=functools.partial(
+                            self._run_when_allowed, send_attempt
+                        ),
+                        send=functools.partial(
+                            self._send_canary, send_attempt
+                        ),
                         count_live=self.count_live,
                     )
                 )
             case canary.Advice.STOP:
                 self._fail(QUARANTINED)
 
-    def _send_canary(self, step: Callable[[], None]) -> None:
+    def _send_canary(self, send_attempt: Callable[[], None]) -> None:
         if not self.settled:
-            step()
+            send_attempt()
 
     def count_live(self) -> int:
-        """Return how many upstreams of the service live, as far as known."""
-        return self._tools.book.count_live(
+        """Return the number of upstreams of the service known to be alive."""
+        return self._context.book.count_live(
             self.service, self._call.route.residency
         )
 
@@ -174,87 +178,91 @@
         replica = self._choose()
         if replica is None:
             self._fail(NO_UPSTREAM)
-        elif not self._call.is_again:
+        elif not self._call.may_have_run_elsewhere:
             self._budget.note_request()
-            self._tools.counters.firsts += 1
+            self._context.counters.firsts += 1
             self._send(replica)
         elif self._has_attempts_for_all() and self._may_send_again():
-            self._tools.counters.retries += 1
+            self._context.counters.retries += 1
             self._send(replica)
         else:
             self._fail('may not be asked again')
 
-    def start_elsewhere(self, replica: replicas.Replica) -> None:
-        """Take note that a host of a replica's zone asks for it.
+    def start_delegated(self, replica: replicas.Replica) -> None:
+        """Mark the call as delegated to a host in a replica's zone.
 
-        That host counts it as a request of its own, and hedges.
+        That host counts the request in its own budget and sends hedges.
         """
-        self.was_elsewhere = True
+        self.was_delegated = True
         self.sent = 1
         self._tried = (replica.endpoint.upstream,)
-        self._elsewhere = replica
+        self._delegated_replica = replica
 
-    def start_here(self) -> None:
-        """Send the first attempt after all; nobody else has begun."""
-        self._elsewhere = None
-        self.was_elsewhere = False
+    def start_locally(self) -> None:
+        """Send the first attempt from this host; no other host started it."""
+        self._delegated_replica = None
+        self.was_delegated = False
         self.sent = 0
         self._tried = ()
         self.start()
 
-    def take_from_part(self) -> None:
-        """Settle: the part that another host has brought has the answer."""
-        self.in_part = True
+    def settle_from_part(self) -> None:
+        """Settle the call with the answer in another host's part."""
+        self.is_in_part = True
         self._call.canary.note_survived()
-        self.winner, self._elsewhere = self._elsewhere, None
+        self.winner, self._delegated_replica = self._delegated_replica, None
         self.winner.note_good()
         self._settle()
 
-    def miss_elsewhere(self, detail: str, fate: PartFate) -> None:
-        """Take note that the part lacks the answer, or is lost.
-
-        A host that has asked and got none has tried what there is, unless it
-        holds back on suspicion of the request. If the part is lost, so is the
-        count of its attempts, also where no sign of it was seen: that may be
-        late on a thin link. They were no more than there are replicas.
+    def handle_part_failure(
+        self, detail: str, part_failure: PartFailure
+    ) -> None:
+        """Fail or retry after a part without an answer for this service.
+
+        With `NO_ANSWER` the other host has tried all replicas, so the call
+        fails. With `HELD_BACK` or `LOST` it is retried. The number of
+        attempts that the other host made is unknown if the part is lost, even
+        without an interim reply, which can be late on a slow link. Since it
+        is at most the number of replicas, a retry requires that the route
+        allows an attempt for each replica.
         """
-        replica, self._elsewhere = self._elsewhere, None
+        replica, self._delegated_replica = self._delegated_replica, None
         self.may_have_run = True
         self.detail = detail
-        if fate is PartFate.LACKING:
+        if part_failure is PartFailure.NO_ANSWER:
             replica.note_bad()
             self._fail(detail)
             return
         if self._has_attempts_for_all():
             self._tried = ()
-            again = functools.partial(self._try_again, verdicts.Verdict.LOST)
-            self._proceed(again)
+            again = functools.partial(self._retry, verdicts.Verdict.LOST)
+            self._run_when_allowed(again)
         else:
             self._fail(detail)
 
     def _has_attempts_for_all(self) -> bool:
-        """Tell whether each replica of the service may be sent the call."""
-        ready = self._tools.book.list_ready(
+        """Return whether the route allows an attempt at each ready replica."""
+        ready = self._context.book.list_ready(
             self.service, self._call.route.residency
         )
         return len(ready) <= self._call.route.max_attempts
 
     def skip(self, detail: str) -> None:
-        """Settle without having sent anything."""
+        """Settle the call without sending an attempt."""
         self.detail = detail
         self.settled = True
 
     def hedge(self) -> None:
-        """Ask a second replica, since the first answer is late."""
-        if self.settled or not self._attempts or not self._repeatable:
+        """Send the call to a second replica because the first one is late."""
+        if self.settled or not self._attempts or not self._is_idempotent:
             return
         if self._call.canary.judge() is not canary.Advice.SEND:
             return
-        now = self._tools.loop.time()
+        now = self._context.loop.time()
         slow = self._attempts[0]
         slow.replica.note_bad()
         other = self._choose()
-        if other is None or other.is_suspect(now, self._call.late_s):
+        if other is None or other.is_suspect(now, self._call.late_after_s):
             return
         if slow.replica.links.withdraw(slow.exchange):
             self._attempts.remove(slow)
@@ -262,14 +270,14 @@
             self._send(other)
             self._call.canary.note_over()
         elif self._may_send_again():
-            self._tools.counters.hedges += 1
+            self._context.counters.hedges += 1
             self._send(other)
 
-    def give_up(self) -> None:
-        """End what is under way, and tell its upstreams by closing."""
+    def abort(self) -> None:
+        """Cancel all attempts by closing their connections."""
         self.settled = True
         self._cancel_timer()
-        self.was_cut = self.is_waiting
+        self.was_cancelled = self.is_in_flight
         self.unanswered = tuple(
             attempt.replica.endpoint.upstream
             for attempt in self._attempts
@@ -280,10 +288,10 @@
         self._attempts.clear()
 
     def _choose(self) -> replicas.Replica | None:
-        return self._tools.book.choose(
+        return self._context.book.choose(
             self.service,
             self._call.route.residency,
-            self._call.late_s,
+            self._call.late_after_s,
             self._tried,
         )
 
@@ -294,34 +302,34 @@
             self.extras += 1
             return True
         self.denied += 1
-        self._tools.counters.denied += 1
+        self._context.counters.denied += 1
         return False
 
     def _send(self, replica: replicas.Replica) -> None:
         call = self._call
-        tools = self._tools
+        context = self._context
         upstream = replica.endpoint.upstream
         if upstream not in self._tried:
             self._tried = (*self._tried, upstream)
         exchange = link.Exchange(
             call.request_id,
-            lambda: call.render(upstream, tools.names, tools.loop.time()),
+            lambda: call.render(upstream, context.names, context.loop.time()),
             lambda done, outcome: self._on_outcome(attempt, outcome),
             headless=call.request.method == b'HEAD',
-            fresh=not self._repeatable,
+            fresh=not self._is_idempotent,
         )
-        attempt = Attempt(replica, exchange, tools.loop.time())
+        attempt = Attempt(replica, exchange, context.loop.time())
         self._attempts.append(attempt)
         self.sent += 1
         call.canary.note_sent()
-        tools.book.note_sent(replica.endpoint)
+        context.book.note_sent(replica.endpoint)
         replica.links.submit(exchange)
 
     def _on_outcome(self, attempt: Attempt, outcome: link.Outcome) -> None:
         if attempt in self._attempts:
             self._attempts.remove(attempt)
-        verdict = verdicts.judge_outcome(outcome, self._tools.names)
-        self._tell_canary(attempt, verdict, outcome)
+        verdict = verdicts.judge_outcome(outcome, self._context.names)
+        self._update_canary(attempt, verdict, outcome)
         match verdict:
             case verdicts.Verdict.ANSWER:
                 attempt.replica.note_good()
@@ -347,63 +355,66 @@
             case verdicts.Verdict.UNSENT:
                 attempt.replica.note_bad(replicas.UNREACHABLE_AVOID_S)
                 self.sent -= 1
-                self._unsent += 1
+                self._unsent_count += 1
         self.detail = verdicts.describe_outcome(verdict, outcome)
         if not self._attempts:
-            if self.may_have_run and not self._repeatable:
+            if self.may_have_run and not self._is_idempotent:
                 self._fail(self.detail)
             else:
-                self._proceed(functools.partial(self._try_again, verdict))
+                self._run_when_allowed(functools.partial(self._retry, verdict))
 
-    def _tell_canary(
+    def _update_canary(
         self,
         attempt: Attempt,
         verdict: verdicts.Verdict,
         outcome: link.Outcome,
     ) -> None:
-        """Say what the attempt tells of what the request does to upstreams."""
+        """Report to the canary whether the upstream survived the attempt."""
         probe = self._call.canary
         match verdict:
             case verdicts.Verdict.LOST if not probe.is_answered:
                 probe.note_lost()
                 endpoint = attempt.replica.endpoint
-                self._tools.checker.check(
+                self._context.checker.check(
                     endpoint.address,
                     functools.partial(probe.note_checked, endpoint.life),
                 )
             case verdicts.Verdict.ANSWER:
                 probe.note_answered()
             case verdicts.Verdict.FAILURE if _is_signed(
-                outcome, self._tools.names
+                outcome, self._context.names
             ):
                 probe.note_answered()
             case _:
                 probe.note_over()
 
-    def _try_again(self, verdict: verdicts.Verdict) -> None:
-        now = self._tools.loop.time()
-        if self._call.end - now < LEAST_LEFT_S:
+    def _retry(self, verdict: verdicts.Verdict) -> None:
+        now = self._context.loop.time()
+        if self._call.expires_at - now < MIN_TIME_LEFT_S:
             self._fail(f'{self.detail}, and no time is left')
             return
-        if verdict is verdicts.Verdict.UNSENT and self._unsent >= MOST_UNSENT:
+        if (
+            verdict is verdicts.Verdict.UNSENT
+            and self._unsent_count >= MAX_UNSENT
+        ):
             self._fail(self.detail)
             return
         other = self._choose()
         if other is not None:
             self._resend(other)
         elif verdict in verdicts.NOT_RUN:
-            self._timer = self._tools.loop.call_later(
-                SAME_AGAIN_S, self._try_anybody
+            self._timer = self._context.loop.call_later(
+                SAME_UPSTREAM_RETRY_S, self._retry_any
             )
         else:
             self._fail(self.detail)
 
-    def _try_anybody(self) -> None:
-        """Try replicas again that never got or never ran the request."""
+    def _retry_any(self) -> None:
+        """Retry, also at replicas that have not run the request."""
         self._timer = None
-        self._proceed(self._send_anybody)
+        self._run_when_allowed(self._send_to_any)
 
-    def _send_anybody(self) -> None:
+    def _send_to_any(self) -> None:
         self._tried = ()
         replica = self._choose()
         if replica is None:
@@ -413,10 +424,10 @@
 
     def _resend(self, replica: replicas.Replica) -> None:
         if self.sent == 0:
-            # Nothing has arrived anywhere so far, so this is the first.
+            # No upstream has received the request, so this is no extra one.
             self._send(replica)
         elif self._may_send_again():
-            self._tools.counters.retries += 1
+            self._context.counters.retries += 1
             self._send(replica)
         else:
             self._fail(self.detail)
@@ -430,7 +441,7 @@
         self._cancel_timer()
         for attempt in self._attempts:
             links = attempt.replica.links
-            links.leave(attempt.exchange, LOSER_PATIENCE_S)
+            links.leave(attempt.exchange, LOSER_TIMEOUT_S)
         left = len(self._attempts)
         self._attempts.clear()
         for _ in range(left):
@@ -444,7 +455,7 @@
 
 
 def _is_signed(outcome: link.Outcome, names: dialect.HeaderNames) -> bool:
-    """Tell whether a failure is the upstream's own."""
+    """Return whether a reply carries the stamp of the upstream."""
     match outcome:
         case messages.Reply() as reply:
             return reply.get_header(names.stamp) is not None
--- a/rudderrock/gateway/forwarding/_zones.py
+++ b/rudderrock/gateway/forwarding/_zones.py
@@ -1,4 +1,4 @@
-"""What operators say of zones and regions, put into effect."""
+"""Application of operators' settings for zones and regions."""
 
 from collections.abc import Callable
 
@@ -10,11 +10,11 @@
 from rudderrock.gateway.knowledge import _routing as routing
 
 
-class Zones:
-    """Leaves evacuated zones, and names regions that do not exist.
+class ZonePolicy:
+    """Stops using evacuated zones, and logs unknown regions.
 
-    Parameters: `find_service` returns what the table in force says of a
-    service, if anything.
+    Parameters: `find_service` returns the entry of a service in the current
+    table, or None.
     """
 
     def __init__(
@@ -30,10 +30,10 @@
         self._events = events
 
     def apply_evacuations(self, found: evacuations.Evacuations) -> None:
-        """Leave evacuated zones, and enter those that are given back.
+        """Stop using evacuated zones, and use restored zones again.
 
-        Upstreams there may have become cold just before, and their entries
-        tell of it later.
+        Upstreams of a restored zone are treated as cold, because they may
+        have become cold before their directory entries show it.
         """
         change = self._listing.set_evacuated(found.zones)
         if change is None:
@@ -45,7 +45,7 @@
                 self._listing.note_cold(upstream, service.warmup_s)
 
     def check_table(self, table: routing.RoutingTable) -> None:
-        """Log each region that routes name and the settings do not."""
+        """Log each region that routes use but the settings don't define."""
         unknown: dict[place_module.RegionId, list[routing.RouteName]] = {}
         for route in table.routes.values():
             for region in self._place.list_unknown(route.residency):
