--- a/rudderrock/gateway/forwarding/_connections.py
+++ b/rudderrock/gateway/forwarding/_connections.py
@@ -37,11 +37,11 @@
         self._place = place
         self._delegation = delegation
         # Services that only wide queries use.
-        self._wide_only: frozenset[routing.ServiceName] = frozenset()
+        self._wide_services: frozenset[routing.ServiceName] = frozenset()
 
     def update_table(self, table: routing.RoutingTable) -> None:
         """Update the services that only wide queries use."""
-        self._wide_only = table.list_wide_only(delegate.WIDE_SHARDS)
+        self._wide_services = table.list_wide_only(delegate.WIDE_SHARDS)
 
     def warm(self, book: replicas.ReplicaBook) -> None:
         """Open the connections that this host will need.
@@ -79,7 +79,7 @@
         send in addition to what their own requests allow. Few hosts send to
         services that only wide queries use, so those hosts share most of it.
         """
-        if service not in self._wide_only:
+        if service not in self._wide_services:
             return slack / self._hosts.count()
         coordinators = self._delegation.coordinators
         hosts = sum(coordinators.count_by_zone().values())
@@ -95,14 +95,14 @@
         table = self._tables.current
         if table is None or not self._hosts.is_listed:
             return set()
-        wanted: set[routing.ServiceName] = set()
+        required: set[routing.ServiceName] = set()
         for route in table.routes.values():
             services = table.list_services(route)
             if len(services) < delegate.WIDE_SHARDS:
-                wanted.update(services)
+                required.update(services)
             elif self.runs_locally(services):
-                wanted.update(filter(book.has_nearest, services))
-        return wanted
+                required.update(filter(book.has_nearest, services))
+        return required
 
     def find_service(
         self, service: routing.ServiceName
@@ -119,7 +119,7 @@
         returned.
         """
         zone = endpoint.zone
-        if endpoint.service in self._wide_only:
+        if endpoint.service in self._wide_services:
             found = self._delegation.coordinators.list_regular(zone)
         else:
             found = self._hosts.rank_zone(zone)
@@ -129,7 +129,7 @@
         """Return how many connections this host may open to an upstream."""
         service = endpoint.service
         found = self.find_service(service)
-        is_wide = service in self._wide_only
+        is_wide = service in self._wide_services
         coordinators = self._delegation.coordinators
         counts = self._hosts.count_by_zone()
         if is_wide:
--- a/rudderrock/gateway/forwarding/_delegate.py
+++ b/rudderrock/gateway/forwarding/_delegate.py
@@ -55,9 +55,9 @@
 MIN_ANSWERS = b'rudderrock-least'
 # Comma-separated shards that are missing from the reply.
 MISSING_SHARDS = b'rudderrock-missing-shards'
-# Comma-separated upstreams that ended while handling the query. The header is
-# present if shards are missing for that reason.
-ENDED_UPSTREAMS = b'rudderrock-held-back'
+# Comma-separated upstreams that crashed while handling the query. The header
+# is present if shards are missing for that reason.
+CRASHED_UPSTREAMS = b'rudderrock-held-back'
 # Requires a host to run the query even if it is full.
 MUST_RUN = b'rudderrock-must-run'
 # Reason why a host has not started the query.
@@ -128,15 +128,15 @@
     """Answer of a host in another zone for some shards.
 
     `stamps` are the signatures of the answers whose records are merged in
-    `body`, `missing` the shards without an answer. If `ended_upstreams` is
-    not None, shards are missing because these upstreams ended while handling
-    the query, and the delegating host has to query the shards itself.
+    `body`, `missing` the shards without an answer. If `crashed_upstreams` is
+    not None, shards are missing because these upstreams crashed while
+    handling the query, and the delegating host has to query the shards itself.
     """
 
     stamps: list[bytes]
     body: bytes
     missing: frozenset[routing.ServiceName]
-    ended_upstreams: tuple[core.UpstreamLife, ...] | None = None
+    crashed_upstreams: tuple[core.UpstreamLife, ...] | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -231,17 +231,19 @@
         A hedge, sent after a late first attempt, may need another round trip
         of the same length. Round trips that are too long are measured again.
         """
-        open_now = self.coordinators.list_open(zone)
-        if not open_now:
+        available = self.coordinators.list_open(zone)
+        if not available:
             return False
         left_s = call.goal_at - self._clock.now()
-        room_s = (
+        time_per_attempt_s = (
             left_s - HOP_OVERHEAD_S - PART_TIME_FACTOR * call.late_after_s
         ) / 2
         has_time = True
-        for entry in open_now:
+        for entry in available:
             peer = self._get_caller(entry)
-            if (peer.round_trip_s or DEFAULT_ROUND_TRIP_S) > room_s:
+            if (
+                peer.round_trip_s or DEFAULT_ROUND_TRIP_S
+            ) > time_per_attempt_s:
                 has_time = False
                 peer.measure()
         return has_time
@@ -276,26 +278,31 @@
         answer = await self._ask(candidate, call, extra_headers)
         match answer:
             case result.Ok(reply):
-                return self._read_part(shards, reply)
+                return self._parse_part(shards, reply)
         return answer
 
-    def _read_part(
+    def _parse_part(
         self, shards: tuple[routing.ServiceName, ...], reply: messages.Reply
     ) -> result.Result[PartAnswer, caller.NoReply]:
-        """Return the answer in a reply.
+        """Return the answer for a part in a reply.
 
-        Its stamps and missing shards must add up to `shards`.
+        An error is returned if the number of stamps and missing shards is not
+        the number of `shards`.
         """
-        lacking = reply.get_header(MISSING_SHARDS)
-        if reply.status != 200 or lacking is None:
+        missing_header = reply.get_header(MISSING_SHARDS)
+        if reply.status != 200 or missing_header is None:
             return result.Err(caller.NoReply(True, f'status {reply.status}'))
         signed = reply.get_header(self._names.part_stamps) or b''
         stamps = [each.strip() for each in signed.split(b',') if each]
-        missing = frozenset(parse_service_names(lacking))
+        missing = frozenset(parse_service_names(missing_header))
         if len(stamps) + len(missing) != len(shards):
-            return result.Err(caller.NoReply(True, 'parts do not add up'))
+            return result.Err(
+                caller.NoReply(True, 'stamps and missing shards do not match')
+            )
         return result.Ok(
-            PartAnswer(stamps, reply.body, missing, parse_ended_header(reply))
+            PartAnswer(
+                stamps, reply.body, missing, parse_crashed_header(reply)
+            )
         )
 
     async def run(
@@ -305,7 +312,7 @@
         answer = await self._ask(candidate, call, [])
         match answer:
             case result.Ok(reply):
-                return self._read(candidate.entry, reply)
+                return self._parse_result(candidate.entry, reply)
             case result.Err(caller.NoReply(signed=False) as problem):
                 return NotStarted(problem.sent)
             case result.Err(problem):
@@ -399,16 +406,16 @@
         for each in self._callers.values():
             each.close()
 
-    def _read(
+    def _parse_result(
         self, entry: fleet.HostEntry, reply: messages.Reply
     ) -> results.Result:
-        passed = messages.pass_on(reply)
+        forwardable = messages.pass_on(reply)
         detail = f'by {entry.host}'
         if reply.status != 200:
             outcome = _OUTCOME_BY_STATUS.get(
                 reply.status, results.Outcome.LOST
             )
-            return results.Result(passed, outcome, detail)
+            return results.Result(forwardable, outcome, detail)
         missing = int(reply.get_header(self._names.missing_parts) or b'0')
         stamps = reply.get_header(self._names.part_stamps) or b''
         answered = stamps.count(b',') + 1
@@ -416,7 +423,7 @@
         if missing:
             outcome = results.Outcome.PARTIAL
         return results.Result(
-            passed,
+            forwardable,
             outcome,
             detail,
             shards=answered + missing,
@@ -443,21 +450,23 @@
     return MISSING_SHARDS, ','.join(services).encode()
 
 
-def make_ended_header(
-    lives: Iterable[core.UpstreamLife],
+def make_crashed_header(
+    incarnations: Iterable[core.UpstreamLife],
 ) -> tuple[bytes, bytes]:
-    """Return the header that lists upstreams that ended during a query."""
-    return ENDED_UPSTREAMS, ','.join(lives).encode()
+    """Return the header that lists upstreams that crashed in a query."""
+    return CRASHED_UPSTREAMS, ','.join(incarnations).encode()
 
 
-def parse_ended_header(
+def parse_crashed_header(
     reply: messages.Reply,
 ) -> tuple[core.UpstreamLife, ...] | None:
-    """Return the upstreams that ended during a query, None if not given."""
-    listed = reply.get_header(ENDED_UPSTREAMS)
+    """Return upstreams that crashed in a query, or None if not given."""
+    listed = reply.get_header(CRASHED_UPSTREAMS)
     if listed is None:
         return None
-    return tuple(core.UpstreamLife(life) for life in _split_list(listed))
+    return tuple(
+        core.UpstreamLife(incarnation) for incarnation in _split_list(listed)
+    )
 
 
 def parse_service_names(listed: bytes) -> tuple[routing.ServiceName, ...]:
--- a/rudderrock/gateway/forwarding/_forward.py
+++ b/rudderrock/gateway/forwarding/_forward.py
@@ -122,7 +122,7 @@
         self._scope = scope
         self._delegation = delegation
         self._open_count = len(services)
-        self._failed = 0
+        self._failed_count = 0
         self._late_recorded = False
         self._timers: list[asyncio.TimerHandle] = []
         self._tasks: list[asyncio.Task] = []
@@ -182,10 +182,12 @@
         The first one sends the canary of a suspect request, so services with
         the most live upstreams come first in that case.
         """
-        here = [each for each in self.service_calls if not each.is_delegated]
+        local_calls = [
+            each for each in self.service_calls if not each.is_delegated
+        ]
         if self._call.canary.is_suspect:
-            here.sort(key=lambda each: each.count_live(), reverse=True)
-        return here
+            local_calls.sort(key=lambda each: each.count_live(), reverse=True)
+        return local_calls
 
     def _skip_if_unsatisfiable(self) -> bool:
         """Skip all services and return True if too few have upstreams.
@@ -194,16 +196,16 @@
         missing. Sending requests that must be cancelled would waste work.
         """
         book = self._context.book
-        lacking = [
+        without_upstream = [
             each
             for each in self.service_calls
             if not book.has_ready(each.service, self._call.route.residency)
         ]
-        if self._can_still_succeed(len(lacking)):
+        if self._can_still_succeed(len(without_upstream)):
             return False
         for each in self.service_calls:
-            each.skip('not asked')
-        for each in lacking:
+            each.skip('not sent: too few shards have upstreams')
+        for each in without_upstream:
             each.skip(service_call.NO_UPSTREAM)
         return True
 
@@ -220,10 +222,12 @@
 
     def _on_settled(self, settled: service_call.ServiceCall) -> None:
         self._open_count -= 1
-        self._failed += not settled.has_answer
+        self._failed_count += not settled.has_answer
         if not settled.is_late and not settled.was_delegated:
             self._threshold.note(False)
-        if self._open_count == 0 or not self._can_still_succeed(self._failed):
+        if self._open_count == 0 or not self._can_still_succeed(
+            self._failed_count
+        ):
             self._finish()
         elif self._context.loop.time() >= self._call.goal_at:
             self._finish_if_sufficient()
@@ -292,10 +296,10 @@
         loop = self._context.loop
         call = self._call
         goal_s = call.route.goal_s
-        again = loop.time() + RECHECK_FRACTION * goal_s
-        if again >= call.request.arrived + HEDGE_CUTOFF_FRACTION * goal_s:
+        check_at = loop.time() + RECHECK_FRACTION * goal_s
+        if check_at >= call.request.arrived + HEDGE_CUTOFF_FRACTION * goal_s:
             return False
-        self._timers.append(loop.call_at(again, self._on_late))
+        self._timers.append(loop.call_at(check_at, self._on_late))
         return True
 
     def _time_out(self) -> None:
@@ -318,36 +322,36 @@
         context, call, (service,), threshold, WholeQuery(1, 1)
     )
     await forwarder.run()
-    only = forwarder.service_calls[0]
-    late = int(only.is_late)
-    if only.answer is not None:
-        reply = messages.pass_on(only.answer)
+    settled_call = forwarder.service_calls[0]
+    late = int(settled_call.is_late)
+    if settled_call.answer is not None:
+        reply = messages.pass_on(settled_call.answer)
         return results.Result(
             reply,
             results.Outcome.ANSWERED,
             answered=1,
             late=late,
-            lost=only.lost,
-            far=count_cross_region([only]),
+            lost=settled_call.lost,
+            far=count_cross_region([settled_call]),
         )
-    if only.failure is not None:
-        reply = messages.pass_on(only.failure)
+    if settled_call.failure is not None:
+        reply = messages.pass_on(settled_call.failure)
         return results.Result(
             reply,
             results.Outcome.UPSTREAM_FAILED,
-            only.detail,
+            settled_call.detail,
             late=late,
-            lost=only.lost,
+            lost=settled_call.lost,
         )
     found = results.explain_failure(
         context.names,
         call.request_id,
-        may_have_run([only]),
+        may_have_run([settled_call]),
         forwarder.timed_out,
-        only.explain(),
+        settled_call.explain(),
         call.canary,
     )
-    return dataclasses.replace(found, late=late, lost=only.lost)
+    return dataclasses.replace(found, late=late, lost=settled_call.lost)
 
 
 def may_have_run(service_calls: list[service_call.ServiceCall]) -> bool:
--- a/rudderrock/gateway/forwarding/_gateway.py
+++ b/rudderrock/gateway/forwarding/_gateway.py
@@ -391,7 +391,7 @@
                 call.request_id,
                 admission.RETRY_AFTER_S,
                 results.Outcome.OVERLOADED,
-                f'{gate.under_way} under way, limit {gate.limit:.1f}, '
+                f'{gate.under_way} in flight, limit {gate.limit:.1f}, '
                 f'rank {rank}',
             )
         congested = None
@@ -424,8 +424,8 @@
         time_limit_s = (
             min(deadline_s, route.timeout_s) - forward.REPLY_MARGIN_S
         )
-        set_here = {names.deadline_ms, names.expected_upstream}
-        set_here |= delegate.OWN_HEADERS
+        excluded_headers = {names.deadline_ms, names.expected_upstream}
+        excluded_headers |= delegate.OWN_HEADERS
         return calls.Call(
             request=request,
             request_id=request_id,
@@ -436,7 +436,7 @@
             head=[
                 pair
                 for pair in messages.drop_connection_headers(request.headers)
-                if pair[0] not in set_here
+                if pair[0] not in excluded_headers
             ],
             canary=probe,
         )
@@ -457,7 +457,7 @@
         probe: canary.Canary,
         shards: tuple[routing.ServiceName, ...],
     ) -> results.Result:
-        """Refuse a request that is quarantined because it ends upstreams."""
+        """Refuse a request that is quarantined for crashing upstreams."""
         names = self._config.names
         if shards:
             return gather.refuse_part(
--- a/rudderrock/gateway/forwarding/_gather.py
+++ b/rudderrock/gateway/forwarding/_gather.py
@@ -78,7 +78,7 @@
     merged.reply.headers.append(delegate.make_missing_header(missing))
     if missing and call.canary.is_held:
         merged.reply.headers.append(
-            delegate.make_ended_header(call.canary.list_ended())
+            delegate.make_crashed_header(call.canary.list_ended())
         )
     return merged
 
@@ -87,13 +87,16 @@
     names: dialect.HeaderNames,
     request_id: bytes,
     shards: tuple[routing.ServiceName, ...],
-    ended: list[core.UpstreamLife],
+    crashed: list[core.UpstreamLife],
 ) -> results.Result:
-    """Return an answer without any shard, because of `ended` upstreams."""
+    """Return an answer without any shard for a quarantined request.
+
+    `crashed` are the upstreams that crashed while handling the request.
+    """
     headers = [
         *_make_part_headers(names, request_id, [], len(shards)),
         delegate.make_missing_header(shards),
-        delegate.make_ended_header(ended),
+        delegate.make_crashed_header(crashed),
     ]
     return results.Result(
         messages.Reply(200, headers),
@@ -111,12 +114,14 @@
 ) -> results.Result:
     """Merge the answers of shards and parts into one result."""
     service_calls = forwarder.service_calls
-    own = [each.answer for each in service_calls if each.answer is not None]
+    replies = [
+        each.answer for each in service_calls if each.answer is not None
+    ]
     part_answers = [
         part.answer for part in forwarder.parts if part.answer is not None
     ]
-    stamps = [each.get_header(context.names.stamp) for each in own]
-    bodies = [each.body for each in own]
+    stamps = [each.get_header(context.names.stamp) for each in replies]
+    bodies = [each.body for each in replies]
     for each in part_answers:
         stamps += each.stamps
         bodies.append(each.body)
--- a/rudderrock/gateway/forwarding/_parts.py
+++ b/rudderrock/gateway/forwarding/_parts.py
@@ -60,8 +60,10 @@
             answer = await self._ask_hosts(delegation, call)
         except Exception:
             # An unexpected error must only affect this part, and be logged.
-            logging.exception('a part of a query failed on a defect')
-            self._mark_failed('defect', service_call.PartFailure.LOST)
+            logging.exception('unexpected error while fetching a part')
+            self._mark_failed(
+                'unexpected error', service_call.PartFailure.LOST
+            )
             return
         match answer:
             case None:
@@ -108,14 +110,16 @@
         for each in self._members:
             if each.service not in found.missing:
                 each.settle_from_part()
-        if found.ended_upstreams is not None:
+        if found.crashed_upstreams is not None:
             part_failure = service_call.PartFailure.HELD_BACK
-            call.canary.warn(found.ended_upstreams)
+            call.canary.warn(found.crashed_upstreams)
         # Missing shards come last: an answer clears the request of suspicion,
         # so their retries may be sent at once.
         for each in self._members:
             if each.service in found.missing:
-                each.handle_part_failure(f'missing by {host}', part_failure)
+                each.handle_part_failure(
+                    f'no answer in the part from {host}', part_failure
+                )
 
     def _mark_failed(
         self, detail: str, part_failure: service_call.PartFailure
--- a/rudderrock/gateway/forwarding/_results.py
+++ b/rudderrock/gateway/forwarding/_results.py
@@ -38,7 +38,9 @@
 
     `requests_sent` counts the requests that this host sent to upstreams and
     other hosts, `bytes_received` the bytes of records in their answers.
-    `lost` counts the attempts whose connection ended after they were sent.
+    `far` counts the answers from another region, `extras` the extra attempts,
+    `denied` the extra attempts that the budget did not allow, and `lost` the
+    attempts whose connection ended after they were sent.
     """
 
     reply: messages.Reply
--- a/rudderrock/gateway/forwarding/_service_call.py
+++ b/rudderrock/gateway/forwarding/_service_call.py
@@ -26,7 +26,7 @@
 # towards the route's limit on attempts.
 MAX_UNSENT = 4
 NO_UPSTREAM = 'no upstream is registered'
-QUARANTINED = 'upstreams have ended under this request'
+QUARANTINED = 'quarantined: upstreams crashed while handling it'
 # Delay before a retry may go to an upstream that was tried before.
 SAME_UPSTREAM_RETRY_S = 0.04
 
@@ -129,7 +129,7 @@
         """Return the service and the upstreams that have not answered yet."""
         now = self._context.loop.time()
         if self._delegated_replica is not None:
-            return f'{self.service} in a part'
+            return f'{self.service}: delegated to another host'
         attempts = [each.describe(now) for each in self._attempts]
         return f'{self.service}: {", ".join(attempts) or self.detail}'
 
@@ -186,7 +186,7 @@
             self._context.counters.retries += 1
             self._send(replica)
         else:
-            self._fail('may not be asked again')
+            self._fail('retry denied by attempt limit or budget')
 
     def start_delegated(self, replica: replicas.Replica) -> None:
         """Mark the call as delegated to a host in a replica's zone.
@@ -220,11 +220,11 @@
         """Fail or retry after a part without an answer for this service.
 
         With `NO_ANSWER` the other host has tried all replicas, so the call
-        fails. With `HELD_BACK` or `LOST` it is retried. The number of
-        attempts that the other host made is unknown if the part is lost, even
-        without an interim reply, which can be late on a slow link. Since it
-        is at most the number of replicas, a retry requires that the route
-        allows an attempt for each replica.
+        fails. With `HELD_BACK` or `LOST` it is retried if the route allows an
+        attempt for each replica. If the part is lost, the number of attempts
+        that the other host made is unknown, but at most the number of
+        replicas. This also holds without an interim reply, which can be late
+        on a slow link.
         """
         replica, self._delegated_replica = self._delegated_replica, None
         self.may_have_run = True
@@ -235,8 +235,8 @@
             return
         if self._has_attempts_for_all():
             self._tried = ()
-            again = functools.partial(self._retry, verdicts.Verdict.LOST)
-            self._run_when_allowed(again)
+            retry = functools.partial(self._retry, verdicts.Verdict.LOST)
+            self._run_when_allowed(retry)
         else:
             self._fail(detail)
 
@@ -391,7 +391,7 @@
     def _retry(self, verdict: verdicts.Verdict) -> None:
         now = self._context.loop.time()
         if self._call.expires_at - now < MIN_TIME_LEFT_S:
-            self._fail(f'{self.detail}, and no time is left')
+            self._fail(f'{self.detail}, no time left for a retry')
             return
         if (
             verdict is verdicts.Verdict.UNSENT
--- a/rudderrock/gateway/forwarding/_zones.py
+++ b/rudderrock/gateway/forwarding/_zones.py
@@ -1,4 +1,4 @@
-"""Application of operators' settings for zones and regions."""
+"""Evacuation of zones, and a check of the regions that routes use."""
 
 from collections.abc import Callable
 
