--- a/rudderrock/gateway/forwarding/_connections.py
+++ b/rudderrock/gateway/forwarding/_connections.py
@@ -120,15 +120,15 @@
         """
         zone = endpoint.zone
         if endpoint.service in self._wide_services:
-            found = self._delegation.coordinators.list_regular(zone)
+            senders = self._delegation.coordinators.list_regular(zone)
         else:
-            found = self._hosts.rank_zone(zone)
-        return [each.host for each in found or self._hosts.list_hosts()]
+            senders = self._hosts.rank_zone(zone)
+        return [each.host for each in senders or self._hosts.list_hosts()]
 
     def get_share(self, endpoint: directory.Endpoint) -> shares.LinkShare:
         """Return how many connections this host may open to an upstream."""
         service = endpoint.service
-        found = self.find_service(service)
+        entry = self.find_service(service)
         is_wide = service in self._wide_services
         coordinators = self._delegation.coordinators
         counts = self._hosts.count_by_zone()
@@ -137,7 +137,7 @@
         share = shares.share_links(
             endpoint,
             self._listing.list_ready(service),
-            found.max_connections if found is not None else 1,
+            entry.max_connections if entry is not None else 1,
             counts,
             self._place,
         )
--- a/rudderrock/gateway/forwarding/_delegate.py
+++ b/rudderrock/gateway/forwarding/_delegate.py
@@ -431,16 +431,16 @@
         )
 
     def _get_caller(self, entry: fleet.HostEntry) -> caller.HttpCaller:
-        found = self._callers.get(entry.address)
-        if found is None:
-            found = caller.HttpCaller(
+        http_caller = self._callers.get(entry.address)
+        if http_caller is None:
+            http_caller = caller.HttpCaller(
                 core.split_address(entry.address),
                 _MAX_CONNECTIONS,
                 self._names,
                 PEER_IDLE_S,
             )
-            self._callers[entry.address] = found
-        return found
+            self._callers[entry.address] = http_caller
+        return http_caller
 
 
 def make_missing_header(
--- a/rudderrock/gateway/forwarding/_forward.py
+++ b/rudderrock/gateway/forwarding/_forward.py
@@ -343,7 +343,7 @@
             late=late,
             lost=settled_call.lost,
         )
-    found = results.explain_failure(
+    failed = results.explain_failure(
         context.names,
         call.request_id,
         may_have_run([settled_call]),
@@ -351,7 +351,7 @@
         settled_call.explain(),
         call.canary,
     )
-    return dataclasses.replace(found, late=late, lost=settled_call.lost)
+    return dataclasses.replace(failed, late=late, lost=settled_call.lost)
 
 
 def may_have_run(service_calls: list[service_call.ServiceCall]) -> bool:
--- a/rudderrock/gateway/forwarding/_gateway.py
+++ b/rudderrock/gateway/forwarding/_gateway.py
@@ -257,18 +257,18 @@
             await self._parts.first.wait()
         table = self._parts.tables.current
         route = self._find_route(table, request)
-        found = results.Result(
+        result = results.Result(
             messages.Reply(503, []),
             results.Outcome.CALLER_LEFT,
             'the caller closed its connection',
         )
         try:
-            found = await self._answer(
+            result = await self._answer(
                 table, route, request, may_delegate, shards
             )
         finally:
-            self._record(table, route, request, found)
-        return found.reply
+            self._record(table, route, request, result)
+        return result.reply
 
     async def _answer(
         self,
@@ -313,7 +313,7 @@
                 kind = work.Kind(route.name, is_part=True)
                 self.work.note_begun(kind, len(shards))
                 min_answers = request.get_header(delegate.MIN_ANSWERS) or b'1'
-                found = await gather.answer_part(
+                result = await gather.answer_part(
                     self._context,
                     call,
                     route.target,
@@ -322,9 +322,9 @@
                     int(min_answers),
                 )
                 self.work.note_ended(
-                    kind, found.requests_sent, found.bytes_received
+                    kind, result.requests_sent, result.bytes_received
                 )
-                return found
+                return result
             case routing.Scatter():
                 rank = table.get_rank(route)
                 if may_delegate and self._is_delegable(route):
@@ -371,8 +371,8 @@
                     break
                 case delegate.NotStarted():
                     tried = (*tried, candidate.entry.host)
-                case found:
-                    return found
+                case result:
+                    return result
             is_last = candidate.is_last
         return await self._run_admitted(call, scatter, threshold, rank)
 
@@ -398,17 +398,17 @@
         kind = work.Kind(call.route.name, is_part=False)
         self.work.note_begun(kind, len(scatter.shards))
         try:
-            found = await gather.forward_to_all(
+            result = await gather.forward_to_all(
                 self._context, call, scatter, threshold, self.delegation
             )
             self.work.note_ended(
-                kind, found.requests_sent, found.bytes_received
+                kind, result.requests_sent, result.bytes_received
             )
             elapsed_s = self._parts.clock.now() - call.request.arrived
             congested = admission.is_congested(
-                found.late, found.shards, elapsed_s, call.route.goal_s
+                result.late, result.shards, elapsed_s, call.route.goal_s
             )
-            return found
+            return result
         finally:
             self.admission.leave(gate, congested)
 
@@ -472,15 +472,15 @@
         )
 
     def _digest_if_suspect(
-        self, request: messages.Request, found: results.Result
+        self, request: messages.Request, result: results.Result
     ) -> str:
         """Return the digest of a request with lost attempts, else ''.
 
         Copies of the request have the same digest. It is also returned for a
         quarantined request.
         """
-        is_quarantined = found.outcome is results.Outcome.QUARANTINED
-        if not (found.lost or is_quarantined):
+        is_quarantined = result.outcome is results.Outcome.QUARANTINED
+        if not (result.lost or is_quarantined):
             return ''
         return digest.digest_request(request, self._config.names)
 
@@ -519,47 +519,47 @@
         return self._connections.share_slack(service, self._config.extra_slack)
 
     def _get_budget(self, service: routing.ServiceName) -> budget.ExtraBudget:
-        found = self._budgets.get(service)
-        if found is None:
-            found = budget.ExtraBudget(
+        extra_budget = self._budgets.get(service)
+        if extra_budget is None:
+            extra_budget = budget.ExtraBudget(
                 self._parts.clock,
                 self._config.extra_ratio,
                 self._config.extra_window_s,
                 self.get_extra_slack(service),
             )
-            self._budgets[service] = found
-        return found
+            self._budgets[service] = extra_budget
+        return extra_budget
 
     def _record(
         self,
         table: routing.RoutingTable | None,
         route: routing.Route | None,
         request: messages.Request,
-        found: results.Result,
+        result: results.Result,
     ) -> None:
         elapsed_s = self._parts.clock.now() - request.arrived
         name = route.name if route is not None else None
-        self._parts.figures.note(name, found, elapsed_s)
+        self._parts.figures.note(name, result, elapsed_s)
         request_id = request.get_header(self._config.names.request_id) or b''
         listing = self._parts.listing
         self._parts.events.record_request(
-            found.outcome is results.Outcome.ANSWERED,
+            result.outcome is results.Outcome.ANSWERED,
             request_id=request_id.decode('latin-1'),
             route=name,
             table_version=table.version if table is not None else None,
             upstreams_revision=listing.position.revision,
-            outcome=found.outcome.value,
-            status=found.reply.status,
-            detail=found.detail,
-            shards=found.shards,
-            answered=found.answered,
-            late=found.late,
-            far=found.far,
-            extras=found.extras,
-            denied=found.denied,
-            lost=found.lost,
-            digest=self._digest_if_suspect(request, found),
-            waited_for=found.waited_for,
+            outcome=result.outcome.value,
+            status=result.reply.status,
+            detail=result.detail,
+            shards=result.shards,
+            answered=result.answered,
+            late=result.late,
+            far=result.far,
+            extras=result.extras,
+            denied=result.denied,
+            lost=result.lost,
+            digest=self._digest_if_suspect(request, result),
+            waited_for=result.waited_for,
             upstreams_age_ms=round(listing.age_s * 1000),
             elapsed_ms=round(elapsed_s * 1000, 1),
         )
--- a/rudderrock/gateway/forwarding/_parts.py
+++ b/rudderrock/gateway/forwarding/_parts.py
@@ -68,8 +68,8 @@
         match answer:
             case None:
                 self._start_locally()
-            case host, result.Ok(found):
-                self._accept(found, host, call)
+            case host, result.Ok(part_answer):
+                self._accept(part_answer, host, call)
             case host, result.Err(problem):
                 detail = f'{host}: {problem.detail}'
                 self._mark_failed(detail, service_call.PartFailure.LOST)
@@ -101,22 +101,25 @@
             each.start_locally()
 
     def _accept(
-        self, found: delegate.PartAnswer, host: core.HostId, call: calls.Call
+        self,
+        part_answer: delegate.PartAnswer,
+        host: core.HostId,
+        call: calls.Call,
     ) -> None:
         """Settle the service calls according to the answer of the part."""
-        if len(found.missing) < len(self._members):
-            self.answer = found
+        if len(part_answer.missing) < len(self._members):
+            self.answer = part_answer
         part_failure = service_call.PartFailure.NO_ANSWER
         for each in self._members:
-            if each.service not in found.missing:
+            if each.service not in part_answer.missing:
                 each.settle_from_part()
-        if found.crashed_upstreams is not None:
+        if part_answer.crashed_upstreams is not None:
             part_failure = service_call.PartFailure.HELD_BACK
-            call.canary.warn(found.crashed_upstreams)
+            call.canary.warn(part_answer.crashed_upstreams)
         # Missing shards come last: an answer clears the request of suspicion,
         # so their retries may be sent at once.
         for each in self._members:
-            if each.service in found.missing:
+            if each.service in part_answer.missing:
                 each.handle_part_failure(
                     f'no answer in the part from {host}', part_failure
                 )
@@ -160,9 +163,9 @@
             ),
         )
         members = {
-            each: found[zone]
-            for each, found in nearest.items()
-            if zone in found
+            each: replicas_by_zone[zone]
+            for each, replicas_by_zone in nearest.items()
+            if zone in replicas_by_zone
         }
         for each in members:
             del nearest[each]
@@ -183,13 +186,13 @@
     nearest = {}
     has_time_by_zone: dict[core.ZoneId, bool] = {}
     for each in service_calls:
-        found = book.list_nearest(
+        nearest_replicas = book.list_nearest(
             each.service, call.route.residency, call.late_after_s
         )
-        if not found or found[0].distance == 0:
+        if not nearest_replicas or nearest_replicas[0].distance == 0:
             continue
         zones = {}
-        for replica in found:
+        for replica in nearest_replicas:
             zone = replica.endpoint.zone
             if zone not in has_time_by_zone:
                 has_time_by_zone[zone] = delegation.has_time_to_hedge(
--- a/rudderrock/gateway/forwarding/_zones.py
+++ b/rudderrock/gateway/forwarding/_zones.py
@@ -29,13 +29,13 @@
         self._find_service = find_service
         self._events = events
 
-    def apply_evacuations(self, found: evacuations.Evacuations) -> None:
+    def apply_evacuations(self, current: evacuations.Evacuations) -> None:
         """Stop using evacuated zones, and use restored zones again.
 
-        Upstreams of a restored zone are treated as cold, because they may
-        have become cold before their directory entries show it.
+        Upstreams of a restored zone are treated as cold: they may have become
+        cold recently, and their directory entries may not show it yet.
         """
-        change = self._listing.set_evacuated(found.zones)
+        change = self._listing.set_evacuated(current.zones)
         if change is None:
             return
         for upstream in change.added:
