--- a/rudderrock/gateway/decisions/__init__.py
+++ b/rudderrock/gateway/decisions/__init__.py
@@ -1,5 +1,5 @@
-"""What a host decides for each request and connection.
+"""Decisions that a host takes for each request and connection.
 
-Which upstream is asked next, how many extra requests it may get, how many
-connections, which queries are admitted, and which hosts run wide queries.
+They select the next upstream, limit extra requests and connections, admit
+queries, and select the hosts that coordinate wide queries.
 """
--- a/rudderrock/gateway/decisions/_admission.py
+++ b/rudderrock/gateway/decisions/_admission.py
@@ -1,10 +1,10 @@
-"""How many queries over shards one host runs at once, and which.
+"""Admission control: an adaptive limit on concurrent queries over shards.
 
-When more is asked than the shards can do, queues grow at all of them and no
-answer is in time. So the number of queries under way is bounded, by the rule
-of TCP congestion control (Chiu and Jain, 1989): a little more while it helps,
-a good part less when it doesn't. What is beyond the bound is refused at once,
-the less urgent first.
+When the shards get more queries than they can serve, queues grow at all of
+them and no answer is in time. The number of concurrent queries is therefore
+limited by additive increase and multiplicative decrease, as in TCP congestion
+control (Chiu and Jain, 1989). Queries above the limit are refused at once,
+those of low priority first.
 """
 
 import collections
@@ -12,50 +12,55 @@
 
 from rudderrock import core
 
-# A query is congested if more than this part of its shards was late, so that
-# the cause is not one slow shard, and it took this part of its goal or more.
-CONGESTED_PART = 0.3
-CONGESTED_GOAL = 0.8
-# Weight of one query in the moving fraction of congested ones, and the
-# fractions at which the bound falls and may grow.
-_WEIGHT = 0.1
-_FALL_AT = 0.4
-_GROW_AT = 0.2
-# How far the bound falls, at most this often, in seconds: a change shows
-# only when queries have come and gone.
-_FALL_FACTOR = 0.8
-_FALL_EVERY_S = 0.2
-# The bound grows by one in this time while it is nearly reached, seconds.
-_GROW_EVERY_S = 0.3
-_NEARLY = 0.7
-LEAST = 1
-START = 256
-# If queries are congested even at the least bound for so long, refusing does
-# not help them; it is given up for a while. Seconds.
-_USELESS_AFTER_S = 2.0
-_GIVE_UP_S = 15.0
-# Each rank of urgency leaves this part of the bound to the next.
-RANK_SHARE = 0.8
-# When a refused caller may come back, in seconds: queues of a passing burst
-# have gone by then.
+# A query is congested if more than this fraction of its shards was late, so
+# that a single slow shard does not count, and it took at least this fraction
+# of its latency goal.
+CONGESTED_SHARD_FRACTION = 0.3
+CONGESTED_GOAL_FRACTION = 0.8
+# Weight of one query in the moving average of the fraction of congested
+# queries. The limit decreases and may increase when the average is above and
+# below the following values.
+_QUERY_WEIGHT = 0.1
+_DECREASE_ABOVE = 0.4
+_INCREASE_BELOW = 0.2
+# Factor by which the limit decreases, and minimum time between two decreases,
+# in seconds. A change has no effect until queries in flight have ended.
+_DECREASE_FACTOR = 0.8
+_DECREASE_INTERVAL_S = 0.2
+# The limit increases by one per interval, in seconds, while at least the
+# fraction _MIN_UTILIZATION of it is in use.
+_INCREASE_INTERVAL_S = 0.3
+_MIN_UTILIZATION = 0.7
+MIN_LIMIT = 1
+INITIAL_LIMIT = 256
+# If queries are still congested after _MAX_TIME_AT_MIN_S at the minimum limit,
+# refusing queries does not help. The limit is then reset to INITIAL_LIMIT and
+# not decreased for _SUSPENSION_S.
+_MAX_TIME_AT_MIN_S = 2.0
+_SUSPENSION_S = 15.0
+# Each rank of lower priority may use this fraction of the limit of the rank
+# above it.
+RANK_FRACTION = 0.8
+# Time after which a refused caller may retry, in seconds. The queues of a
+# short burst are empty by then.
 RETRY_AFTER_S = 0.3
 
 
 @dataclasses.dataclass(slots=True)
 class Gate:
-    """The bound of the queries over one set of shards."""
+    """State of the concurrency limit for one set of shards."""
 
-    limit: float = START
+    limit: float = INITIAL_LIMIT
     under_way: int = 0
-    congested: float = 0.0
-    fell_at: float = 0.0
-    grew_at: float = 0.0
-    least_since: float | None = None
-    open_until: float = 0.0
+    congested_fraction: float = 0.0
+    decreased_at: float = 0.0
+    increased_at: float = 0.0
+    at_min_since: float | None = None
+    suspended_until: float = 0.0
 
 
 class Admission:
-    """A gate for each set of shards."""
+    """Adaptive concurrency limits, one for each set of shards."""
 
     def __init__(self, clock: core.Clock):
         self.refused = 0
@@ -65,59 +70,65 @@
         )
 
     def get_gate(self, shards: tuple[str, ...]) -> Gate:
-        """Return the gate of a set of shards."""
+        """Return the concurrency limit of a set of shards."""
         return self._gates[shards]
 
     def try_enter(self, gate: Gate, rank: int) -> bool:
-        """Take a place if there is one; rank 0 is the most urgent."""
-        if gate.under_way >= max(LEAST, gate.limit * RANK_SHARE**rank):
+        """Return whether a query is admitted; rank 0 has highest priority."""
+        if gate.under_way >= max(MIN_LIMIT, gate.limit * RANK_FRACTION**rank):
             self.refused += 1
             return False
         gate.under_way += 1
         return True
 
     def leave(self, gate: Gate, congested: bool | None) -> None:
-        """Give the place back; None if the query was given up.
+        """Release the slot of a query and adapt the limit.
 
-        A query that was given up says nothing of congestion.
+        `congested` is None if the query was cancelled, which is no evidence
+        for or against congestion.
         """
         busy = gate.under_way
         gate.under_way -= 1
         if congested is None:
             return
-        gate.congested += _WEIGHT * (congested - gate.congested)
+        gate.congested_fraction += _QUERY_WEIGHT * (
+            congested - gate.congested_fraction
+        )
         now = self._clock.now()
-        if gate.congested > _FALL_AT:
-            self._fall(gate, busy, now)
-        elif gate.congested < _GROW_AT:
-            gate.least_since = None
-            self._grow(gate, busy, now)
-
-    def _fall(self, gate: Gate, busy: int, now: float) -> None:
-        if now < gate.open_until or now - gate.fell_at < _FALL_EVERY_S:
+        if gate.congested_fraction > _DECREASE_ABOVE:
+            self._decrease(gate, busy, now)
+        elif gate.congested_fraction < _INCREASE_BELOW:
+            gate.at_min_since = None
+            self._increase(gate, busy, now)
+
+    def _decrease(self, gate: Gate, busy: int, now: float) -> None:
+        if (
+            now < gate.suspended_until
+            or now - gate.decreased_at < _DECREASE_INTERVAL_S
+        ):
             return
-        gate.fell_at = now
-        fallen = min(gate.limit, busy) * _FALL_FACTOR
-        gate.limit = max(float(LEAST), fallen)
-        if gate.limit > LEAST:
-            gate.least_since = None
-        elif gate.least_since is None:
-            gate.least_since = now
-        elif now - gate.least_since >= _USELESS_AFTER_S:
-            gate.least_since = None
-            gate.limit = float(START)
-            gate.open_until = now + _GIVE_UP_S
-
-    def _grow(self, gate: Gate, busy: int, now: float) -> None:
-        nearly = busy >= _NEARLY * gate.limit
-        if nearly and now - gate.grew_at >= _GROW_EVERY_S:
-            gate.grew_at = now
-            gate.limit = min(gate.limit + 1.0, float(START))
+        gate.decreased_at = now
+        decreased = min(gate.limit, busy) * _DECREASE_FACTOR
+        gate.limit = max(float(MIN_LIMIT), decreased)
+        if gate.limit > MIN_LIMIT:
+            gate.at_min_since = None
+        elif gate.at_min_since is None:
+            gate.at_min_since = now
+        elif now - gate.at_min_since >= _MAX_TIME_AT_MIN_S:
+            gate.at_min_since = None
+            gate.limit = float(INITIAL_LIMIT)
+            gate.suspended_until = now + _SUSPENSION_S
+
+    def _increase(self, gate: Gate, busy: int, now: float) -> None:
+        is_utilized = busy >= _MIN_UTILIZATION * gate.limit
+        if is_utilized and now - gate.increased_at >= _INCREASE_INTERVAL_S:
+            gate.increased_at = now
+            gate.limit = min(gate.limit + 1.0, float(INITIAL_LIMIT))
 
 
 def is_congested(
     late: int, shards: int, elapsed_s: float, goal_s: float
 ) -> bool:
-    """Tell whether a query met congestion; times in seconds."""
-    many = late > CONGESTED_PART * shards
-    return many and elapsed_s >= CONGESTED_GOAL * goal_s
+    """Return whether a query met congestion; times in seconds."""
+    has_many_late = late > CONGESTED_SHARD_FRACTION * shards
+    return has_many_late and elapsed_s >= CONGESTED_GOAL_FRACTION * goal_s
--- a/rudderrock/gateway/decisions/_canary.py
+++ b/rudderrock/gateway/decisions/_canary.py
@@ -1,20 +1,20 @@
 """Limit how many upstreams a single crashing request can take down.
 
 A request may crash every upstream that runs it. The attempts of a call are
-sent together as long as no upstream has ended under its request. Once
-upstreams have ended and none has answered, a single attempt is sent, a canary
-request (Dean and Barroso, "The Tail at Scale", 2013), and the others follow
-when it has been answered. Attempts that are in flight together form a round.
-With 20 shards of two upstreams each, a crashing request therefore ends 20
-upstreams in the first round and one with the canary, instead of 40.
+sent together as long as no upstream has crashed under its request. Once
+upstreams have crashed and none has answered, a single attempt is sent, a
+canary request (Dean and Barroso, "The Tail at Scale", 2013), and the others
+follow when it has been answered. Attempts that are in flight together form a
+round. With 20 shards of two upstreams each, a crashing request therefore ends
+20 upstreams in the first round and one with the canary, instead of 40.
 
 A canary is sent to the service with the most live upstreams. Once more than
-one upstream has ended, it is never sent to the last live upstream of a
-service: the first round leaves one of two upstreams in each of 20 shards, and
-if canaries end the remaining ones of two or three shards, no query can be
-answered until these upstreams are back, about three seconds later. If no
-service has more than one live upstream, the request fails at once with the
-time after which the caller may retry.
+one upstream has crashed, it is never sent to the last live upstream of a
+service. The first round leaves one of two upstreams in each of 20 shards. If
+canaries crash the remaining ones of two or three shards, no query can be
+answered until these upstreams have restarted, about three seconds later. If no
+service has more than one live upstream, the request fails at once with a time
+after which the caller may retry.
 """
 
 from collections.abc import Callable
@@ -30,10 +30,10 @@
 # outcome take about 0.1 s, so two hosts that receive copies of a request at
 # the same time rarely both send one, and four almost never do.
 TRIAL_SPREAD_S = 2.0
-# Time in seconds after the end of an upstream before another copy of the
-# request sends its canary. Until then attempts of the first copy may still be
-# in flight, and may end one of the two upstreams that a service seems to have.
-# They finish within the latency goal, about 0.1 to 0.5 s.
+# Time in seconds after a crash before another copy of the request sends its
+# canary. Until then attempts of the first copy may still be in flight, and may
+# crash one of the two upstreams that a service seems to have. They finish
+# within the latency goal, about 0.1 to 0.5 s.
 SETTLE_S = 0.5
 
 
@@ -87,17 +87,17 @@
         self._in_flight = 0
         # Lost connections whose upstreams are being checked.
         self._pending_checks = 0
-        # Upstreams that ended in the current round and are not recorded yet.
-        self._ended_upstreams: set[core.UpstreamLife] = set()
+        # Upstreams that crashed in the current round, not reported yet.
+        self._crashed: set[core.UpstreamLife] = set()
         self._round_began = 0.0
         self._was_suspect = False
-        # Ended upstreams have been recorded before the end of the round.
+        # Crashes of the current round have been reported before its end.
         self._is_reported = False
         # This call has sent an attempt, so attempts in flight may be its own.
         self._has_sent = False
         # A canary of this call is in flight.
         self._is_canary_in_flight = False
-        # No service had an upstream that a canary may end.
+        # No service had an upstream to which a canary could be sent.
         self._has_no_spare = False
         self._waiting: list[Waiter] = []
 
@@ -138,7 +138,7 @@
             return Advice.SEND
         if self.standing is quarantine.Standing.QUARANTINED:
             return Advice.STOP
-        if not (self.is_suspect or self._has_lost()):
+        if not (self.is_suspect or self._has_crashes()):
             return Advice.SEND
         if self._is_round_open():
             return Advice.WAIT
@@ -155,7 +155,7 @@
         self._advance()
 
     def list_ended(self) -> list[core.UpstreamLife]:
-        """Return the upstreams that ended while running the request."""
+        """Return the upstreams that crashed while running the request."""
         if self._quarantine.is_empty:
             return []
         return self._quarantine.list_ended(self.digest)
@@ -169,8 +169,8 @@
     def get_retry_after_s(self) -> float:
         """Return the time until an attempt may be sent again, in seconds.
 
-        This is when the quarantine ends or, without one, when ended upstreams
-        may have restarted.
+        This is when the quarantine ends or, without one, when crashed
+        upstreams may have restarted.
         """
         if self.standing is quarantine.Standing.QUARANTINED:
             return self._quarantine.get_left_s(self.digest)
@@ -185,7 +185,7 @@
         self._has_sent = True
 
     def note_over(self) -> None:
-        """Record that an attempt ended without evidence for or against."""
+        """Record that an attempt ended with neither crash nor answer."""
         self._in_flight -= 1
         self._advance()
 
@@ -207,20 +207,20 @@
         self._in_flight -= 1
         self._pending_checks += 1
 
-    def note_checked(self, life: core.UpstreamLife, ended: bool) -> None:
-        """Record whether the upstream of a lost connection has ended."""
+    def note_checked(self, life: core.UpstreamLife, crashed: bool) -> None:
+        """Record whether the upstream of a lost connection has crashed."""
         self._pending_checks -= 1
-        if ended:
-            self._ended_upstreams.add(life)
+        if crashed:
+            self._crashed.add(life)
         self._advance()
 
-    def warn(self, ended: Iterable[core.UpstreamLife]) -> None:
+    def warn(self, crashed: Iterable[core.UpstreamLife]) -> None:
         """Record that another host suspects the request.
 
-        The upstreams that ended there count as part of the first round.
+        Upstreams that crashed there count as part of the first round.
         """
         self._is_suspect_elsewhere = True
-        lives = tuple(ended)
+        lives = tuple(crashed)
         if lives and not self.is_answered:
             self._quarantine.note_trial(
                 self.digest, self._round_began, False, lives
@@ -235,13 +235,13 @@
     def _is_round_open(self) -> bool:
         return self._in_flight > 0 or self._pending_checks > 0
 
-    def _has_lost(self) -> bool:
-        return self._pending_checks > 0 or bool(self._ended_upstreams)
+    def _has_crashes(self) -> bool:
+        return self._pending_checks > 0 or bool(self._crashed)
 
     def _advance(self) -> None:
         """End the round if it is over, then proceed with waiting attempts."""
-        self._report_ended()
-        self._end_canary_if_over()
+        self._report_crashes()
+        self._end_finished_canary()
         if not self._waiting:
             return
         if self.judge() is Advice.WAIT:
@@ -249,31 +249,29 @@
         else:
             self._resume_all()
 
-    def _report_ended(self) -> None:
-        """Report the upstreams that ended under the request.
+    def _report_crashes(self) -> None:
+        """Report the upstreams that crashed under the request.
 
         They are reported when the round is over, or as soon as three have
-        ended and none has answered. The last attempt may end 0.15 s later, or
-        much later if a host that runs a part is frozen. A copy that reached
-        another host in that time ended one more upstream of each shard (14 in
-        one run).
+        crashed and none has answered. The last attempt may end 0.15 s later,
+        or much later if a host that runs part of the query is frozen. A copy
+        that reached another host in that time crashed one more upstream of
+        each shard (14 in one run).
         """
-        if not self._ended_upstreams or self.is_answered:
+        if not self._crashed or self.is_answered:
             return
-        has_reached_limit = (
-            len(self._ended_upstreams) >= quarantine.MOST_TRIALS
-        )
+        has_reached_limit = len(self._crashed) >= quarantine.MOST_TRIALS
         if self._is_round_open() and (
             self._is_reported or not has_reached_limit
         ):
             return
         self._is_reported = self._is_round_open()
-        ended, self._ended_upstreams = self._ended_upstreams, set()
+        crashed, self._crashed = self._crashed, set()
         self._quarantine.note_trial(
-            self.digest, self._round_began, self._was_suspect, ended
+            self.digest, self._round_began, self._was_suspect, crashed
         )
 
-    def _end_canary_if_over(self) -> None:
+    def _end_finished_canary(self) -> None:
         if self._is_canary_in_flight and not self._is_round_open():
             self._is_canary_in_flight = False
             self._quarantine.end_canary(self.digest)
@@ -291,7 +289,7 @@
             self._quarantine.begin_canary(self.digest)
             best.send()
             # `send` may have found no upstream.
-            self._end_canary_if_over()
+            self._end_finished_canary()
 
     def _may_send_canary(self, live: int) -> bool:
         """Return whether a service with `live` upstreams may get a canary."""
--- a/rudderrock/gateway/decisions/_cold.py
+++ b/rudderrock/gateway/decisions/_cold.py
@@ -1,13 +1,13 @@
-"""How much is sent to upstreams that are cold.
+"""Rate limit for upstreams that are cold.
 
-An upstream that has just started stands few requests a second, from all hosts
-together, and fails above that. Hosts do not ask one another before each
-request, so one host has the whole of what a cold upstream may be sent, and
-the others leave it alone: which host that is follows from the names that all
-know, by the greatest hash of host and upstream (rendezvous hashing, Thaler and
-Ravishankar 1998). Shares for all hosts would not do: 60 hosts that have a
-sixtieth each of 11 requests a second may send nothing, or all one at a time
-in the same second.
+An upstream that has just started can serve only a few requests a second from
+all hosts together, and fails above that rate. Hosts do not coordinate each
+request, so a single host may send to a cold upstream, at the whole rate. It is
+the host with the greatest hash of host and upstream (rendezvous hashing,
+Thaler and Ravishankar 1998), which all hosts compute from the same names. A
+share for every host would not work: 60 hosts with one sixtieth each of 11
+requests a second would either send nothing or one request each in the same
+second.
 """
 
 import collections
@@ -19,22 +19,23 @@
 from rudderrock.gateway.knowledge import _fleet as fleet
 from rudderrock.gateway.knowledge import _routing as routing
 
-# Two hosts that know others may both take themselves for the sender, while
-# hosts come and go; so each uses this part of what is allowed.
-SENDER_PART = 0.5
-# Requests that leave within a second may arrive within a shorter time: the
-# longest way there and back between regions, and a busy core; seconds.
+# Fraction of the allowed rate that the sender uses. While hosts join and
+# leave, two hosts that know different hosts may both act as the sender.
+SENDER_FRACTION = 0.5
+# Requests sent within one second may arrive within a shorter time. This
+# margin, in seconds, covers the longest round trip between regions and delays
+# by a busy core.
 JITTER_S = 0.1
 _WINDOW_S = 1.0 + JITTER_S
 
 
 class ColdLimits:
-    """Says whether this host may send to an upstream that is cold.
+    """Decide whether this host may send a request to a cold upstream.
 
-    Parameters: all hosts together may send `overage` times the rate that the
-    service names, plus `slack`, in any one second. `list_senders` returns
-    the hosts that send to an upstream of a service in a zone, and
-    `get_service` what holds for the service.
+    Parameters: in any second all hosts together may send `overage` times the
+    warm-up rate of the service, plus `slack` requests. `list_senders` returns
+    the hosts that may send to an upstream, and `get_service` returns the
+    settings of a service, or None if the service is unknown.
     """
 
     def __init__(
@@ -59,37 +60,37 @@
         self._sent_at: dict[core.UpstreamId, collections.deque[float]] = {}
 
     def admits(self, endpoint: directory.Endpoint) -> bool:
-        """Tell whether one more request may be sent to an upstream now."""
+        """Return whether another request may be sent to an upstream now."""
         if self._listing.get_cold_s(endpoint.upstream) <= 0.0:
             self._sent_at.pop(endpoint.upstream, None)
             return True
-        most = self._get_most(endpoint)
-        if most == math.inf:
+        max_rate = self._get_max_rate(endpoint)
+        if max_rate == math.inf:
             return True
         admitted = (
             self._is_sender(endpoint)
-            and self._count_recent(endpoint.upstream) < most
+            and self._count_recent(endpoint.upstream) < max_rate
         )
         self.held_back += not admitted
         return admitted
 
     def note_sent(self, endpoint: directory.Endpoint) -> None:
-        """Take note of a request that is sent."""
+        """Record that a request is sent."""
         if self._listing.get_cold_s(endpoint.upstream) <= 0.0:
             return
         self.sent += 1
-        times = self._sent_at.setdefault(
+        sent_times = self._sent_at.setdefault(
             endpoint.upstream, collections.deque()
         )
-        times.append(self._clock.now())
+        sent_times.append(self._clock.now())
 
-    def _get_most(self, endpoint: directory.Endpoint) -> float:
-        """Return how many requests a second the one sender may send."""
+    def _get_max_rate(self, endpoint: directory.Endpoint) -> float:
+        """Return the requests a second that the sender may send."""
         service = self._get_service(endpoint.service)
         if service is None or service.warmup_per_s <= 0.0:
             return math.inf
         allowed = service.warmup_per_s * self._overage + self._slack
-        return math.floor(SENDER_PART * allowed)
+        return math.floor(SENDER_FRACTION * allowed)
 
     def _is_sender(self, endpoint: directory.Endpoint) -> bool:
         senders = self._list_senders(endpoint)
@@ -101,10 +102,10 @@
         return best == self._own
 
     def _count_recent(self, upstream: core.UpstreamId) -> int:
-        times = self._sent_at.get(upstream)
-        if times is None:
+        sent_times = self._sent_at.get(upstream)
+        if sent_times is None:
             return 0
         since = self._clock.now() - _WINDOW_S
-        while times and times[0] < since:
-            times.popleft()
-        return len(times)
+        while sent_times and sent_times[0] < since:
+            sent_times.popleft()
+        return len(sent_times)
--- a/rudderrock/gateway/decisions/_replicas.py
+++ b/rudderrock/gateway/decisions/_replicas.py
@@ -1,4 +1,4 @@
-"""What this host has seen of each upstream, and which one it asks next."""
+"""Connections to upstreams, their health, and the choice of a replica."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,26 +15,27 @@
 from rudderrock.gateway.knowledge import _place as place
 from rudderrock.gateway.knowledge import _routing as routing
 
-# After a late or failed answer an upstream is passed over for this long,
-# doubled for each more in a row up to the longest; seconds. A pause of an
-# upstream lasts some 150 to 250 ms. Passed over only from the second late
-# answer on, fewer requests were served (docs/benchmarks.md, figures of
-# thresholds).
-FIRST_AVOID_S = 0.25
-LONGEST_AVOID_S = 6.0
-# An upstream that can't be reached is passed over for longer; seconds.
+# Time in seconds during which an upstream is avoided after a late or failed
+# answer. Each consecutive one doubles it, up to MAX_AVOID_S. A pause of an
+# upstream lasts about 150 to 250 ms. Fewer requests were served when upstreams
+# were avoided only from the second late answer on (docs/benchmarks.md, figures
+# of thresholds).
+INITIAL_AVOID_S = 0.25
+MAX_AVOID_S = 6.0
+# Initial avoidance time of an upstream that cannot be reached, in seconds.
 UNREACHABLE_AVOID_S = 0.5
-# A rejected request says that the upstream is full just now; seconds.
+# Initial avoidance time after a rejection, in seconds: the upstream is only
+# full for the moment.
 SHED_AVOID_S = 0.1
-# An upstream whose address turned out to be another's has ended. It is not
-# asked again for this long, in seconds, in which its registration lapses:
-# each request would reach, and load, a service that it is not meant for.
-GONE_S = 10.0
-_MOST_STRIKES = 6
+# An upstream has ended if another upstream answers at its address. It gets no
+# requests for this time, in seconds, during which its registration expires.
+# Each request would reach, and load, a service that it is not meant for.
+MISDIRECTED_EXCLUSION_S = 10.0
+_MAX_STRIKES = 6
 
 
 class Replica:
-    """One upstream with its connections and its recent conduct."""
+    """One upstream with its connection pool and recent health."""
 
     def __init__(
         self,
@@ -49,52 +50,57 @@
         self.strikes = 0
         self._clock = clock
         self._avoid_until = 0.0
-        self._gone_until = 0.0
+        self._excluded_until = 0.0
 
-    def is_gone(self, now: float) -> bool:
-        """Tell whether its address was lately found to be another's."""
-        return now < self._gone_until
+    def is_excluded(self, now: float) -> bool:
+        """Return whether another upstream recently answered at its address."""
+        return now < self._excluded_until
 
     def note_gone(self) -> None:
-        """Take note that another upstream answers at its address."""
-        self._gone_until = self._clock.now() + GONE_S
+        """Record that another upstream answers at its address."""
+        self._excluded_until = self._clock.now() + MISDIRECTED_EXCLUSION_S
 
     def is_suspect(self, now: float, late_s: float) -> bool:
-        """Tell whether it should be passed over while another will do.
+        """Return whether other replicas should be preferred.
 
-        It is while a request to it is later than `late_s`.
+        This is the case after recent failures, and while a request to this
+        replica has been in flight for more than `late_s` seconds.
         """
         if now < self._avoid_until:
             return True
         return self.links.get_oldest_age(now) > late_s
 
     def note_good(self) -> None:
-        """Take note of an answer in time."""
+        """Record an answer in time."""
         self.strikes = 0
         self._avoid_until = 0.0
 
-    def note_bad(self, base_s: float = FIRST_AVOID_S) -> None:
-        """Take note of a late, failed, lost or rejected request."""
+    def note_bad(self, base_s: float = INITIAL_AVOID_S) -> None:
+        """Record a late, failed, lost or rejected request.
+
+        Each consecutive one doubles the avoidance time, which starts at
+        `base_s` seconds.
+        """
         now = self._clock.now()
         if now < self._avoid_until:
             return
-        wait_s = min(base_s * 2**self.strikes, LONGEST_AVOID_S)
-        self.strikes = min(self.strikes + 1, _MOST_STRIKES)
+        wait_s = min(base_s * 2**self.strikes, MAX_AVOID_S)
+        self.strikes = min(self.strikes + 1, _MAX_STRIKES)
         self._avoid_until = now + wait_s
 
 
-class ConnectionNeeds(Protocol):
-    """What decides on the connections of a host."""
+class ConnectionPolicy(Protocol):
+    """Policy that decides which connections a host opens."""
 
     def get_share(self, endpoint: directory.Endpoint) -> shares.LinkShare:
-        """Return what this host may open to one upstream."""
+        """Return how many connections to an upstream this host may open."""
 
     def list_wanted(self, book: 'ReplicaBook') -> set[routing.ServiceName]:
-        """Return the services that this host itself will send to."""
+        """Return the services that this host sends requests to itself."""
 
 
 class ReplicaBook:
-    """All replicas of this host, kept in step with the directory."""
+    """The replicas that this host uses, updated from the directory."""
 
     def __init__(
         self,
@@ -102,8 +108,8 @@
         place: place.Place,
         names: dialect.HeaderNames,
         clock: core.Clock,
-        source: random.Random,
-        needs: ConnectionNeeds,
+        rng: random.Random,
+        policy: ConnectionPolicy,
         cold_limits: cold.ColdLimits,
         own: core.HostId,
         has_ended: Callable[[core.UpstreamLife], bool],
@@ -116,8 +122,8 @@
         self._place = place
         self._names = names
         self._clock = clock
-        self._source = source
-        self._needs = needs
+        self._rng = rng
+        self._policy = policy
         self._replicas: dict[core.UpstreamId, Replica] = {}
         self._retired: list[Replica] = []
         listing.add_listener(self._on_change)
@@ -127,7 +133,7 @@
     ) -> list[Replica]:
         """Return the replicas of a service that may be sent a request.
 
-        They take new work and are where the request may be handled.
+        They accept new requests and are in zones that `residency` allows.
         """
         return [
             self._get_replica(endpoint)
@@ -138,21 +144,22 @@
     def count_live(
         self, service: routing.ServiceName, residency: place.Residency
     ) -> int:
-        """Return how many replicas of a service live, as far as known.
+        """Return how many replicas of a service are not known to have ended.
 
-        One that has ended stays registered for some seconds, and one whose
-        address is another's has ended too.
+        A replica that has ended stays registered for some seconds. A replica
+        at whose address another upstream answers has ended too.
         """
         now = self._clock.now()
         return sum(
-            not each.is_gone(now) and not self._has_ended(each.endpoint.life)
+            not each.is_excluded(now)
+            and not self._has_ended(each.endpoint.life)
             for each in self.list_ready(service, residency)
         )
 
     def has_ready(
         self, service: routing.ServiceName, residency: place.Residency
     ) -> bool:
-        """Tell whether a service has an upstream for a request."""
+        """Return whether a service has an upstream in the allowed zones."""
         return any(
             self._place.allows(residency, endpoint.zone)
             for endpoint in self._listing.list_ready(service)
@@ -165,22 +172,24 @@
         late_s: float,
         tried: tuple[core.UpstreamId, ...] = (),
     ) -> Replica | None:
-        """Return the replica to ask next, or None if none is left.
-
-        Nothing speaking against it comes first, then nearness, then, beyond
-        this zone, a connection that is open, then how little this host has
-        under way there; chance breaks ties.
-
-        To open a connection into another region takes two thirds as long as
-        the exchange itself: half of all hedges that came back took 28 ms on an
-        open one and 51 ms on a new one, and 41 in 100 had to open one (12 s of
-        24 queries a second over 90 shards, three replicas in three regions).
+        """Return the replica to send a request to, or None if none is left.
+
+        Preferred are, in this order: replicas that are not suspect, with
+        room in their pools, in the nearest zone, with an idle connection (in
+        other zones only), and with the fewest requests of this host in
+        flight. Ties are broken at random.
+
+        Idle connections are preferred because opening one into another region
+        takes two thirds as long as the exchange itself. The median time of
+        answered hedges was 28 ms on an open connection and 51 ms on a new
+        one, and 41 in 100 had to open one (24 queries a second over 90 shards
+        for 12 s, three replicas in three regions).
         """
         now = self._clock.now()
         best = None
         best_key = None
         for replica in self.list_ready(service, residency):
-            if replica.endpoint.upstream in tried or replica.is_gone(now):
+            if replica.endpoint.upstream in tried or replica.is_excluded(now):
                 continue
             if not self._cold.admits(replica.endpoint):
                 continue
@@ -192,7 +201,7 @@
                 replica.distance,
                 replica.distance > 0 and not replica.links.is_idle,
                 replica.links.load / replica.endpoint.slots,
-                self._source.random(),
+                self._rng.random(),
             )
             if best_key is None or key < best_key:
                 best, best_key = replica, key
@@ -204,12 +213,12 @@
         residency: place.Residency,
         late_s: float,
     ) -> list[Replica]:
-        """Return the replicas nearest of those that nothing speaks against."""
+        """Return the nearest of the healthy replicas that have room."""
         now = self._clock.now()
         found = [
             replica
             for replica in self.list_ready(service, residency)
-            if not replica.is_gone(now)
+            if not replica.is_excluded(now)
             and not replica.is_suspect(now, late_s)
             and not replica.links.is_full
         ]
@@ -217,20 +226,21 @@
         return [replica for replica in found if replica.distance == least]
 
     def get_distance(self, zone: core.ZoneId) -> int:
-        """Return how far another zone is."""
+        """Return the distance class of another zone, 0 for this zone."""
         return self._place.get_distance(zone)
 
     def has_nearest(self, service: routing.ServiceName) -> bool:
-        """Tell whether a replica of a service is in this host's zone."""
+        """Return whether a replica of a service is in this host's zone."""
         return any(
             self._place.get_distance(endpoint.zone) == 0
             for endpoint in self._listing.list_ready(service)
         )
 
     def warm(self, service: routing.ServiceName) -> None:
-        """Open a connection to the nearest replicas of a service.
+        """Open a connection to each of the nearest replicas of a service.
 
-        None where this host's share is less than one.
+        Replicas of which this host's share is less than one connection are
+        left out.
         """
         found = self.list_ready(service, place.Anywhere())
         if not found:
@@ -241,13 +251,15 @@
                 replica.links.warm()
 
     def warm_hedge(self, service: routing.ServiceName) -> None:
-        """Keep a connection to one replica beyond the nearest.
-
-        One, since each must be opened again whenever it has idled too long;
-        hosts choose it by their own names, so that the replicas share them.
-        With it answers to 935 queries over 135 shards that left shards out
-        fell from 791 to 582, with no more connections opened, and the part of
-        requests in time rose from 0.89 to 0.91 (one heavy day of 60 hosts).
+        """Keep a connection open to one replica that is not among the nearest.
+
+        A single connection is kept because each one must be opened again
+        after it has been idle for too long. Each host chooses the replica by
+        a hash of its own name and the upstream, which spreads the hosts over
+        the replicas. With this connection, the answers that left shards out
+        fell from 791 to 582 of 935 queries over 135 shards, no more
+        connections were opened, and the fraction of requests in time rose
+        from 0.89 to 0.91 (one day under heavy load, 60 hosts).
         """
         found = self.list_ready(service, place.Anywhere())
         nearest = min((each.distance for each in found), default=0)
@@ -267,7 +279,7 @@
         best.links.warm()
 
     def sweep(self) -> None:
-        """Close connections that are no longer of use."""
+        """Close connections that are no longer needed."""
         for replica in self._replicas.values():
             replica.links.sweep()
         for replica in self._retired:
@@ -275,18 +287,18 @@
         self._retired = [each for each in self._retired if each.links.load]
 
     def drop_idle(self) -> None:
-        """Close every connection that has nothing under way."""
+        """Close every connection without a request in flight."""
         for replica in self._replicas.values():
             replica.links.drop_idle()
 
     def note_sent(self, endpoint: directory.Endpoint) -> None:
-        """Take note of a request that is sent to an upstream."""
+        """Record that a request is sent to an upstream."""
         self._cold.note_sent(endpoint)
 
     def set_caps(self) -> None:
-        """Bring all pools to the present bounds on connections."""
+        """Apply the current connection limits to all pools."""
         for replica in self._replicas.values():
-            self._set_cap(replica)
+            self._apply_share(replica)
 
     def close(self) -> None:
         """Close all connections."""
@@ -304,22 +316,22 @@
             )
             distance = self._place.get_distance(endpoint.zone)
             replica = Replica(endpoint, links, distance, self._clock)
-            self._set_cap(replica)
+            self._apply_share(replica)
             self._replicas[endpoint.upstream] = replica
         return replica
 
-    def _reset_caps(self, upstream: core.UpstreamId) -> None:
-        """Share connections anew among the replicas of one service."""
+    def _apply_shares(self, upstream: core.UpstreamId) -> None:
+        """Recompute the connection limits of all replicas of a service."""
         endpoint = self._listing.get_endpoint(upstream)
         if endpoint is None:
             return
         for each in self._listing.list_ready(endpoint.service):
             replica = self._replicas.get(each.upstream)
             if replica is not None:
-                self._set_cap(replica)
+                self._apply_share(replica)
 
-    def _set_cap(self, replica: Replica) -> None:
-        share = self._needs.get_share(replica.endpoint)
+    def _apply_share(self, replica: Replica) -> None:
+        share = self._policy.get_share(replica.endpoint)
         replica.links.cap = share.cap
         replica.links.is_spare = share.is_spare
 
@@ -332,9 +344,9 @@
             if replica is not None:
                 replica.links.retire()
                 self._retired.append(replica)
-        wanted = self._needs.list_wanted(self)
+        wanted = self._policy.list_wanted(self)
         for upstream in change.added:
-            self._reset_caps(upstream)
+            self._apply_shares(upstream)
         for upstream in change.added:
             endpoint = self._listing.get_endpoint(upstream)
             if endpoint is not None and endpoint.service in wanted:
--- a/rudderrock/gateway/decisions/_shares.py
+++ b/rudderrock/gateway/decisions/_shares.py
@@ -1,4 +1,4 @@
-"""How the connections that an upstream accepts are shared among hosts."""
+"""Division of the connections of an upstream among the hosts."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -7,24 +7,24 @@
 from rudderrock.gateway.knowledge import _directory as directory
 from rudderrock.gateway.knowledge import _place as place_module
 
-# Parts of an upstream's connections for the hosts to which it is one of the
-# nearest of its service, and for all others, who need it for hedges: with
-# 0.12 they had less than one each, and had to open one, which costs a way
-# there and back, for each hedge. What remains is for connections that the
-# upstream has not yet seen closed.
-NEAR_PART = 0.6
-FAR_PART = 0.32
-# What one host opens to an upstream at most; more waits here, where it can
-# still be taken elsewhere.
+# Fraction of an upstream's connections for the hosts that have it among the
+# nearest of its service, and fraction for all other hosts, which need it for
+# hedges. With 0.12 each of the others had less than one connection and opened
+# a new one for each hedge, which costs a round trip. The remaining connections
+# cover those that are closed but not yet seen as closed by the upstream.
+NEAR_FRACTION = 0.6
+FAR_FRACTION = 0.32
+# Maximum number of connections of one host to an upstream. Further requests
+# wait at this host, which can still send them to another upstream.
 MOST_CONNECTIONS = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LinkShare:
-    """What one host may open to one upstream.
+    """Number of connections that one host may open to one upstream.
 
-    `is_spare` tells that the host's share is less than one connection, so
-    that one may be opened in need and is not kept.
+    `is_spare` is set if the host's share is less than one connection. One may
+    then be opened when needed, and is closed soon after.
     """
 
     cap: int
@@ -40,9 +40,9 @@
 ) -> LinkShare:
     """Return this host's share of an upstream's connections.
 
-    Parameters: `siblings` are the upstreams of the service, `accepted`
-    what each accepts from all hosts together, `counts` how many hosts of
-    each zone send to the service.
+    Parameters: `siblings` are the upstreams of the service, `accepted` is the
+    number of connections that each accepts from all hosts together, and
+    `counts` is the number of hosts in each zone that send to the service.
     """
     near = 0
     far = 0
@@ -52,11 +52,11 @@
         else:
             far += count
     if _is_nearest(place.zone, endpoint, siblings, place):
-        part = accepted * NEAR_PART / max(1, near)
+        connections = accepted * NEAR_FRACTION / max(1, near)
     else:
-        part = accepted * FAR_PART / max(1, far)
-    cap = min(max(1, int(part)), MOST_CONNECTIONS)
-    return LinkShare(cap, part < 1.0)
+        connections = accepted * FAR_FRACTION / max(1, far)
+    cap = min(max(1, int(connections)), MOST_CONNECTIONS)
+    return LinkShare(cap, connections < 1.0)
 
 
 def _is_nearest(
