--- a/rudderrock/gateway/_events.py
+++ b/rudderrock/gateway/_events.py
@@ -1,17 +1,17 @@
-"""Every kind of log line, what it tells and the fields it has."""
+"""Kinds of log lines, their meaning and their fields."""
 
 import dataclasses
 import enum
 
-# Lines a second for requests that went well, for all others, and for what a
-# process comes to believe.
-GOOD_LINES_PER_S = 50.0
-BAD_LINES_PER_S = 100.0
-BELIEF_LINES_PER_S = 50.0
+# Rate limits for lines about answered requests, about all other requests, and
+# about the state of the process.
+SUCCESS_LINES_PER_S = 50.0
+FAILURE_LINES_PER_S = 100.0
+STATE_LINES_PER_S = 50.0
 
 
 class LogKind(enum.Enum):
-    """Every kind of line; docs/events.md says what each tells."""
+    """Kinds of log lines, described in docs/events.md."""
 
     STARTED = 'started'
     STOPPING = 'stopping'
@@ -41,30 +41,31 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KindInfo:
-    """What a kind of line tells, and the fields it may have."""
+    """Description and fields of a kind of log line."""
 
-    text: str
+    description: str
     fields: tuple[str, ...]
 
 
 KIND_INFO: dict[LogKind, KindInfo] = {
-    LogKind.STARTED: KindInfo('The process listens.', ('place',)),
+    LogKind.STARTED: KindInfo('The process is listening.', ('place',)),
     LogKind.STOPPING: KindInfo(
-        'A planned stop has begun; `busy` requests are under way.',
+        'A graceful shutdown has started with `busy` requests in flight.',
         ('busy',),
     ),
     LogKind.STOPPED: KindInfo('The process ends.', ()),
     LogKind.RELOADED: KindInfo(
-        'SIGHUP: the settings were read again. What they say takes effect '
-        'at the next start; `problem` says what is wrong with them.',
+        'The settings were read again after SIGHUP. They take effect at the '
+        'next start; `problem` describes an error in them.',
         ('problem',),
     ),
     LogKind.READY: KindInfo(
-        'The balancer is told to send requests here.', ('state',)
+        'The load balancer is told to send requests to this host.',
+        ('state',),
     ),
     LogKind.NOT_READY: KindInfo(
-        'The balancer is told to send none: the process stops, or knows no '
-        'routes or upstreams yet.',
+        'The load balancer is told to send no requests to this host: the '
+        'process is stopping, or has no routes or upstreams yet.',
         ('state',),
     ),
     LogKind.DEPENDENCY_LOST: KindInfo(
@@ -72,86 +73,92 @@
         ('dependency', 'call', 'detail'),
     ),
     LogKind.DEPENDENCY_BACK: KindInfo(
-        'The source answers this host again.', ('dependency', 'away_s')
+        'The source answers this host again after `away_s` seconds.',
+        ('dependency', 'away_s'),
     ),
     LogKind.SOURCE_FAILED: KindInfo(
         'One call to the source failed.', ('call', 'detail')
     ),
     LogKind.SOURCE_RETURNED: KindInfo(
-        'The source has come back from an older copy: it is in this `era` '
-        'now, at this `revision`, and what it has lost is awaited again. The '
-        'upstreams in force here were read at `revision_before` of '
-        '`era_before`; `origin` is who has told.',
+        'The source has been restored from an older copy. It is now in this '
+        '`era`, at this `revision`, and entries missing from the copy are '
+        'expected to be written again. The upstreams in use were read at '
+        '`revision_before` of `era_before`; `origin` is the source or the '
+        'peer that reported the new era.',
         ('era', 'revision', 'era_before', 'revision_before', 'origin'),
     ),
     LogKind.READING_FROM: KindInfo(
-        'This host now asks another one for changes; an empty `peer` means '
-        'that it reads the source itself.',
+        'This host now reads changes from the host `peer`, or from the '
+        'source if `peer` is empty.',
         ('peer', 'zone'),
     ),
     LogKind.PEER_SKIPPED: KindInfo(
-        'Another host failed to answer, had nothing fresh (the ages are '
-        'those of its upstreams and of its table, -1 for none), or did not '
-        'take a query.',
+        'Another host is skipped for a time, because it did not answer, had '
+        'no recent data (the ages are those of its upstreams and of its '
+        'table, -1 for none), or rejected a query.',
         ('peer', 'detail'),
     ),
     LogKind.COORDINATORS_CHANGED: KindInfo(
-        'The hosts of a zone that this one now asks to run wide queries, and '
-        'the ones `before`; `detail` says why each that is no longer asked is '
-        'passed over.',
+        'This host now sends wide queries for a zone to `hosts`, and sent '
+        'them to those in `before`; `detail` gives the reason for each host '
+        'that is no longer used.',
         ('zone', 'before', 'hosts', 'detail'),
     ),
     LogKind.TABLE_IN_FORCE: KindInfo(
-        'A routing table has replaced the one `before`; `origin` is whom '
-        'it came from.',
+        'A routing table has replaced version `before`; `origin` is the '
+        'source or the peer that sent it.',
         ('version', 'before', 'era', 'revision', 'routes', 'origin'),
     ),
     LogKind.TABLE_REJECTED: KindInfo(
-        'A routing table can not be used; the one before stays in force.',
+        'A routing table is invalid; the previous one stays in use.',
         ('problem', 'era', 'revision', 'origin'),
     ),
     LogKind.REGIONS_UNKNOWN: KindInfo(
-        'Routes of a table name a region that the settings do not; no '
-        'upstream is there.',
+        'Routes of a table name a region that is missing from the settings; '
+        'there are no upstreams in it.',
         ('version', 'region', 'routes'),
     ),
     LogKind.UPSTREAMS_CHANGED: KindInfo(
-        'Upstreams were added, or take no more new work (`left`), or are '
-        'kept though the reading lacked them (`held`).',
+        'Upstreams were added (`added`), no longer accept new requests '
+        '(`left`), or are kept although the reading did not contain them '
+        '(`held`).',
         ('era', 'revision', 'added', 'left', 'held', 'origin'),
     ),
     LogKind.ENTRY_REJECTED: KindInfo(
-        'The registration of an upstream can not be read.', ('problem',)
+        'The registration of an upstream is invalid.', ('problem',)
     ),
     LogKind.EVACUATIONS_CHANGED: KindInfo(
-        'Zones whose upstreams get nothing from now on (`begun`) or get work '
-        'again (`ended`), as of a revision of the source; `unknown` are '
-        'evacuated zones that the settings do not name.',
+        'Zones whose upstreams get no more requests (`begun`) or get '
+        'requests again (`ended`), as of a revision of the source; `unknown` '
+        'are evacuated zones that are missing from the settings.',
         ('era', 'revision', 'begun', 'ended', 'unknown', 'origin'),
     ),
     LogKind.HOSTS_CHANGED: KindInfo(
-        'The registered hosts, and how many count for budgets and '
-        'connections.',
+        'The registered hosts, and the number of hosts (`counted`) that '
+        'share budgets and connections.',
         ('hosts', 'counted', 'origin'),
     ),
     LogKind.QUARANTINE_CHANGED: KindInfo(
-        'What is held against a request, by its `digest`, since upstreams '
-        'have ended under it in so many `trials`: it was `before` and is now '
-        'of this `standing`. A suspect is sent to one upstream at a time, one '
-        'in quarantine to none. `origin` is who has seen it.',
+        'The state of the request with this `digest`, which has crashed '
+        'upstreams, changed from `before` to `standing`; `trials` counts the '
+        'rounds of attempts in which upstreams crashed. A suspect request is '
+        'sent to one upstream at a time, a quarantined one to none. `origin` '
+        'is the host that reported the change, or `own`.',
         ('digest', 'before', 'standing', 'trials', 'origin'),
     ),
     LogKind.REQUEST: KindInfo(
-        'One request of a caller and how it ended. `late` shards were '
-        'later than the late point, `far` answers came from other regions. '
-        '`extras` were sent beyond the first request of each shard, `denied` '
-        'were not, for want of budget; `lost` ended with the connection after '
-        'they had been sent. `digest` is the same for all requests that ask '
-        'for the same on behalf of the same team; it is told of those that '
-        'lost attempts or are in quarantine. `detail` names what is missing '
-        'and why; `waited_for` what was missing at the goal, if that was too '
-        'much to answer, and who had been asked. Lines of complete answers '
-        'are left out first when there are too many.',
+        'One request of a caller and its outcome. `late` is the number of '
+        'shards that had not answered at the hedge threshold, and `far` the '
+        'number of answers from other regions. `extras` counts the requests '
+        'sent beyond the first one to each shard, `denied` those that the '
+        'budget did not allow, and `lost` those whose connection ended after '
+        'they had been sent. `digest` is the same for all requests of a team '
+        'with the same content; it is given if the request lost attempts or '
+        'is in quarantine. `detail` lists what is missing and the reasons. If '
+        'too much was missing for an answer at the latency goal, '
+        '`waited_for` lists the missing shards and the upstreams that had '
+        'been asked. Lines of complete answers are dropped first when there '
+        'are too many lines.',
         (
             'request_id',
             'route',
@@ -174,33 +181,34 @@
         ),
     ),
     LogKind.UNREADABLE: KindInfo(
-        'A caller sent what is not a request within the limits.',
+        'A caller sent data that is not a valid request within the limits.',
         ('problem',),
     ),
     LogKind.LINES_DROPPED: KindInfo(
-        '`count` lines were left out since the last such line.', ('count',)
+        '`count` lines were dropped since the last line of this kind.',
+        ('count',),
     ),
 }
 
 
 def format_event_page() -> str:
-    """Return docs/events.md."""
+    """Return the content of docs/events.md."""
     lines = [
         '# Log lines of a gateway',
         '',
-        'Made from `rudderrock/gateway/_events.py`; a scenario compares them.',
+        'Made from `rudderrock/gateway/_events.py`; a test compares them.',
         '',
         'Each line on standard output is one JSON object with `at` (seconds',
         'since 1970), `host`, `kind` and the fields below. At most '
-        f'{GOOD_LINES_PER_S:g} lines',
-        'a second tell of complete answers, '
-        f'{BAD_LINES_PER_S:g} of all other requests and',
-        f'{BELIEF_LINES_PER_S:g} of the rest; what is left out is counted.',
+        f'{SUCCESS_LINES_PER_S:g} lines',
+        'per second are about complete answers, '
+        f'{FAILURE_LINES_PER_S:g} about other requests and',
+        f'{STATE_LINES_PER_S:g} about other events; dropped ones are counted.',
         '',
-        '| kind | fields | what it tells |',
+        '| kind | fields | meaning |',
         '| --- | --- | --- |',
     ]
     for kind, info in KIND_INFO.items():
         fields = ', '.join(f'`{name}`' for name in info.fields)
-        lines.append(f'| `{kind.value}` | {fields} | {info.text} |')
+        lines.append(f'| `{kind.value}` | {fields} | {info.description} |')
     return '\n'.join(lines) + '\n'
--- a/rudderrock/gateway/_log.py
+++ b/rudderrock/gateway/_log.py
@@ -1,7 +1,7 @@
-"""Structured log lines on standard output, bounded and never blocking.
+"""Structured log lines on standard output, with a bounded buffer.
 
-Each line is one JSON object. A reader that stops reading costs lines, which
-are counted, and never a request.
+Each line is one JSON object. Logging never blocks a request: if the reader is
+too slow, lines are dropped and counted.
 """
 
 import asyncio
@@ -17,26 +17,26 @@
 from rudderrock import core
 from rudderrock.gateway import _events as events
 
-# How many seconds' worth of lines may come at once.
+# Burst size of the rate limits, in seconds' worth of lines.
 _BURST_S = 2.0
-# Bytes that may wait for a slow reader before lines are dropped.
-MAX_WAITING_BYTES = 256 * 1024
+# Bytes buffered for a slow reader before lines are dropped.
+MAX_BUFFERED_BYTES = 256 * 1024
 
 
-class _Bucket:
-    """How many lines of one class may still be written."""
+class _TokenBucket:
+    """Token bucket that limits the lines per second of one class."""
 
     def __init__(self, clock: core.Clock, rate: float):
         self._clock = clock
         self._rate = rate
         self._tokens = rate * _BURST_S
-        self._filled = clock.now()
+        self._refilled_at = clock.now()
 
     def try_take(self) -> bool:
         now = self._clock.now()
-        self._tokens += (now - self._filled) * self._rate
+        self._tokens += (now - self._refilled_at) * self._rate
         self._tokens = min(self._tokens, self._rate * _BURST_S)
-        self._filled = now
+        self._refilled_at = now
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -44,38 +44,41 @@
 
 
 class EventLog:
-    """Writes typed lines for one host; `dropped` counts those left out."""
+    """Write typed log lines for one host; `dropped` counts omitted lines."""
 
     def __init__(self, host: str, clock: core.Clock):
         self.dropped = 0
         self._host = host
         self._clock = clock
-        self._told = 0
-        self._good = _Bucket(clock, events.GOOD_LINES_PER_S)
-        self._bad = _Bucket(clock, events.BAD_LINES_PER_S)
-        self._belief = _Bucket(clock, events.BELIEF_LINES_PER_S)
+        self._reported = 0
+        self._success = _TokenBucket(clock, events.SUCCESS_LINES_PER_S)
+        self._failure = _TokenBucket(clock, events.FAILURE_LINES_PER_S)
+        self._state = _TokenBucket(clock, events.STATE_LINES_PER_S)
 
     def record(self, kind: events.LogKind, **fields: Any) -> None:
-        """Write a line on what the process does or believes."""
-        self._write(self._belief, kind, fields)
+        """Write a line about an action or a state change of the process."""
+        self._write(self._state, kind, fields)
 
     def record_request(self, good: bool, **fields: Any) -> None:
-        """Write the line of one request; the bad ones have own room."""
-        bucket = self._good if good else self._bad
+        """Write the line of one request; `good` selects the rate limit."""
+        bucket = self._success if good else self._failure
         self._write(bucket, events.LogKind.REQUEST, fields)
 
     def _write(
-        self, bucket: _Bucket, kind: events.LogKind, fields: dict[str, Any]
+        self,
+        bucket: _TokenBucket,
+        kind: events.LogKind,
+        fields: dict[str, Any],
     ) -> None:
         if not bucket.try_take():
             self.dropped += 1
             return
-        if self.dropped > self._told:
+        if self.dropped > self._reported:
             self._emit(
                 events.LogKind.LINES_DROPPED,
-                {'count': self.dropped - self._told},
+                {'count': self.dropped - self._reported},
             )
-            self._told = self.dropped
+            self._reported = self.dropped
         self._emit(kind, fields)
 
     def _emit(self, kind: events.LogKind, fields: dict[str, Any]) -> None:
@@ -89,51 +92,51 @@
 
 
 class PipeHandler(standard_logging.Handler):
-    """Writes lines to a descriptor that may stop taking them."""
+    """Write lines to a descriptor whose reader may be slow."""
 
     def __init__(self, descriptor: int):
         super().__init__()
         self.dropped = 0
         self._descriptor = descriptor
-        self._waiting: collections.deque[bytes] = collections.deque()
-        self._size = 0
+        self._buffer: collections.deque[bytes] = collections.deque()
+        self._buffered_bytes = 0
         os.set_blocking(descriptor, False)
 
     def emit(self, record: standard_logging.LogRecord) -> None:
-        """Queue a line, or drop it if too much is waiting."""
+        """Queue a line, or drop it if the buffer is full."""
         line = (self.format(record) + '\n').encode()
-        if self._size + len(line) > MAX_WAITING_BYTES:
+        if self._buffered_bytes + len(line) > MAX_BUFFERED_BYTES:
             self.dropped += 1
             return
-        self._waiting.append(line)
-        self._size += len(line)
-        self._flush_some()
+        self._buffer.append(line)
+        self._buffered_bytes += len(line)
+        self._flush()
 
     def flush_waiting(self) -> bool:
-        """Write what the reader takes now; tell if that was anything."""
-        before = self._size
-        self._flush_some()
-        return self._size < before
-
-    def _flush_some(self) -> None:
-        while self._waiting:
-            line = self._waiting[0]
+        """Write what the reader accepts now; return whether any was taken."""
+        before = self._buffered_bytes
+        self._flush()
+        return self._buffered_bytes < before
+
+    def _flush(self) -> None:
+        while self._buffer:
+            line = self._buffer[0]
             try:
                 written = os.write(self._descriptor, line)
             except BlockingIOError:
                 self._wait_for_reader()
                 return
             except OSError:
-                # Nobody will ever read it; the count says so in metrics.
-                self.dropped += len(self._waiting)
-                self._waiting.clear()
-                self._size = 0
+                # The reader is gone; drop and count all lines.
+                self.dropped += len(self._buffer)
+                self._buffer.clear()
+                self._buffered_bytes = 0
                 return
-            self._size -= written
+            self._buffered_bytes -= written
             if written < len(line):
-                self._waiting[0] = line[written:]
+                self._buffer[0] = line[written:]
             else:
-                self._waiting.popleft()
+                self._buffer.popleft()
 
     def _wait_for_reader(self) -> None:
         try:
@@ -144,17 +147,20 @@
 
     def _on_writable(self) -> None:
         asyncio.get_running_loop().remove_writer(self._descriptor)
-        self._flush_some()
+        self._flush()
 
 
 def set_up_log(descriptor: int) -> PipeHandler:
-    """Send all log lines of this process to a descriptor."""
+    """Send all log lines of this process to a descriptor.
+
+    Returns the handler that buffers them.
+    """
     flags.FLAGS.mark_as_parsed()
     handler = PipeHandler(descriptor)
     handler.setFormatter(standard_logging.Formatter('%(message)s'))
     root = standard_logging.getLogger()
-    for old in list(root.handlers):
-        root.removeHandler(old)
+    for existing in list(root.handlers):
+        root.removeHandler(existing)
     root.addHandler(handler)
     logging.get_absl_logger().propagate = True
     logging.set_verbosity('info')
