--- a/rudderrock/gateway/__init__.py
+++ b/rudderrock/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""Requests forwarded to upstreams: routes, retries, gathers, limits."""
+"""Gateway that forwards requests to upstreams, with routing and retries."""
 
 from rudderrock.gateway._events import format_event_page
 from rudderrock.gateway._events import KIND_INFO
--- a/rudderrock/gateway/_metrics.py
+++ b/rudderrock/gateway/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of one gateway, as text."""
+"""Request counters and latency histograms of one gateway."""
 
 import collections
 
@@ -7,16 +7,17 @@
 from rudderrock.gateway.forwarding import _results as results
 from rudderrock.gateway.knowledge import _routing as routing
 
-_MICROS = 1_000_000
-_HIGHEST = 120 * _MICROS
+_US_PER_S = 1_000_000
+_MAX_LATENCY_US = 120 * _US_PER_S
 _PERCENTILES = (50.0, 90.0, 99.0)
-# Routes with a histogram of their own; the rest share one.
-MOST_ROUTES = 64
-_OTHERS = 'others'
+# Maximum number of routes with a label of their own; all further routes share
+# one label.
+MAX_ROUTES = 64
+_OTHER_ROUTES = 'others'
 
 
 class GatewayMetrics:
-    """Counts of requests by route and outcome, and their latency."""
+    """Request counts by route and outcome, and request latency by route."""
 
     def __init__(self) -> None:
         self._counts: collections.Counter[tuple[str, str]] = (
@@ -33,15 +34,15 @@
         """Count one finished request."""
         label = self._pick_label(route)
         self._counts[(label, result.outcome.value)] += 1
-        micros = min(max(1, round(elapsed_s * _MICROS)), _HIGHEST)
-        self._latency[label].record_value(micros)
+        latency_us = min(max(1, round(elapsed_s * _US_PER_S)), _MAX_LATENCY_US)
+        self._latency[label].record_value(latency_us)
 
     def note_unreadable(self, problem: str) -> None:
         """Count one request that could not be read."""
-        self._counts[(_OTHERS, f'unreadable_{problem}')] += 1
+        self._counts[(_OTHER_ROUTES, f'unreadable_{problem}')] += 1
 
     def list_lines(self, gauges: dict[str, float]) -> list[str]:
-        """Return all figures in the Prometheus text format 0.0.4."""
+        """Return all metrics in the Prometheus text format 0.0.4."""
         lines = ['# TYPE rudderrock_requests_total counter']
         lines += [
             f'rudderrock_requests_total{{route="{route}",'
@@ -49,8 +50,8 @@
             for (route, outcome), count in sorted(self._counts.items())
         ]
         lines.append('# TYPE rudderrock_request_seconds summary')
-        for route, found in sorted(self._latency.items()):
-            lines += _list_quantiles(route, found)
+        for route, latency in sorted(self._latency.items()):
+            lines += _format_quantiles(route, latency)
         for name, value in sorted(gauges.items()):
             kind = 'counter' if name.endswith('_total') else 'gauge'
             lines.append(f'# TYPE rudderrock_{name} {kind}')
@@ -58,25 +59,27 @@
         return lines
 
     def _pick_label(self, route: routing.RouteName | None) -> str:
-        label = str(route) if route is not None else _OTHERS
+        label = str(route) if route is not None else _OTHER_ROUTES
         if label not in self._latency:
-            if len(self._latency) >= MOST_ROUTES:
-                label = _OTHERS
+            if len(self._latency) >= MAX_ROUTES:
+                label = _OTHER_ROUTES
             self._latency.setdefault(
-                label, histogram.HdrHistogram(1, _HIGHEST, 2)
+                label, histogram.HdrHistogram(1, _MAX_LATENCY_US, 2)
             )
         return label
 
 
-def _list_quantiles(route: str, found: histogram.HdrHistogram) -> list[str]:
+def _format_quantiles(
+    route: str, latency: histogram.HdrHistogram
+) -> list[str]:
     lines = []
     for percentile in _PERCENTILES:
-        value = found.get_value_at_percentile(percentile) / _MICROS
+        value = latency.get_value_at_percentile(percentile) / _US_PER_S
         lines.append(
             f'rudderrock_request_seconds{{route="{route}",'
             f'quantile="{percentile / 100:g}"}} {value:g}'
         )
-    count = found.get_total_count()
+    count = latency.get_total_count()
     lines.append(
         f'rudderrock_request_seconds_count{{route="{route}"}} {count}'
     )
--- a/rudderrock/gateway/_process.py
+++ b/rudderrock/gateway/_process.py
@@ -1,4 +1,4 @@
-"""The life of a gateway process: serving, and a stop that cuts nothing."""
+"""Lifecycle of a gateway process: serving and graceful shutdown."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -23,19 +23,19 @@
 from rudderrock.gateway.knowledge import _routing as routing
 from rudderrock.gateway.knowledge import _sources as sources
 
-# Part of the time that a planned stop may take during which new
-# connections are still accepted: the balancer asks once a second and goes
-# by two answers, so it needs some 2 to 3 seconds.
+# Fraction of the shutdown time during which new connections are still
+# accepted. The load balancer probes once a second and acts on two results, so
+# it needs about 2 to 3 seconds to notice.
 ACCEPT_FRACTION = 0.55
-# Part of it after which the process ends whatever is still under way.
-END_FRACTION = 0.93
-_POLL_S = 0.05
-# Before work that failed on a defect begins anew, in seconds.
-RESTART_S = 1.0
+# Fraction of the shutdown time after which requests in flight are cancelled.
+DRAIN_FRACTION = 0.93
+_POLL_INTERVAL_S = 0.05
+# Delay in seconds before a background task that has failed is restarted.
+RESTART_DELAY_S = 1.0
 
 
 class ProcessState(enum.Enum):
-    """Where a gateway process is in its life."""
+    """Lifecycle state of a gateway process."""
 
     STARTING = 'starting'
     SERVING = 'serving'
@@ -44,7 +44,7 @@
 
 
 class GatewayProcess:
-    """Serves callers, readiness and metrics until it is told to stop."""
+    """Serve callers, peers, readiness probes and metrics until stopped."""
 
     def __init__(
         self,
@@ -63,9 +63,11 @@
         self._registration = registration
         self._parts = parts
         self._stop = asyncio.Event()
-        self._callers = intake.Intake(served.handle, self._note_unreadable)
-        self._probes = intake.Intake(self._answer_probe)
-        self._scrapes = intake.Intake(self._answer_scrape)
+        self._caller_listener = intake.Intake(
+            served.handle, self._record_unreadable
+        )
+        self._readiness_listener = intake.Intake(self._answer_probe)
+        self._metrics_listener = intake.Intake(self._answer_scrape)
         self.peers = intake.Intake(self._answer_peer)
         self.peers.limits = routing.IntakeLimits(
             max_header_bytes=delegate.PEER_HEADER_BYTES,
@@ -75,26 +77,26 @@
         self._changes = changes
         self._announcer = announcer
         self._was_ready = False
-        self._stop_began = 0.0
-        parts.tables.add_listener(self._on_table)
+        self._stop_started_at = 0.0
+        parts.tables.add_listener(self._apply_table)
 
     @property
     def hosts(self) -> fleet.Fleet:
-        """Return the hosts that this one knows."""
+        """Return the hosts known to this one."""
         return self._parts.hosts
 
     @property
     def tables(self) -> sources.TableHolder:
-        """Return the holder of the table in force."""
+        """Return the holder of the current routing table."""
         return self._parts.tables
 
     def stop(self) -> None:
-        """Begin a planned stop; a second call changes nothing."""
+        """Start a graceful shutdown; a second call has no effect."""
         if not self._stop.is_set():
-            self._begin_stop()
+            self._start_shutdown()
 
     async def run(self) -> None:
-        """Serve, then stop as planned; return when all has ended."""
+        """Serve until `stop` is called; return after the shutdown."""
         record = self._parts.events.record
         config = self._config
         async with contextlib.AsyncExitStack() as stack:
@@ -102,20 +104,20 @@
             stack.callback(self.gateway.delegation.close)
             stack.push_async_callback(self.gateway.checker.close)
             for served, address in (
-                (self._callers, config.callers),
-                (self._probes, config.readiness),
-                (self._scrapes, config.metrics),
+                (self._caller_listener, config.callers),
+                (self._readiness_listener, config.readiness),
+                (self._metrics_listener, config.metrics),
                 (self.peers, config.peers),
             ):
                 await stack.enter_async_context(served.listen(*address))
-            for work in (
+            for background_task in (
                 self._follower.run,
                 self._announcer.run,
                 self._announcer.ask,
                 self.gateway.sweep,
                 self.gateway.warm_hedges,
             ):
-                task = asyncio.create_task(_keep_running(work))
+                task = asyncio.create_task(_run_forever(background_task))
                 stack.push_async_callback(core.end_task, task)
             self.state = ProcessState.SERVING
             record(events.LogKind.STARTED, place=config.place.zone)
@@ -125,36 +127,39 @@
         self.state = ProcessState.ENDED
         record(events.LogKind.STOPPED)
 
-    def _begin_stop(self) -> None:
-        self._stop_began = self._parts.clock.now()
+    def _start_shutdown(self) -> None:
+        self._stop_started_at = self._parts.clock.now()
         self.state = ProcessState.LEAVING
-        self._callers.is_stopping = True
+        self._caller_listener.is_stopping = True
         self.gateway.takes_delegated = False
         self._parts.events.record(
-            events.LogKind.STOPPING, busy=self._callers.busy
+            events.LogKind.STOPPING, busy=self._caller_listener.busy
         )
         self._stop.set()
 
     async def _drain(self) -> None:
-        """Take work until the balancer has noticed, then end it."""
+        """Accept requests until the balancer has noticed, then drain.
+
+        Returns when no request is in flight or the shutdown time is over.
+        """
         loop = asyncio.get_running_loop()
-        began = self._stop_began
+        started_at = self._stop_started_at
         stop_s = self._config.stop_s
-        accept_until = began + stop_s * ACCEPT_FRACTION
+        accept_until = started_at + stop_s * ACCEPT_FRACTION
         await asyncio.sleep(max(0.0, accept_until - loop.time()))
-        self._callers.stop_accepting()
-        end = began + stop_s * END_FRACTION
+        self._caller_listener.stop_accepting()
+        end = started_at + stop_s * DRAIN_FRACTION
         while self._is_busy() and loop.time() < end:
-            self._callers.close_idle()
-            await asyncio.sleep(_POLL_S)
+            self._caller_listener.close_idle()
+            await asyncio.sleep(_POLL_INTERVAL_S)
 
     def _is_busy(self) -> bool:
-        return bool(self._callers.links) or self.gateway.delegated > 0
+        return bool(self._caller_listener.links) or self.gateway.delegated > 0
 
-    def _on_table(self, table) -> None:
-        self._callers.limits = table.limits
+    def _apply_table(self, table) -> None:
+        self._caller_listener.limits = table.limits
 
-    def _note_unreadable(self, problem: str) -> None:
+    def _record_unreadable(self, problem: str) -> None:
         self._parts.figures.note_unreadable(problem)
         self._parts.events.record(events.LogKind.UNREADABLE, problem=problem)
 
@@ -196,8 +201,8 @@
             'cold_requests_total': self.gateway.cold_limits.sent,
             'cold_held_back_total': self.gateway.cold_limits.held_back,
             'hosts': self._parts.hosts.count(),
-            'caller_connections': len(self._callers.links),
-            'requests_under_way': self._callers.busy,
+            'caller_connections': len(self._caller_listener.links),
+            'requests_under_way': self._caller_listener.busy,
             'upstream_requests_total': counters.firsts,
             'hedges_total': counters.hedges,
             'retries_total': counters.retries,
@@ -212,11 +217,13 @@
         }
 
 
-async def _keep_running(work: Callable[[], Awaitable[None]]) -> None:
-    """Run work for good; a defect in it is logged and it begins anew."""
+async def _run_forever(background_task: Callable[[], Awaitable[None]]) -> None:
+    """Run a background task forever; log exceptions and restart it."""
     while True:
         try:
-            await work()
+            await background_task()
         except Exception:
-            logging.exception('%s failed on a defect', work.__qualname__)
-        await asyncio.sleep(RESTART_S)
+            logging.exception(
+                '%s failed on a defect', background_task.__qualname__
+            )
+        await asyncio.sleep(RESTART_DELAY_S)
--- a/rudderrock/gateway/_settings.py
+++ b/rudderrock/gateway/_settings.py
@@ -1,4 +1,4 @@
-"""What a gateway is told about its place, its bounds and its addresses."""
+"""Settings of a gateway: its zone, limits and addresses."""
 
 import dataclasses
 
@@ -7,8 +7,8 @@
 
 Address = tuple[str, int]
 
-# Hosts that are taken to share a tier until they have been counted. More
-# is safe: each then spends less of what all share.
+# Number of hosts assumed until they have been counted. A high value is safe:
+# each host then uses a smaller share of the common limits.
 ASSUMED_HOSTS = 9
 
 
@@ -16,17 +16,21 @@
 class GatewaySettings:
     """Settings of one gateway.
 
-    `extra_ratio`, `extra_window_s` and `extra_slack` bound the arrivals at
-    a service beyond the first of each request: in any window of so many
-    seconds at most that part of its requests, plus the slack, over all
-    hosts. `stop_s` is how long a planned stop may take before the process
-    is killed. `cores` is the speed of this host's processor in whole cores and
-    `link_bytes_s` that of its link, 0 if unknown; `capacity` compares it with
-    other hosts: cores times the bandwidth of the link in Mbit/s. All hosts
-    together may send to a cold upstream, in any one second, `warmup_overage`
-    times the rate that its service names and `warmup_slack` more. `seeds`
-    are where some hosts serve their peers, for a host that starts while the
-    source does not answer; they may be out of date.
+    `extra_ratio`, `extra_window_s` and `extra_slack` limit the extra requests
+    to a service, which are retries and hedges. In any window of
+    `extra_window_s` seconds all hosts together may send `extra_ratio` times
+    the number of first requests, plus `extra_slack`.
+
+    `warmup_overage` and `warmup_slack` limit the requests to a cold upstream.
+    In any second all hosts together may send `warmup_overage` times the
+    warm-up rate of its service, plus `warmup_slack`.
+
+    `stop_s` is the duration of a graceful shutdown after which the process is
+    killed. `cores` is the speed of this host's processor in whole cores, and
+    `link_bytes_s` the bandwidth of its link in bytes per second, 0 if unknown.
+    `capacity` is used to compare hosts: cores times link bandwidth in Mbit/s.
+    `seeds` are addresses at which some hosts serve their peers, for a host
+    that starts while the source does not answer; they may be outdated.
     """
 
     host: str
--- a/rudderrock/gateway_root.py
+++ b/rudderrock/gateway_root.py
@@ -1,4 +1,4 @@
-"""The composition root of a gateway: where its parts are wired."""
+"""Composition root of a gateway: creates and connects its components."""
 
 from rudderrock import core
 from rudderrock import gateway
@@ -11,28 +11,29 @@
     seed: int,
     events: gateway.EventLog,
 ) -> gateway.GatewayProcess:
-    """Wire one gateway; it does nothing before `run` is awaited.
+    """Return a new gateway process, which is idle until `run` is awaited.
 
-    Must be called with a running loop, which `clock` must read.
+    Must be called from a running event loop, and `clock` must return the time
+    of this loop.
     """
 
-    def draw(name: str):
+    def make_rng(name: str):
         return core.make_random(seed, f'{settings.host}/{name}')
 
     tables = gateway.TableHolder(clock, events)
     listing = gateway.Directory(clock)
-    own = gateway.HostEntry(
+    own_entry = gateway.HostEntry(
         host=core.HostId(settings.host),
         zone=settings.place.zone,
         address='%s:%d' % settings.peers,
         capacity=settings.capacity,
     )
     evacuated = gateway.EvacuationHolder(settings.place.regions, clock, events)
-    hosts = gateway.Fleet(own, settings.assumed_hosts, clock)
+    hosts = gateway.Fleet(own_entry, settings.assumed_hosts, clock)
     source_era = gateway.SourceEra(events)
     first = gateway.FirstKnowledge(tables, listing, evacuated, clock)
-    process = f'{settings.host}/{draw("process").getrandbits(64):x}'
-    quarantine = gateway.Quarantine(process, clock, events)
+    process_id = f'{settings.host}/{make_rng("process").getrandbits(64):x}'
+    quarantine = gateway.Quarantine(process_id, clock, events)
     parts = gateway.Parts(
         tables=tables,
         evacuations=evacuated,
@@ -44,10 +45,10 @@
         events=events,
         figures=gateway.GatewayMetrics(),
         clock=clock,
-        chance=draw('replicas'),
+        chance=make_rng('replicas'),
     )
     changes = gateway.ChangeBook(
-        process, listing, hosts, tables, evacuated, first, quarantine, clock
+        process_id, listing, hosts, tables, evacuated, first, quarantine, clock
     )
     follower = gateway.Follower(
         source,
@@ -60,7 +61,7 @@
         quarantine,
         source_era,
         clock,
-        draw('source'),
+        make_rng('source'),
         events,
         settings.seeds,
     )
