--- a/rudderrock/gateway/_process.py
+++ b/rudderrock/gateway/_process.py
@@ -25,7 +25,7 @@
 
 # Fraction of the shutdown time during which new connections are still
 # accepted. The load balancer probes once a second and acts on two results, so
-# it needs about 2 to 3 seconds to notice.
+# it takes about 2 to 3 seconds to stop sending requests.
 ACCEPT_FRACTION = 0.55
 # Fraction of the shutdown time after which requests in flight are cancelled.
 DRAIN_FRACTION = 0.93
@@ -138,9 +138,10 @@
         self._stop.set()
 
     async def _drain(self) -> None:
-        """Accept requests until the balancer has noticed, then drain.
+        """Accept connections until the balancer sends none, then drain.
 
-        Returns when no request is in flight or the shutdown time is over.
+        Returns when no request is in flight, or when the rest must be
+        cancelled.
         """
         loop = asyncio.get_running_loop()
         started_at = self._stop_started_at
--- a/rudderrock/gateway/decisions/_admission.py
+++ b/rudderrock/gateway/decisions/_admission.py
@@ -1,7 +1,7 @@
 """Admission control: an adaptive limit on concurrent queries over shards.
 
 When the shards get more queries than they can serve, queues grow at all of
-them and no answer is in time. The number of concurrent queries is therefore
+them and every answer is late. The number of concurrent queries is therefore
 limited by additive increase and multiplicative decrease, as in TCP congestion
 control (Chiu and Jain, 1989). Queries above the limit are refused at once,
 those of low priority first.
@@ -18,13 +18,13 @@
 CONGESTED_SHARD_FRACTION = 0.3
 CONGESTED_GOAL_FRACTION = 0.8
 # Weight of one query in the moving average of the fraction of congested
-# queries. The limit decreases and may increase when the average is above and
-# below the following values.
+# queries. The limit decreases while the average is above _DECREASE_ABOVE, and
+# may increase while it is below _INCREASE_BELOW.
 _QUERY_WEIGHT = 0.1
 _DECREASE_ABOVE = 0.4
 _INCREASE_BELOW = 0.2
 # Factor by which the limit decreases, and minimum time between two decreases,
-# in seconds. A change has no effect until queries in flight have ended.
+# in seconds. A decrease has an effect only after queries in flight have ended.
 _DECREASE_FACTOR = 0.8
 _DECREASE_INTERVAL_S = 0.2
 # The limit increases by one per interval, in seconds, while at least the
@@ -74,7 +74,10 @@
         return self._gates[shards]
 
     def try_enter(self, gate: Gate, rank: int) -> bool:
-        """Return whether a query is admitted; rank 0 has highest priority."""
+        """Admit a query if the limit allows; return whether it was admitted.
+
+        Rank 0 has the highest priority.
+        """
         if gate.under_way >= max(MIN_LIMIT, gate.limit * RANK_FRACTION**rank):
             self.refused += 1
             return False
--- a/rudderrock/gateway/decisions/_canary.py
+++ b/rudderrock/gateway/decisions/_canary.py
@@ -25,16 +25,16 @@
 from rudderrock import core
 from rudderrock.gateway.knowledge import _quarantine as quarantine
 
-# Hosts wait a random part of this time, in seconds, before they send a canary
-# to upstreams that may have restarted. A canary and the message about its
-# outcome take about 0.1 s, so two hosts that receive copies of a request at
-# the same time rarely both send one, and four almost never do.
+# Hosts wait for a random fraction of this time, in seconds, before they send a
+# canary to upstreams that may have restarted. A canary and the message about
+# its outcome take about 0.1 s. Two hosts that receive copies of a request at
+# the same time therefore rarely both send a canary, and four almost never do.
 TRIAL_SPREAD_S = 2.0
 # Time in seconds after a crash before another copy of the request sends its
 # canary. Until then attempts of the first copy may still be in flight, and may
 # crash one of the two upstreams that a service seems to have. They finish
 # within the latency goal, about 0.1 to 0.5 s.
-SETTLE_S = 0.5
+CANARY_DELAY_S = 0.5
 
 
 class Advice(enum.Enum):
@@ -89,7 +89,7 @@
         self._pending_checks = 0
         # Upstreams that crashed in the current round, not reported yet.
         self._crashed: set[core.UpstreamLife] = set()
-        self._round_began = 0.0
+        self._round_started_at = 0.0
         self._was_suspect = False
         # Crashes of the current round have been reported before its end.
         self._is_reported = False
@@ -110,7 +110,7 @@
 
     @property
     def standing(self) -> quarantine.Standing:
-        """Return the standing of the request in the quarantine."""
+        """Return the quarantine state of the request."""
         if self._quarantine.is_empty:
             return quarantine.Standing.CLEAR
         return self._quarantine.get_standing(self.digest)
@@ -149,7 +149,7 @@
     def wait(self, waiter: Waiter) -> None:
         """Hold an attempt back until it may be sent or is abandoned.
 
-        This happens at once if no attempt is in flight.
+        If no attempt is in flight, this is decided at once.
         """
         self._waiting.append(waiter)
         self._advance()
@@ -179,7 +179,7 @@
     def note_sent(self) -> None:
         """Record that an attempt is sent."""
         if not self._is_round_open():
-            self._round_began = self._clock.now()
+            self._round_started_at = self._clock.now()
             self._was_suspect = self.is_suspect
         self._in_flight += 1
         self._has_sent = True
@@ -223,7 +223,7 @@
         lives = tuple(crashed)
         if lives and not self.is_answered:
             self._quarantine.note_trial(
-                self.digest, self._round_began, False, lives
+                self.digest, self._round_started_at, False, lives
             )
 
     def finish(self) -> None:
@@ -268,7 +268,7 @@
         self._is_reported = self._is_round_open()
         crashed, self._crashed = self._crashed, set()
         self._quarantine.note_trial(
-            self.digest, self._round_began, self._was_suspect, crashed
+            self.digest, self._round_started_at, self._was_suspect, crashed
         )
 
     def _end_finished_canary(self) -> None:
@@ -298,7 +298,7 @@
         if self._quarantine.has_canary(self.digest):
             return False
         since_s = self._quarantine.get_since_s(self.digest)
-        return live > 1 and (self._has_sent or since_s >= SETTLE_S)
+        return live > 1 and (self._has_sent or since_s >= CANARY_DELAY_S)
 
     def _resume_all(self) -> None:
         waiting, self._waiting = self._waiting, []
--- a/rudderrock/gateway/decisions/_cold.py
+++ b/rudderrock/gateway/decisions/_cold.py
@@ -1,13 +1,13 @@
 """Rate limit for upstreams that are cold.
 
 An upstream that has just started can serve only a few requests a second from
-all hosts together, and fails above that rate. Hosts do not coordinate each
-request, so a single host may send to a cold upstream, at the whole rate. It is
-the host with the greatest hash of host and upstream (rendezvous hashing,
-Thaler and Ravishankar 1998), which all hosts compute from the same names. A
-share for every host would not work: 60 hosts with one sixtieth each of 11
-requests a second would either send nothing or one request each in the same
-second.
+all hosts together, and fails above that rate. Hosts do not coordinate before
+each request. Instead, a single host may use the whole rate of a cold upstream,
+and the other hosts send nothing to it. This is the host with the greatest hash
+of host and upstream (rendezvous hashing, Thaler and Ravishankar 1998), which
+every host computes from the same names. A share for each host would not work:
+60 hosts with one sixtieth each of 11 requests a second would either send
+nothing or one request each in the same second.
 """
 
 import collections
--- a/rudderrock/gateway/decisions/_coordinators.py
+++ b/rudderrock/gateway/decisions/_coordinators.py
@@ -1,4 +1,7 @@
-"""Selection of the hosts that coordinate wide queries."""
+"""Selection of the hosts that coordinate wide queries.
+
+A wide query is a query over many shards.
+"""
 
 import collections
 
@@ -14,7 +17,7 @@
 # from 14,480 to 22,111 (36 s of 24 queries a second over 87 shards), and 17
 # instead of 2 in 100 urgent queries were late (single runs). Queries for which
 # the two have no capacity go to the hosts ranked next.
-REGULAR_HOSTS = 2
+COORDINATORS_PER_ZONE = 2
 # Maximum number of coordinators that a query is offered to, in this zone and
 # in another one. The last one must accept it even if it is full. Each offer in
 # this zone costs one round trip, and five of them cost less than the queue of
@@ -64,7 +67,7 @@
 
     def list_regular(self, zone: core.ZoneId) -> list[fleet.HostEntry]:
         """Return the regular coordinators of a zone by rank."""
-        return self._rank(zone)[:REGULAR_HOSTS]
+        return self._rank(zone)[:COORDINATORS_PER_ZONE]
 
     def list_open(
         self, zone: core.ZoneId, tried: tuple[core.HostId, ...] = ()
@@ -76,7 +79,7 @@
             if self._skip_until.get(each.host, now) <= now:
                 if each.host not in tried:
                     found.append(each)
-                if len(found) == REGULAR_HOSTS:
+                if len(found) == COORDINATORS_PER_ZONE:
                     break
         return found
 
--- a/rudderrock/gateway/decisions/_replicas.py
+++ b/rudderrock/gateway/decisions/_replicas.py
@@ -31,7 +31,7 @@
 # requests for this time, in seconds, during which its registration expires.
 # Each request would reach, and load, a service that it is not meant for.
 MISDIRECTED_EXCLUSION_S = 10.0
-_MAX_STRIKES = 6
+_MAX_BACKOFF_EXPONENT = 6
 
 
 class Replica:
@@ -85,7 +85,7 @@
         if now < self._avoid_until:
             return
         wait_s = min(base_s * 2**self.strikes, MAX_AVOID_S)
-        self.strikes = min(self.strikes + 1, _MAX_STRIKES)
+        self.strikes = min(self.strikes + 1, _MAX_BACKOFF_EXPONENT)
         self._avoid_until = now + wait_s
 
 
@@ -174,10 +174,10 @@
     ) -> Replica | None:
         """Return the replica to send a request to, or None if none is left.
 
-        Preferred are, in this order: replicas that are not suspect, with
-        room in their pools, in the nearest zone, with an idle connection (in
-        other zones only), and with the fewest requests of this host in
-        flight. Ties are broken at random.
+        Replicas are compared by these criteria, in this order: whether the
+        replica is suspect, whether its pool is full, its distance, whether it
+        lacks an idle connection (in other zones only), and the number of
+        requests of this host in flight per slot. Ties are broken at random.
 
         Idle connections are preferred because opening one into another region
         takes two thirds as long as the exchange itself. The median time of
@@ -226,7 +226,7 @@
         return [replica for replica in found if replica.distance == least]
 
     def get_distance(self, zone: core.ZoneId) -> int:
-        """Return the distance class of another zone, 0 for this zone."""
+        """Return 0 for this zone, 1 for the same region, else 2."""
         return self._place.get_distance(zone)
 
     def has_nearest(self, service: routing.ServiceName) -> bool:
@@ -239,8 +239,8 @@
     def warm(self, service: routing.ServiceName) -> None:
         """Open a connection to each of the nearest replicas of a service.
 
-        Replicas of which this host's share is less than one connection are
-        left out.
+        Replicas are left out if this host's share of their connections is
+        less than one.
         """
         found = self.list_ready(service, place.Anywhere())
         if not found:
