--- a/rudderrock/gateway/decisions/_coordinators.py
+++ b/rudderrock/gateway/decisions/_coordinators.py
@@ -72,7 +72,10 @@
     def list_open(
         self, zone: core.ZoneId, tried: tuple[core.HostId, ...] = ()
     ) -> list[fleet.HostEntry]:
-        """Return the current coordinators of a zone without those tried."""
+        """Return the hosts by rank that are neither skipped nor in `tried`.
+
+        There are at most `COORDINATORS_PER_ZONE` of them.
+        """
         now = self._clock.now()
         found = []
         for each in self._rank(zone):
