--- a/features/history_bench.py
+++ b/features/history_bench.py
@@ -256,7 +256,7 @@
 
     def _look_at(self, host: str, parts: gateway.Parts) -> None:
         """See that a host does not go back on what it believed."""
-        if not parts.first.is_complete:
+        if not parts.initial_sync.is_complete:
             return
         version = parts.tables.version
         if version < self._versions.get(host, -1):
--- a/rudderrock/gateway/_metrics.py
+++ b/rudderrock/gateway/_metrics.py
@@ -4,8 +4,8 @@
 
 from hdrh import histogram
 
+from rudderrock.gateway.discovery import _routing as routing
 from rudderrock.gateway.forwarding import _results as results
-from rudderrock.gateway.knowledge import _routing as routing
 
 _US_PER_S = 1_000_000
 _MAX_LATENCY_US = 120 * _US_PER_S
--- a/rudderrock/gateway/_process.py
+++ b/rudderrock/gateway/_process.py
@@ -11,17 +11,17 @@
 from rudderrock import core
 from rudderrock.gateway import _events as events
 from rudderrock.gateway import _settings as settings
+from rudderrock.gateway.discovery import _fleet as fleet
+from rudderrock.gateway.discovery import _peers as peers
+from rudderrock.gateway.discovery import _quarantine_broadcast as broadcast
+from rudderrock.gateway.discovery import _registration as registration_module
+from rudderrock.gateway.discovery import _routing as routing
+from rudderrock.gateway.discovery import _sources as sources
+from rudderrock.gateway.discovery import _synchronizer as synchronizer
 from rudderrock.gateway.forwarding import _delegate as delegate
 from rudderrock.gateway.forwarding import _gateway as gateway
-from rudderrock.gateway.http import _intake as intake
+from rudderrock.gateway.http import _listener as listener
 from rudderrock.gateway.http import _messages as messages
-from rudderrock.gateway.knowledge import _announcer as announcer_module
-from rudderrock.gateway.knowledge import _fleet as fleet
-from rudderrock.gateway.knowledge import _follow as follow
-from rudderrock.gateway.knowledge import _peers as peers
-from rudderrock.gateway.knowledge import _registration as registration_module
-from rudderrock.gateway.knowledge import _routing as routing
-from rudderrock.gateway.knowledge import _sources as sources
 
 # Fraction of the shutdown time during which new connections are still
 # accepted. The load balancer probes once a second and acts on two results, so
@@ -50,10 +50,10 @@
         self,
         config: settings.GatewaySettings,
         served: gateway.Gateway,
-        follower: follow.Follower,
+        follower: synchronizer.Follower,
         registration: registration_module.Registration,
         changes: peers.ChangeBook,
-        announcer: announcer_module.Announcer,
+        announcer: broadcast.Announcer,
         parts: gateway.Parts,
     ):
         self.state = ProcessState.STARTING
@@ -63,12 +63,12 @@
         self._registration = registration
         self._parts = parts
         self._stop = asyncio.Event()
-        self._caller_listener = intake.Intake(
+        self._caller_listener = listener.Intake(
             served.handle, self._record_unreadable
         )
-        self._readiness_listener = intake.Intake(self._answer_probe)
-        self._metrics_listener = intake.Intake(self._answer_scrape)
-        self.peers = intake.Intake(self._answer_peer)
+        self._readiness_listener = listener.Intake(self._answer_probe)
+        self._metrics_listener = listener.Intake(self._answer_scrape)
+        self.peers = listener.Intake(self._answer_peer)
         self.peers.limits = routing.IntakeLimits(
             max_header_bytes=delegate.PEER_HEADER_BYTES,
             max_body_bytes=delegate.PEER_BODY_BYTES,
@@ -167,7 +167,7 @@
     async def _answer_peer(self, request: messages.Request) -> messages.Reply:
         if request.get_header(delegate.VERSION) is not None:
             return await self.gateway.handle_delegated(request)
-        if request.target == announcer_module.PATH:
+        if request.target == broadcast.PATH:
             return self._announcer.take(request)
         return await self._changes.answer(request)
 
--- a/rudderrock/gateway/_settings.py
+++ b/rudderrock/gateway/_settings.py
@@ -2,8 +2,8 @@
 
 import dataclasses
 
-from rudderrock.gateway.http import _dialect as dialect
-from rudderrock.gateway.knowledge import _place as place_module
+from rudderrock.gateway.discovery import _topology as topology_module
+from rudderrock.gateway.http import _header_names as header_names
 
 Address = tuple[str, int]
 
@@ -34,12 +34,12 @@
     """
 
     host: str
-    place: place_module.Place
+    place: topology_module.Place
     callers: Address
     readiness: Address
     metrics: Address
     peers: Address
-    names: dialect.HeaderNames = dialect.HeaderNames()
+    names: header_names.HeaderNames = header_names.HeaderNames()
     extra_ratio: float = 0.2
     extra_window_s: float = 10.0
     extra_slack: float = 20.0
--- a/rudderrock/gateway/decisions/_canary.py
+++ b/rudderrock/gateway/decisions/_canary.py
@@ -23,7 +23,7 @@
 import enum
 
 from rudderrock import core
-from rudderrock.gateway.knowledge import _quarantine as quarantine
+from rudderrock.gateway.discovery import _quarantine as quarantine
 
 # Hosts wait for a random fraction of this time, in seconds, before they send a
 # canary to upstreams that may have restarted. A canary and the message about
--- a/rudderrock/gateway/decisions/_cold.py
+++ b/rudderrock/gateway/decisions/_cold.py
@@ -15,9 +15,9 @@
 import math
 
 from rudderrock import core
-from rudderrock.gateway.knowledge import _directory as directory
-from rudderrock.gateway.knowledge import _fleet as fleet
-from rudderrock.gateway.knowledge import _routing as routing
+from rudderrock.gateway.discovery import _directory as directory
+from rudderrock.gateway.discovery import _fleet as fleet
+from rudderrock.gateway.discovery import _routing as routing
 
 # Fraction of the allowed rate that the sender uses. While hosts join and
 # leave, two hosts that know different hosts may both act as the sender.
--- a/rudderrock/gateway/decisions/_shares.py
+++ b/rudderrock/gateway/decisions/_connection_shares.py
@@ -4,8 +4,8 @@
 import dataclasses
 
 from rudderrock import core
-from rudderrock.gateway.knowledge import _directory as directory
-from rudderrock.gateway.knowledge import _place as place_module
+from rudderrock.gateway.discovery import _directory as directory
+from rudderrock.gateway.discovery import _topology as topology_module
 
 # Fraction of an upstream's connections for the hosts that have it among the
 # nearest of its service, and fraction for all other hosts, which need it for
@@ -36,7 +36,7 @@
     siblings: tuple[directory.Endpoint, ...],
     accepted: int,
     counts: Mapping[core.ZoneId, int],
-    place: place_module.Place,
+    topology: topology_module.Place,
 ) -> LinkShare:
     """Return this host's share of an upstream's connections.
 
@@ -47,11 +47,11 @@
     near = 0
     far = 0
     for zone, count in counts.items():
-        if _is_nearest(zone, endpoint, siblings, place):
+        if _is_nearest(zone, endpoint, siblings, topology):
             near += count
         else:
             far += count
-    if _is_nearest(place.zone, endpoint, siblings, place):
+    if _is_nearest(topology.zone, endpoint, siblings, topology):
         connections = accepted * NEAR_FRACTION / max(1, near)
     else:
         connections = accepted * FAR_FRACTION / max(1, far)
@@ -63,9 +63,9 @@
     zone: core.ZoneId,
     endpoint: directory.Endpoint,
     siblings: tuple[directory.Endpoint, ...],
-    place: place_module.Place,
+    topology: topology_module.Place,
 ) -> bool:
-    own = place.compare_zones(zone, endpoint.zone)
+    own = topology.compare_zones(zone, endpoint.zone)
     return all(
-        own <= place.compare_zones(zone, each.zone) for each in siblings
+        own <= topology.compare_zones(zone, each.zone) for each in siblings
     )
--- a/rudderrock/gateway/decisions/_coordinators.py
+++ b/rudderrock/gateway/decisions/_coordinators.py
@@ -8,7 +8,7 @@
 from rudderrock import core
 from rudderrock.gateway import _events as events
 from rudderrock.gateway import _log as log
-from rudderrock.gateway.knowledge import _fleet as fleet
+from rudderrock.gateway.discovery import _fleet as fleet
 
 # Number of hosts in a zone that coordinate its wide queries while they have
 # capacity. With two, one is left if the other fails. With more, connections
--- a/rudderrock/gateway/decisions/_work.py
+++ b/rudderrock/gateway/decisions/_host_load.py
@@ -10,7 +10,7 @@
 import dataclasses
 
 from rudderrock import core
-from rudderrock.gateway.knowledge import _routing as routing
+from rudderrock.gateway.discovery import _routing as routing
 
 # Processor time of one shard request, in seconds of one whole core: 45 us on
 # an open connection, 139 us on a new one (benchmarks.gateway_request). With
--- a/rudderrock/gateway/decisions/_replicas.py
+++ b/rudderrock/gateway/decisions/_replicas.py
@@ -7,13 +7,13 @@
 
 from rudderrock import core
 from rudderrock.gateway.decisions import _cold as cold
-from rudderrock.gateway.decisions import _shares as shares
-from rudderrock.gateway.http import _dialect as dialect
+from rudderrock.gateway.decisions import _connection_shares as shares
+from rudderrock.gateway.discovery import _directory as directory
+from rudderrock.gateway.discovery import _fleet as fleet
+from rudderrock.gateway.discovery import _routing as routing
+from rudderrock.gateway.discovery import _topology as topology
+from rudderrock.gateway.http import _header_names as header_names
 from rudderrock.gateway.http import _pool as pool
-from rudderrock.gateway.knowledge import _directory as directory
-from rudderrock.gateway.knowledge import _fleet as fleet
-from rudderrock.gateway.knowledge import _place as place
-from rudderrock.gateway.knowledge import _routing as routing
 
 # Time in seconds during which an upstream is avoided after a late or failed
 # answer. Each consecutive one doubles it, up to MAX_AVOID_S. A pause of an
@@ -105,8 +105,8 @@
     def __init__(
         self,
         listing: directory.Directory,
-        place: place.Place,
-        names: dialect.HeaderNames,
+        topology: topology.Place,
+        names: header_names.HeaderNames,
         clock: core.Clock,
         rng: random.Random,
         policy: ConnectionPolicy,
@@ -119,7 +119,7 @@
         self._cold = cold_limits
         self._own = own
         self._listing = listing
-        self._place = place
+        self._topology = topology
         self._names = names
         self._clock = clock
         self._rng = rng
@@ -129,7 +129,7 @@
         listing.add_listener(self._on_change)
 
     def list_ready(
-        self, service: routing.ServiceName, residency: place.Residency
+        self, service: routing.ServiceName, residency: topology.Residency
     ) -> list[Replica]:
         """Return the replicas of a service that may be sent a request.
 
@@ -138,11 +138,11 @@
         return [
             self._get_replica(endpoint)
             for endpoint in self._listing.list_ready(service)
-            if self._place.allows(residency, endpoint.zone)
+            if self._topology.allows(residency, endpoint.zone)
         ]
 
     def count_live(
-        self, service: routing.ServiceName, residency: place.Residency
+        self, service: routing.ServiceName, residency: topology.Residency
     ) -> int:
         """Return how many replicas of a service are not known to have ended.
 
@@ -157,18 +157,18 @@
         )
 
     def has_ready(
-        self, service: routing.ServiceName, residency: place.Residency
+        self, service: routing.ServiceName, residency: topology.Residency
     ) -> bool:
         """Return whether a service has an upstream in the allowed zones."""
         return any(
-            self._place.allows(residency, endpoint.zone)
+            self._topology.allows(residency, endpoint.zone)
             for endpoint in self._listing.list_ready(service)
         )
 
     def choose(
         self,
         service: routing.ServiceName,
-        residency: place.Residency,
+        residency: topology.Residency,
         late_s: float,
         tried: tuple[core.UpstreamId, ...] = (),
     ) -> Replica | None:
@@ -210,7 +210,7 @@
     def list_nearest(
         self,
         service: routing.ServiceName,
-        residency: place.Residency,
+        residency: topology.Residency,
         late_s: float,
     ) -> list[Replica]:
         """Return the nearest of the healthy replicas that have room."""
@@ -227,12 +227,12 @@
 
     def get_distance(self, zone: core.ZoneId) -> int:
         """Return 0 for this zone, 1 for the same region, else 2."""
-        return self._place.get_distance(zone)
+        return self._topology.get_distance(zone)
 
     def has_nearest(self, service: routing.ServiceName) -> bool:
         """Return whether a replica of a service is in this host's zone."""
         return any(
-            self._place.get_distance(endpoint.zone) == 0
+            self._topology.get_distance(endpoint.zone) == 0
             for endpoint in self._listing.list_ready(service)
         )
 
@@ -242,7 +242,7 @@
         Replicas are left out if this host's share of their connections is
         less than one.
         """
-        found = self.list_ready(service, place.Anywhere())
+        found = self.list_ready(service, topology.Anywhere())
         if not found:
             return
         nearest = min(replica.distance for replica in found)
@@ -261,7 +261,7 @@
         connections were opened, and the fraction of requests in time rose
         from 0.89 to 0.91 (one day under heavy load, 60 hosts).
         """
-        found = self.list_ready(service, place.Anywhere())
+        found = self.list_ready(service, topology.Anywhere())
         nearest = min((each.distance for each in found), default=0)
         others = [
             each
@@ -314,7 +314,7 @@
                 self._names,
                 self._count_dial,
             )
-            distance = self._place.get_distance(endpoint.zone)
+            distance = self._topology.get_distance(endpoint.zone)
             replica = Replica(endpoint, links, distance, self._clock)
             self._apply_share(replica)
             self._replicas[endpoint.upstream] = replica
--- a/rudderrock/gateway/knowledge/_directory.py
+++ b/rudderrock/gateway/discovery/_directory.py
@@ -6,9 +6,9 @@
 import enum
 
 from rudderrock import core
-from rudderrock.gateway.knowledge import _position as position
-from rudderrock.gateway.knowledge import _restore as restore
-from rudderrock.gateway.knowledge import _routing as routing
+from rudderrock.gateway.discovery import _position as position
+from rudderrock.gateway.discovery import _restore as restore
+from rudderrock.gateway.discovery import _routing as routing
 
 # After an outage of the registry, upstreams whose registration lapsed register
 # again within about two seconds, as the contract of the registry states. The
--- a/rudderrock/gateway/knowledge/_era.py
+++ b/rudderrock/gateway/discovery/_era.py
@@ -2,7 +2,7 @@
 
 from rudderrock.gateway import _events as events
 from rudderrock.gateway import _log as log
-from rudderrock.gateway.knowledge import _position as position
+from rudderrock.gateway.discovery import _position as position
 
 # For this long after a restore, in seconds, the source may list entries that
 # have left and lack entries that exist. In that time operators and upstreams
--- a/rudderrock/gateway/knowledge/_evacuations.py
+++ b/rudderrock/gateway/discovery/_evacuations.py
@@ -14,8 +14,8 @@
 from rudderrock import core
 from rudderrock.gateway import _events as events
 from rudderrock.gateway import _log as log
-from rudderrock.gateway.knowledge import _era as era
-from rudderrock.gateway.knowledge import _position as position
+from rudderrock.gateway.discovery import _era as era
+from rudderrock.gateway.discovery import _position as position
 
 NOT_TOLD = -1
 # Number of ended evacuations that are remembered.
--- a/rudderrock/gateway/knowledge/_first.py
+++ b/rudderrock/gateway/discovery/_initial_sync.py
@@ -6,9 +6,9 @@
 import asyncio
 
 from rudderrock import core
-from rudderrock.gateway.knowledge import _directory as directory
-from rudderrock.gateway.knowledge import _evacuations as evacuations
-from rudderrock.gateway.knowledge import _sources as sources
+from rudderrock.gateway.discovery import _directory as directory
+from rudderrock.gateway.discovery import _evacuations as evacuations
+from rudderrock.gateway.discovery import _sources as sources
 
 # Only requests that arrive within this time after the start of the process
 # wait for missing data, in seconds: a rejection would delay them for longer.
--- a/rudderrock/gateway/knowledge/_operators.py
+++ b/rudderrock/gateway/discovery/_operators.py
@@ -6,9 +6,9 @@
 
 from rudderrock.gateway import _events as events
 from rudderrock.gateway import _log as log
-from rudderrock.gateway.knowledge import _evacuations as evacuations
-from rudderrock.gateway.knowledge import _position as position
-from rudderrock.gateway.knowledge import _sources as sources
+from rudderrock.gateway.discovery import _evacuations as evacuations
+from rudderrock.gateway.discovery import _position as position
+from rudderrock.gateway.discovery import _sources as sources
 
 # How long one watch request waits at the source, in seconds. It bounds how
 # long a watch on a silently broken connection goes unnoticed, so that the loss
--- a/rudderrock/gateway/knowledge/_peers.py
+++ b/rudderrock/gateway/discovery/_peers.py
@@ -16,16 +16,16 @@
 import result
 
 from rudderrock import core
-from rudderrock.gateway.http import _caller as caller
+from rudderrock.gateway.discovery import _directory as directory
+from rudderrock.gateway.discovery import _evacuations as evacuations
+from rudderrock.gateway.discovery import _fleet as fleet
+from rudderrock.gateway.discovery import _initial_sync as initial_sync_module
+from rudderrock.gateway.discovery import _position as position
+from rudderrock.gateway.discovery import _quarantine as quarantine
+from rudderrock.gateway.discovery import _routing as routing
+from rudderrock.gateway.discovery import _sources as sources
+from rudderrock.gateway.http import _http_client as http_client
 from rudderrock.gateway.http import _messages as messages
-from rudderrock.gateway.knowledge import _directory as directory
-from rudderrock.gateway.knowledge import _evacuations as evacuations
-from rudderrock.gateway.knowledge import _first as first
-from rudderrock.gateway.knowledge import _fleet as fleet
-from rudderrock.gateway.knowledge import _position as position
-from rudderrock.gateway.knowledge import _quarantine as quarantine
-from rudderrock.gateway.knowledge import _routing as routing
-from rudderrock.gateway.knowledge import _sources as sources
 
 PATH = '/v1/changes'
 # How long a peer holds a poll while nothing changes, and how much longer the
@@ -205,7 +205,7 @@
         hosts: fleet.Fleet,
         tables: sources.TableHolder,
         evacuated: evacuations.EvacuationHolder,
-        first_knowledge: first.FirstKnowledge,
+        initial_sync: initial_sync_module.FirstKnowledge,
         known_quarantine: quarantine.Quarantine,
         clock: core.Clock,
     ):
@@ -215,7 +215,7 @@
         self._listing = listing
         self._hosts = hosts
         self._tables = tables
-        self._first = first_knowledge
+        self._initial_sync = initial_sync
         self._quarantine = known_quarantine
         self._clock = clock
         self._cached_reply: _CachedReply | None = None
@@ -251,9 +251,9 @@
             )
         except msgspec.ValidationError as error:
             return messages.Reply(400, [], str(error).encode())
-        if not self._first.is_complete:
+        if not self._initial_sync.is_complete:
             # This host has just started and has no data to send yet.
-            await self._first.wait_for(STARTUP_HOLD_S)
+            await self._initial_sync.wait_for(STARTUP_HOLD_S)
         elif not self._has_changes(known) and self._is_acceptable(known):
             await self._wait_for_change()
         if known.process != self.process:
@@ -268,7 +268,9 @@
             reply = render_changes(self.list_changes(known))
             cached = _CachedReply(known, now, reply)
             # Incomplete replies of a starting host are not cached.
-            self._cached_reply = cached if self._first.is_complete else None
+            self._cached_reply = (
+                cached if self._initial_sync.is_complete else None
+            )
         cache_age_ms = _to_ms(now - cached.created_at)
         headers = [
             *cached.reply.headers,
@@ -442,7 +444,9 @@
         self._hosts: dict[core.HostId, fleet.HostEntry] = {}
         self._received_table_revision = position.NOWHERE.revision
         self._received_table_version = routing.NO_VERSION
-        self._caller = caller.HttpCaller(core.split_address(entry.address))
+        self._caller = http_client.HttpCaller(
+            core.split_address(entry.address)
+        )
 
     async def ask(
         self,
@@ -523,9 +527,9 @@
     """Return a reply with changes, compressed if it is large."""
     body = msgspec.json.encode(changes)
     if len(body) < COMPRESSION_THRESHOLD_BYTES:
-        return messages.Reply(200, [caller.JSON], body)
+        return messages.Reply(200, [http_client.JSON], body)
     return messages.Reply(
-        200, [caller.JSON, DEFLATE_HEADER], zlib.compress(body)
+        200, [http_client.JSON, DEFLATE_HEADER], zlib.compress(body)
     )
 
 
--- a/rudderrock/gateway/knowledge/_announcer.py
+++ b/rudderrock/gateway/discovery/_quarantine_broadcast.py
@@ -18,10 +18,10 @@
 import result
 
 from rudderrock import core
-from rudderrock.gateway.http import _caller as caller
+from rudderrock.gateway.discovery import _fleet as fleet
+from rudderrock.gateway.discovery import _quarantine as quarantine
+from rudderrock.gateway.http import _http_client as http_client
 from rudderrock.gateway.http import _messages as messages
-from rudderrock.gateway.knowledge import _fleet as fleet
-from rudderrock.gateway.knowledge import _quarantine as quarantine
 
 PATH = b'/v1/quarantine'
 # Timeout of one call, in seconds. Allows for a new connection to another
@@ -158,9 +158,9 @@
 
     async def _call(
         self, address: str, method: bytes, body: bytes
-    ) -> result.Result[messages.Reply, caller.NoReply]:
+    ) -> result.Result[messages.Reply, http_client.NoReply]:
         async with self._call_slots:
-            client = caller.HttpCaller(core.split_address(address), 1)
+            client = http_client.HttpCaller(core.split_address(address), 1)
             try:
                 return await client.call(method, PATH, body, CALL_TIMEOUT_S)
             finally:
--- a/rudderrock/gateway/knowledge/_registration.py
+++ b/rudderrock/gateway/discovery/_registration.py
@@ -8,9 +8,9 @@
 from rudderrock import core
 from rudderrock.gateway import _events as events
 from rudderrock.gateway import _log as log
-from rudderrock.gateway.knowledge import _era as era
-from rudderrock.gateway.knowledge import _fleet as fleet
-from rudderrock.gateway.knowledge import _sources as sources
+from rudderrock.gateway.discovery import _era as era
+from rudderrock.gateway.discovery import _fleet as fleet
+from rudderrock.gateway.discovery import _sources as sources
 
 LEASE_TTL_S = 12.0
 RENEW_INTERVAL_S = 4.0
--- a/rudderrock/gateway/knowledge/_restore.py
+++ b/rudderrock/gateway/discovery/_restore.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 from rudderrock import core
-from rudderrock.gateway.knowledge import _era as era
+from rudderrock.gateway.discovery import _era as era
 
 
 class RestoreTracker:
--- a/rudderrock/gateway/knowledge/_routing.py
+++ b/rudderrock/gateway/discovery/_routing.py
@@ -12,7 +12,7 @@
 
 import xxhash
 
-from rudderrock.gateway.knowledge import _place as place
+from rudderrock.gateway.discovery import _topology as topology
 
 ServiceName = NewType('ServiceName', str)
 RouteName = NewType('RouteName', str)
@@ -85,7 +85,7 @@
     goal_s: float
     priority: int
     max_attempts: int
-    residency: place.Residency = place.Anywhere()
+    residency: topology.Residency = topology.Anywhere()
 
     @functools.cached_property
     def digest(self) -> bytes:
@@ -99,9 +99,9 @@
         member, so renaming any of these classes, fields or members changes it.
         """
         match self.residency:
-            case place.Anywhere():
+            case topology.Anywhere():
                 regions = '*'
-            case place.Within(regions=found):
+            case topology.Within(regions=found):
                 regions = ','.join(sorted(found))
         text = f'{self.target}|{regions}|{self.repeat}|{self.max_attempts}'
         return b'%x' % xxhash.xxh64_intdigest(text.encode())
--- a/rudderrock/gateway/knowledge/_sources.py
+++ b/rudderrock/gateway/discovery/_sources.py
@@ -10,10 +10,10 @@
 from rudderrock import core
 from rudderrock.gateway import _events as events
 from rudderrock.gateway import _log as log
-from rudderrock.gateway.knowledge import _directory as directory
-from rudderrock.gateway.knowledge import _fleet as fleet
-from rudderrock.gateway.knowledge import _position as position
-from rudderrock.gateway.knowledge import _routing as routing
+from rudderrock.gateway.discovery import _directory as directory
+from rudderrock.gateway.discovery import _fleet as fleet
+from rudderrock.gateway.discovery import _position as position
+from rudderrock.gateway.discovery import _routing as routing
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/rudderrock/gateway/knowledge/_follow.py
+++ b/rudderrock/gateway/discovery/_synchronizer.py
@@ -19,15 +19,15 @@
 from rudderrock import core
 from rudderrock.gateway import _events as events
 from rudderrock.gateway import _log as log
-from rudderrock.gateway.knowledge import _directory as directory
-from rudderrock.gateway.knowledge import _era as era
-from rudderrock.gateway.knowledge import _evacuations as evacuations
-from rudderrock.gateway.knowledge import _first as first
-from rudderrock.gateway.knowledge import _fleet as fleet
-from rudderrock.gateway.knowledge import _operators as operators
-from rudderrock.gateway.knowledge import _peers as peers
-from rudderrock.gateway.knowledge import _quarantine as quarantine
-from rudderrock.gateway.knowledge import _sources as sources
+from rudderrock.gateway.discovery import _directory as directory
+from rudderrock.gateway.discovery import _era as era
+from rudderrock.gateway.discovery import _evacuations as evacuations
+from rudderrock.gateway.discovery import _fleet as fleet
+from rudderrock.gateway.discovery import _initial_sync as initial_sync_module
+from rudderrock.gateway.discovery import _operators as operators
+from rudderrock.gateway.discovery import _peers as peers
+from rudderrock.gateway.discovery import _quarantine as quarantine
+from rudderrock.gateway.discovery import _sources as sources
 
 # Interval between readings of the upstreams, in seconds. A draining upstream
 # must stop getting new work within a few seconds of announcing the drain, but
@@ -86,7 +86,7 @@
         evacuated: evacuations.EvacuationHolder,
         listing: directory.Directory,
         hosts: fleet.Fleet,
-        first_knowledge: first.FirstKnowledge,
+        initial_sync: initial_sync_module.FirstKnowledge,
         changes: peers.ChangeBook,
         known_quarantine: quarantine.Quarantine,
         source_era: era.SourceEra,
@@ -102,7 +102,7 @@
         self._evacuated = evacuated
         self._listing = listing
         self._hosts = hosts
-        self._first = first_knowledge
+        self._initial_sync = initial_sync
         self._changes = changes
         self._quarantine = known_quarantine
         self._era = source_era
@@ -143,7 +143,7 @@
         if self._is_seed or not self._seeds:
             return False
         asking = asyncio.create_task(self._ask_seeds())
-        waiter = asyncio.create_task(self._first.wait_for_waiter())
+        waiter = asyncio.create_task(self._initial_sync.wait_for_waiter())
         async with contextlib.AsyncExitStack() as stack:
             stack.push_async_callback(core.end_task, asking)
             stack.push_async_callback(core.end_task, waiter)
@@ -177,7 +177,7 @@
             return False
         changes = answer.ok_value
         self._apply_changes(client, changes)
-        return changes.is_fresh and self._first.is_complete
+        return changes.is_fresh and self._initial_sync.is_complete
 
     async def _synchronize_once(self) -> None:
         """Update once from peers or from the source."""
--- a/rudderrock/gateway/forwarding/_calls.py
+++ b/rudderrock/gateway/forwarding/_calls.py
@@ -8,10 +8,10 @@
 from rudderrock.gateway.decisions import _budget as budget
 from rudderrock.gateway.decisions import _canary as canary
 from rudderrock.gateway.decisions import _replicas as replicas
-from rudderrock.gateway.http import _dialect as dialect
+from rudderrock.gateway.discovery import _routing as routing
+from rudderrock.gateway.http import _header_names as header_names
 from rudderrock.gateway.http import _messages as messages
 from rudderrock.gateway.http import _reach as reach
-from rudderrock.gateway.knowledge import _routing as routing
 
 
 @dataclasses.dataclass(slots=True)
@@ -32,7 +32,7 @@
     """Objects that all service calls of one host share."""
 
     loop: asyncio.AbstractEventLoop
-    names: dialect.HeaderNames
+    names: header_names.HeaderNames
     book: replicas.ReplicaBook
     get_budget: Callable[[routing.ServiceName], budget.ExtraBudget]
     counters: Counters
@@ -69,7 +69,7 @@
     def render(
         self,
         upstream: core.UpstreamId,
-        names: dialect.HeaderNames,
+        names: header_names.HeaderNames,
         now: float,
     ) -> bytes:
         """Return the request to one upstream, with the remaining time."""
--- a/rudderrock/gateway/forwarding/_connections.py
+++ b/rudderrock/gateway/forwarding/_connections.py
@@ -1,14 +1,14 @@
 """Connections that this host needs, and limits on how many it opens."""
 
 from rudderrock import core
+from rudderrock.gateway.decisions import _connection_shares as shares
 from rudderrock.gateway.decisions import _replicas as replicas
-from rudderrock.gateway.decisions import _shares as shares
+from rudderrock.gateway.discovery import _directory as directory
+from rudderrock.gateway.discovery import _fleet as fleet
+from rudderrock.gateway.discovery import _routing as routing
+from rudderrock.gateway.discovery import _sources as sources
+from rudderrock.gateway.discovery import _topology as topology
 from rudderrock.gateway.forwarding import _delegate as delegate
-from rudderrock.gateway.knowledge import _directory as directory
-from rudderrock.gateway.knowledge import _fleet as fleet
-from rudderrock.gateway.knowledge import _place as place
-from rudderrock.gateway.knowledge import _routing as routing
-from rudderrock.gateway.knowledge import _sources as sources
 
 # How the slack of extra requests is divided for services that only wide
 # queries use: one fraction for the coordinators, one for all other hosts,
@@ -28,13 +28,13 @@
         tables: sources.TableHolder,
         listing: directory.Directory,
         hosts: fleet.Fleet,
-        place: place.Place,
+        topology: topology.Place,
         delegation: delegate.Delegation,
     ):
         self._tables = tables
         self._listing = listing
         self._hosts = hosts
-        self._place = place
+        self._topology = topology
         self._delegation = delegation
         # Services that only wide queries use.
         self._wide_services: frozenset[routing.ServiceName] = frozenset()
@@ -139,7 +139,7 @@
             self._listing.list_ready(service),
             entry.max_connections if entry is not None else 1,
             counts,
-            self._place,
+            self._topology,
         )
         if is_wide and not coordinators.has_own():
             # This host sends to the upstream only while the coordinators are
--- a/rudderrock/gateway/forwarding/_delegate.py
+++ b/rudderrock/gateway/forwarding/_delegate.py
@@ -21,13 +21,13 @@
 from rudderrock import core
 from rudderrock.gateway import _log as log
 from rudderrock.gateway.decisions import _coordinators as coordinators
+from rudderrock.gateway.discovery import _fleet as fleet
+from rudderrock.gateway.discovery import _routing as routing
 from rudderrock.gateway.forwarding import _calls as calls
 from rudderrock.gateway.forwarding import _results as results
-from rudderrock.gateway.http import _caller as caller
-from rudderrock.gateway.http import _dialect as dialect
+from rudderrock.gateway.http import _header_names as header_names
+from rudderrock.gateway.http import _http_client as http_client
 from rudderrock.gateway.http import _messages as messages
-from rudderrock.gateway.knowledge import _fleet as fleet
-from rudderrock.gateway.knowledge import _routing as routing
 
 # Minimum number of shards of a wide query.
 WIDE_SHARDS = 48
@@ -155,7 +155,7 @@
     def __init__(
         self,
         hosts: fleet.Fleet,
-        names: dialect.HeaderNames,
+        names: header_names.HeaderNames,
         clock: core.Clock,
         events: log.EventLog,
         get_version: Callable[[], int],
@@ -165,7 +165,7 @@
         self._names = names
         self._clock = clock
         self._get_version = get_version
-        self._callers: dict[str, caller.HttpCaller] = {}
+        self._callers: dict[str, http_client.HttpCaller] = {}
 
     def choose(
         self,
@@ -248,7 +248,7 @@
                 peer.measure()
         return has_time
 
-    def list_callers(self) -> list[caller.HttpCaller]:
+    def list_callers(self) -> list[http_client.HttpCaller]:
         """Return the HTTP clients of the hosts contacted so far."""
         return list(self._callers.values())
 
@@ -266,7 +266,7 @@
         call: calls.Call,
         shards: tuple[routing.ServiceName, ...],
         min_answers: int,
-    ) -> result.Result[PartAnswer, caller.NoReply]:
+    ) -> result.Result[PartAnswer, http_client.NoReply]:
         """Ask a host to query some shards and to merge their answers.
 
         Once the latency goal is reached, `min_answers` answers are enough.
@@ -283,7 +283,7 @@
 
     def _parse_part(
         self, shards: tuple[routing.ServiceName, ...], reply: messages.Reply
-    ) -> result.Result[PartAnswer, caller.NoReply]:
+    ) -> result.Result[PartAnswer, http_client.NoReply]:
         """Return the answer for a part in a reply.
 
         An error is returned if the number of stamps and missing shards is not
@@ -291,13 +291,17 @@
         """
         missing_header = reply.get_header(MISSING_SHARDS)
         if reply.status != 200 or missing_header is None:
-            return result.Err(caller.NoReply(True, f'status {reply.status}'))
+            return result.Err(
+                http_client.NoReply(True, f'status {reply.status}')
+            )
         signed = reply.get_header(self._names.part_stamps) or b''
         stamps = [each.strip() for each in signed.split(b',') if each]
         missing = frozenset(parse_service_names(missing_header))
         if len(stamps) + len(missing) != len(shards):
             return result.Err(
-                caller.NoReply(True, 'stamps and missing shards do not match')
+                http_client.NoReply(
+                    True, 'stamps and missing shards do not match'
+                )
             )
         return result.Ok(
             PartAnswer(
@@ -313,7 +317,7 @@
         match answer:
             case result.Ok(reply):
                 return self._parse_result(candidate.entry, reply)
-            case result.Err(caller.NoReply(signed=False) as problem):
+            case result.Err(http_client.NoReply(signed=False) as problem):
                 return NotStarted(problem.sent)
             case result.Err(problem):
                 return results.fail(
@@ -328,7 +332,7 @@
         candidate: Candidate,
         call: calls.Call,
         extra_headers: messages.Headers,
-    ) -> result.Result[messages.Reply, caller.NoReply]:
+    ) -> result.Result[messages.Reply, http_client.NoReply]:
         """Send a query to a host, and skip the host if it takes too long.
 
         A refusal is returned as if the query had not been sent.
@@ -390,7 +394,7 @@
 
     def _handle_refusal(
         self, entry: fleet.HostEntry, reply: messages.Reply
-    ) -> result.Err[caller.NoReply]:
+    ) -> result.Err[http_client.NoReply]:
         """Skip a host that refused a query, for a time set by its reason."""
         reason = (reply.get_header(REFUSAL_REASON) or b'').decode('latin-1')
         if not _REASON_PATTERN.fullmatch(reason):
@@ -399,7 +403,7 @@
         is_full = reason.startswith(RefusalReason.FULL.value)
         pause_s = FULL_PAUSE_S if is_full else REFUSAL_PAUSE_S
         self.coordinators.pause(entry, detail, pause_s)
-        return result.Err(caller.NoReply(False, detail))
+        return result.Err(http_client.NoReply(False, detail))
 
     def close(self) -> None:
         """Close all connections to other hosts."""
@@ -430,10 +434,10 @@
             answered=answered,
         )
 
-    def _get_caller(self, entry: fleet.HostEntry) -> caller.HttpCaller:
+    def _get_caller(self, entry: fleet.HostEntry) -> http_client.HttpCaller:
         http_caller = self._callers.get(entry.address)
         if http_caller is None:
-            http_caller = caller.HttpCaller(
+            http_caller = http_client.HttpCaller(
                 core.split_address(entry.address),
                 _MAX_CONNECTIONS,
                 self._names,
@@ -479,7 +483,7 @@
 
 
 def make_refusal(
-    names: dialect.HeaderNames, reason: RefusalReason, detail: str = ''
+    names: header_names.HeaderNames, reason: RefusalReason, detail: str = ''
 ) -> messages.Reply:
     """Return the reply that refuses a delegated query."""
     said = f'{reason.value} {detail}'.strip().encode('latin-1')
--- a/rudderrock/gateway/forwarding/_forward.py
+++ b/rudderrock/gateway/forwarding/_forward.py
@@ -4,14 +4,14 @@
 import dataclasses
 
 from rudderrock import core
+from rudderrock.gateway.discovery import _routing as routing
+from rudderrock.gateway.discovery import _topology as topology
 from rudderrock.gateway.forwarding import _calls as calls
 from rudderrock.gateway.forwarding import _delegate as delegate
 from rudderrock.gateway.forwarding import _parts as parts
 from rudderrock.gateway.forwarding import _results as results
 from rudderrock.gateway.forwarding import _service_call as service_call
 from rudderrock.gateway.http import _messages as messages
-from rudderrock.gateway.knowledge import _place as place
-from rudderrock.gateway.knowledge import _routing as routing
 
 # Target fraction of first attempts that are late and therefore hedged. It
 # keeps hedges well within the budget of extra requests.
@@ -365,6 +365,6 @@
 def count_cross_region(service_calls: list[service_call.ServiceCall]) -> int:
     """Return the number of answers that came from another region."""
     return sum(
-        each.winner is not None and each.winner.distance == place.FARTHEST
+        each.winner is not None and each.winner.distance == topology.FARTHEST
         for each in service_calls
     )
--- a/rudderrock/gateway/forwarding/_gateway.py
+++ b/rudderrock/gateway/forwarding/_gateway.py
@@ -14,8 +14,16 @@
 from rudderrock.gateway.decisions import _budget as budget
 from rudderrock.gateway.decisions import _canary as canary
 from rudderrock.gateway.decisions import _cold as cold
+from rudderrock.gateway.decisions import _host_load as host_load
 from rudderrock.gateway.decisions import _replicas as replicas
-from rudderrock.gateway.decisions import _work as work
+from rudderrock.gateway.discovery import _directory as directory
+from rudderrock.gateway.discovery import _era as era
+from rudderrock.gateway.discovery import _evacuations as evacuations
+from rudderrock.gateway.discovery import _fleet as fleet
+from rudderrock.gateway.discovery import _initial_sync as initial_sync
+from rudderrock.gateway.discovery import _quarantine as quarantine
+from rudderrock.gateway.discovery import _routing as routing
+from rudderrock.gateway.discovery import _sources as sources
 from rudderrock.gateway.forwarding import _calls as calls
 from rudderrock.gateway.forwarding import _connections as connections
 from rudderrock.gateway.forwarding import _delegate as delegate
@@ -27,14 +35,6 @@
 from rudderrock.gateway.http import _digest as digest
 from rudderrock.gateway.http import _messages as messages
 from rudderrock.gateway.http import _reach as reach
-from rudderrock.gateway.knowledge import _directory as directory
-from rudderrock.gateway.knowledge import _era as era
-from rudderrock.gateway.knowledge import _evacuations as evacuations
-from rudderrock.gateway.knowledge import _first as first
-from rudderrock.gateway.knowledge import _fleet as fleet
-from rudderrock.gateway.knowledge import _quarantine as quarantine
-from rudderrock.gateway.knowledge import _routing as routing
-from rudderrock.gateway.knowledge import _sources as sources
 
 # Value of retry-after while a host does not know all routes, upstreams and
 # evacuations yet.
@@ -54,7 +54,7 @@
     evacuations: evacuations.EvacuationHolder
     listing: directory.Directory
     hosts: fleet.Fleet
-    first: first.FirstKnowledge
+    initial_sync: initial_sync.FirstKnowledge
     source_era: era.SourceEra
     quarantine: quarantine.Quarantine
     events: log.EventLog
@@ -107,7 +107,7 @@
         )
         self.counters = calls.Counters()
         self.admission = admission.Admission(parts.clock)
-        self.work = work.WorkMeter(
+        self.work = host_load.WorkMeter(
             parts.clock, config.cores, config.link_bytes_s
         )
         self.delegated = 0
@@ -142,7 +142,7 @@
     @property
     def is_ready(self) -> bool:
         """Return whether routes, upstreams and evacuations are known."""
-        return self._parts.first.is_complete
+        return self._parts.initial_sync.is_complete
 
     def _on_hosts_change(self) -> None:
         """Redistribute budgets and connections among the hosts."""
@@ -254,7 +254,7 @@
         If `shards` is not empty, only these shards are queried.
         """
         if not self.is_ready:
-            await self._parts.first.wait()
+            await self._parts.initial_sync.wait()
         table = self._parts.tables.current
         route = self._find_route(table, request)
         result = results.Result(
@@ -310,7 +310,7 @@
                     self._context, call, service, threshold
                 )
             case routing.Scatter() if shards:
-                kind = work.Kind(route.name, is_part=True)
+                kind = host_load.Kind(route.name, is_part=True)
                 self.work.note_begun(kind, len(shards))
                 min_answers = request.get_header(delegate.MIN_ANSWERS) or b'1'
                 result = await gather.answer_part(
@@ -341,10 +341,10 @@
         In a zone outside the route's data residency, only the host that the
         caller has chosen may process the query.
         """
-        config = self._config.place
+        topology = self._config.place
         return self._connections.is_wide(
             route.target.shards
-        ) and config.allows(route.residency, config.zone)
+        ) and topology.allows(route.residency, topology.zone)
 
     async def _run_wide(
         self,
@@ -395,7 +395,7 @@
                 f'rank {rank}',
             )
         congested = None
-        kind = work.Kind(call.route.name, is_part=False)
+        kind = host_load.Kind(call.route.name, is_part=False)
         self.work.note_begun(kind, len(scatter.shards))
         try:
             result = await gather.forward_to_all(
--- a/rudderrock/gateway/forwarding/_gather.py
+++ b/rudderrock/gateway/forwarding/_gather.py
@@ -4,15 +4,15 @@
 import math
 
 from rudderrock import core
+from rudderrock.gateway.discovery import _routing as routing
 from rudderrock.gateway.forwarding import _calls as calls
 from rudderrock.gateway.forwarding import _delegate as delegate
 from rudderrock.gateway.forwarding import _forward as forward
 from rudderrock.gateway.forwarding import _records as records
 from rudderrock.gateway.forwarding import _results as results
 from rudderrock.gateway.forwarding import _service_call as service_call
-from rudderrock.gateway.http import _dialect as dialect
+from rudderrock.gateway.http import _header_names as header_names
 from rudderrock.gateway.http import _messages as messages
-from rudderrock.gateway.knowledge import _routing as routing
 
 
 def count_min_answers(shards: int, min_coverage: float) -> int:
@@ -84,7 +84,7 @@
 
 
 def refuse_part(
-    names: dialect.HeaderNames,
+    names: header_names.HeaderNames,
     request_id: bytes,
     shards: tuple[routing.ServiceName, ...],
     crashed: list[core.UpstreamLife],
@@ -150,7 +150,7 @@
 
 
 def _make_part_headers(
-    names: dialect.HeaderNames,
+    names: header_names.HeaderNames,
     request_id: bytes,
     stamps: list[bytes],
     missing: int,
--- a/rudderrock/gateway/forwarding/_parts.py
+++ b/rudderrock/gateway/forwarding/_parts.py
@@ -12,12 +12,12 @@
 
 from rudderrock import core
 from rudderrock.gateway.decisions import _replicas as replicas
+from rudderrock.gateway.discovery import _fleet as fleet
+from rudderrock.gateway.discovery import _topology as topology
 from rudderrock.gateway.forwarding import _calls as calls
 from rudderrock.gateway.forwarding import _delegate as delegate
 from rudderrock.gateway.forwarding import _service_call as service_call
-from rudderrock.gateway.http import _caller as caller
-from rudderrock.gateway.knowledge import _fleet as fleet
-from rudderrock.gateway.knowledge import _place as place
+from rudderrock.gateway.http import _http_client as http_client
 
 # Minimum number of shards of a part. For fewer shards, a message to another
 # zone is not worth its cost. The limit is lower for another region, because
@@ -27,7 +27,7 @@
 
 # The host that was asked for a part, and its answer.
 _PartOutcome = tuple[
-    core.HostId, result.Result[delegate.PartAnswer, caller.NoReply]
+    core.HostId, result.Result[delegate.PartAnswer, http_client.NoReply]
 ]
 
 
@@ -89,7 +89,7 @@
                 candidate, call, shards, min_answers
             )
             match answer:
-                case result.Err(caller.NoReply(sent=False)):
+                case result.Err(http_client.NoReply(sent=False)):
                     tried = (*tried, host)
                 case _:
                     return host, answer
@@ -209,6 +209,6 @@
     """Return the minimum number of shards of a part at a distance."""
     return (
         MIN_SHARDS_OTHER_REGION
-        if distance == place.FARTHEST
+        if distance == topology.FARTHEST
         else MIN_SHARDS_SAME_REGION
     )
--- a/rudderrock/gateway/forwarding/_results.py
+++ b/rudderrock/gateway/forwarding/_results.py
@@ -5,7 +5,7 @@
 import enum
 
 from rudderrock.gateway.decisions import _canary as canary
-from rudderrock.gateway.http import _dialect as dialect
+from rudderrock.gateway.http import _header_names as header_names
 from rudderrock.gateway.http import _messages as messages
 
 # Value of retry-after for a request that did not run. It is long enough for a
@@ -68,7 +68,7 @@
 
 
 def refuse(
-    names: dialect.HeaderNames,
+    names: header_names.HeaderNames,
     request_id: bytes,
     retry_after_s: float,
     outcome: Outcome,
@@ -83,7 +83,7 @@
 
 
 def fail(
-    names: dialect.HeaderNames,
+    names: header_names.HeaderNames,
     request_id: bytes,
     timed_out: bool,
     detail: str,
@@ -96,7 +96,7 @@
 
 
 def explain_failure(
-    names: dialect.HeaderNames,
+    names: header_names.HeaderNames,
     request_id: bytes,
     reached: bool,
     timed_out: bool,
--- a/rudderrock/gateway/forwarding/_service_call.py
+++ b/rudderrock/gateway/forwarding/_service_call.py
@@ -9,12 +9,12 @@
 from rudderrock import core
 from rudderrock.gateway.decisions import _canary as canary
 from rudderrock.gateway.decisions import _replicas as replicas
+from rudderrock.gateway.discovery import _routing as routing
 from rudderrock.gateway.forwarding import _calls as calls
-from rudderrock.gateway.http import _dialect as dialect
+from rudderrock.gateway.http import _header_names as header_names
 from rudderrock.gateway.http import _link as link
 from rudderrock.gateway.http import _messages as messages
 from rudderrock.gateway.http import _verdicts as verdicts
-from rudderrock.gateway.knowledge import _routing as routing
 
 # With less time left, a request is not retried, because the upstream could
 # not answer in time.
@@ -454,7 +454,7 @@
             self._timer = None
 
 
-def _is_signed(outcome: link.Outcome, names: dialect.HeaderNames) -> bool:
+def _is_signed(outcome: link.Outcome, names: header_names.HeaderNames) -> bool:
     """Return whether a reply carries the stamp of the upstream."""
     match outcome:
         case messages.Reply() as reply:
--- a/rudderrock/gateway/forwarding/_zones.py
+++ b/rudderrock/gateway/forwarding/_zones.py
@@ -4,10 +4,10 @@
 
 from rudderrock.gateway import _events as events
 from rudderrock.gateway import _log as log
-from rudderrock.gateway.knowledge import _directory as directory
-from rudderrock.gateway.knowledge import _evacuations as evacuations
-from rudderrock.gateway.knowledge import _place as place_module
-from rudderrock.gateway.knowledge import _routing as routing
+from rudderrock.gateway.discovery import _directory as directory
+from rudderrock.gateway.discovery import _evacuations as evacuations
+from rudderrock.gateway.discovery import _routing as routing
+from rudderrock.gateway.discovery import _topology as topology_module
 
 
 class ZonePolicy:
@@ -20,12 +20,12 @@
     def __init__(
         self,
         listing: directory.Directory,
-        place: place_module.Place,
+        topology: topology_module.Place,
         find_service: Callable[[routing.ServiceName], routing.Service | None],
         events: log.EventLog,
     ):
         self._listing = listing
-        self._place = place
+        self._topology = topology
         self._find_service = find_service
         self._events = events
 
@@ -46,9 +46,9 @@
 
     def check_table(self, table: routing.RoutingTable) -> None:
         """Log each region that routes use but the settings don't define."""
-        unknown: dict[place_module.RegionId, list[routing.RouteName]] = {}
+        unknown: dict[topology_module.RegionId, list[routing.RouteName]] = {}
         for route in table.routes.values():
-            for region in self._place.list_unknown(route.residency):
+            for region in self._topology.list_unknown(route.residency):
                 unknown.setdefault(region, []).append(route.name)
         for region, routes in unknown.items():
             self._events.record(
--- a/rudderrock/gateway/http/_digest.py
+++ b/rudderrock/gateway/http/_digest.py
@@ -2,7 +2,7 @@
 
 import hashlib
 
-from rudderrock.gateway.http import _dialect as dialect
+from rudderrock.gateway.http import _header_names as header_names
 from rudderrock.gateway.http import _messages as messages
 
 # Callers do not trust one another and choose the input of the hash, so it has
@@ -11,7 +11,7 @@
 
 
 def digest_request(
-    request: messages.Request, names: dialect.HeaderNames
+    request: messages.Request, names: header_names.HeaderNames
 ) -> str:
     """Return a digest that is equal for requests with equal content.
 
--- a/rudderrock/gateway/http/_caller.py
+++ b/rudderrock/gateway/http/_http_client.py
@@ -7,12 +7,12 @@
 import result
 
 from rudderrock import core
-from rudderrock.gateway.http import _dialect as dialect
+from rudderrock.gateway.discovery import _directory as directory
+from rudderrock.gateway.discovery import _routing as routing
+from rudderrock.gateway.http import _header_names as header_names
 from rudderrock.gateway.http import _link as link
 from rudderrock.gateway.http import _messages as messages
 from rudderrock.gateway.http import _pool as pool
-from rudderrock.gateway.knowledge import _directory as directory
-from rudderrock.gateway.knowledge import _routing as routing
 
 # Connections to one address. Each call in flight occupies one.
 MAX_CONNECTIONS = 4
@@ -52,7 +52,7 @@
         self,
         address: tuple[str, int],
         max_connections: int = MAX_CONNECTIONS,
-        names: dialect.HeaderNames | None = None,
+        names: header_names.HeaderNames | None = None,
         keep_alive_s: float = pool.DEFAULT_KEEP_ALIVE_S,
     ):
         self._loop = asyncio.get_running_loop()
@@ -71,7 +71,7 @@
         self._pool = pool.Pool(
             endpoint,
             self._loop,
-            names or dialect.HeaderNames(),
+            names or header_names.HeaderNames(),
             lambda: None,
             max_connections,
             keep_alive_s,
--- a/rudderrock/gateway/http/_link.py
+++ b/rudderrock/gateway/http/_link.py
@@ -12,7 +12,7 @@
 
 import httptools
 
-from rudderrock.gateway.http import _dialect as dialect
+from rudderrock.gateway.http import _header_names as header_names
 from rudderrock.gateway.http import _messages as messages
 
 # A larger reply counts as invalid, and its connection is closed.
@@ -95,7 +95,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        names: dialect.HeaderNames,
+        names: header_names.HeaderNames,
         on_free: Callable[['Link'], None],
         on_closed: Callable[['Link'], None],
     ):
--- a/rudderrock/gateway/http/_intake.py
+++ b/rudderrock/gateway/http/_listener.py
@@ -11,8 +11,8 @@
 from absl import logging
 import httptools
 
+from rudderrock.gateway.discovery import _routing as routing
 from rudderrock.gateway.http import _messages as messages
-from rudderrock.gateway.knowledge import _routing as routing
 
 Handler = Callable[[messages.Request], Awaitable[messages.Reply]]
 
--- a/rudderrock/gateway/http/_pool.py
+++ b/rudderrock/gateway/http/_pool.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 import math
 
-from rudderrock.gateway.http import _dialect as dialect
+from rudderrock.gateway.discovery import _directory as directory
+from rudderrock.gateway.http import _header_names as header_names
 from rudderrock.gateway.http import _link as link_module
-from rudderrock.gateway.knowledge import _directory as directory
 
 # Opening a connection takes about 30 ms between regions. A lost SYN packet is
 # sent again after one second.
@@ -41,7 +41,7 @@
         self,
         endpoint: directory.Endpoint,
         loop: asyncio.AbstractEventLoop,
-        names: dialect.HeaderNames,
+        names: header_names.HeaderNames,
         count_dial: Callable[[], None],
         cap: int = 1,
         keep_alive_s: float = DEFAULT_KEEP_ALIVE_S,
--- a/rudderrock/gateway/http/_verdicts.py
+++ b/rudderrock/gateway/http/_verdicts.py
@@ -2,7 +2,7 @@
 
 import enum
 
-from rudderrock.gateway.http import _dialect as dialect
+from rudderrock.gateway.http import _header_names as header_names
 from rudderrock.gateway.http import _link as link
 
 
@@ -29,7 +29,7 @@
 
 
 def judge_outcome(
-    outcome: link.Outcome, names: dialect.HeaderNames
+    outcome: link.Outcome, names: header_names.HeaderNames
 ) -> Verdict:
     """Return the verdict on an outcome.
 
--- a/rudderrock/gateway_root.py
+++ b/rudderrock/gateway_root.py
@@ -31,7 +31,7 @@
     evacuated = gateway.EvacuationHolder(settings.place.regions, clock, events)
     hosts = gateway.Fleet(own_entry, settings.assumed_hosts, clock)
     source_era = gateway.SourceEra(events)
-    first = gateway.FirstKnowledge(tables, listing, evacuated, clock)
+    initial_sync = gateway.FirstKnowledge(tables, listing, evacuated, clock)
     process_id = f'{settings.host}/{make_rng("process").getrandbits(64):x}'
     quarantine = gateway.Quarantine(process_id, clock, events)
     parts = gateway.Parts(
@@ -39,7 +39,7 @@
         evacuations=evacuated,
         listing=listing,
         hosts=hosts,
-        first=first,
+        initial_sync=initial_sync,
         source_era=source_era,
         quarantine=quarantine,
         events=events,
@@ -48,7 +48,14 @@
         chance=make_rng('replicas'),
     )
     changes = gateway.ChangeBook(
-        process_id, listing, hosts, tables, evacuated, first, quarantine, clock
+        process_id,
+        listing,
+        hosts,
+        tables,
+        evacuated,
+        initial_sync,
+        quarantine,
+        clock,
     )
     follower = gateway.Follower(
         source,
@@ -56,7 +63,7 @@
         evacuated,
         listing,
         hosts,
-        first,
+        initial_sync,
         changes,
         quarantine,
         source_era,
--- a/rudderrock/platform/__init__.py
+++ b/rudderrock/platform/__init__.py
@@ -5,12 +5,12 @@
 upstream.
 """
 
-from rudderrock.platform._boot import Boot
-from rudderrock.platform._boot import METRICS_PORT
-from rudderrock.platform._boot import read_boot
 from rudderrock.platform._decode import decode_table
 from rudderrock.platform._decode import decode_upstream
 from rudderrock.platform._headers import NAMES
+from rudderrock.platform._settings_file import Boot
+from rudderrock.platform._settings_file import METRICS_PORT
+from rudderrock.platform._settings_file import read_boot
 from rudderrock.platform._store import StoreSource
 
 __all__ = [
