--- a/benchmarks/gateway_request.py
+++ b/benchmarks/gateway_request.py
@@ -70,7 +70,7 @@
     )
     config = gateway.GatewaySettings(
         host='g',
-        place=gateway.Place(core.ZoneId('z'), {core.ZoneId('z'): 'r'}),
+        place=gateway.Topology(core.ZoneId('z'), {core.ZoneId('z'): 'r'}),
         callers=('127.0.0.1', _FIRST_PORT + 900),
         readiness=('127.0.0.1', _FIRST_PORT + 901),
         metrics=('127.0.0.1', _FIRST_PORT + 902),
@@ -85,7 +85,7 @@
         spent = 0.0
         for number in range(ROUNDS):
             if drop:
-                process.gateway.book.drop_idle()
+                process.gateway.selector.drop_idle()
                 await asyncio.sleep(0.05)
             request = gateway.Request(
                 b'GET',
--- a/features/gateway_bench.py
+++ b/features/gateway_bench.py
@@ -122,7 +122,7 @@
         clock = state.Clock(loop)
         self.keep_log()
         fields = {
-            'place': gateway.Place(
+            'place': gateway.Topology(
                 state.ZoneId('north-1'),
                 {
                     state.ZoneId('north-1'): 'north',
@@ -370,13 +370,13 @@
         name = f'g{number}'
         ip = f'10.0.1.{number}'
         clock = state.Clock(asyncio.get_running_loop())
-        place = gateway.Place(
+        topology = gateway.Topology(
             state.ZoneId(zone),
             {'north-1': 'north', 'north-2': 'north', 'south-1': 'south'},
         )
         config = gateway.GatewaySettings(
             host=name,
-            place=place,
+            place=topology,
             callers=(ip, _PORT),
             readiness=(ip, _PORT + 1),
             metrics=(ip, _PORT + 2),
--- a/features/history_bench.py
+++ b/features/history_bench.py
@@ -251,14 +251,16 @@
     async def _look(self) -> None:
         while True:
             for name, member in list(self._fleet.members.items()):
-                self._look_at(name, member.process._parts)
+                self._look_at(name, member.process._dependencies)
             await asyncio.sleep(LOOK_EVERY_S)
 
-    def _look_at(self, host: str, parts: gateway.Parts) -> None:
+    def _look_at(
+        self, host: str, dependencies: gateway.GatewayDependencies
+    ) -> None:
         """See that a host does not go back on what it believed."""
-        if not parts.initial_sync.is_complete:
+        if not dependencies.initial_sync.is_complete:
             return
-        version = parts.tables.version
+        version = dependencies.tables.version
         if version < self._versions.get(host, -1):
             self._note(host, f'back to version {version}')
         self._versions[host] = version
@@ -269,7 +271,9 @@
             ):
                 # Hosts that knew it keep it as one that is yet to register.
                 continue
-            known = parts.listing.get_endpoint(core.UpstreamId(name))
+            known = dependencies.upstream_directory.get_endpoint(
+                core.UpstreamId(name)
+            )
             if _is_ready(self._entries.get(name)):
                 if _is_ready(known):
                     self._seen.add((host, f'with {name}'))
@@ -277,7 +281,7 @@
                 # One that a host has never known can't have left for it.
                 self._compare(host, not _is_ready(known), f'without {name}')
         for zone in ZONES:
-            is_out = zone in parts.evacuations.zones
+            is_out = zone in dependencies.evacuations.zones
             right = is_out == (zone in self._evacuated)
             state = 'evacuated' if zone in self._evacuated else 'open'
             self._compare(host, right, f'{state}/{zone}')
@@ -303,14 +307,19 @@
             and entry.zone not in self._evacuated
         }
         for name, member in self._fleet.members.items():
-            parts = member.process._parts
+            dependencies = member.process._dependencies
             found = {
-                each.upstream for each in parts.listing.list_ready(SERVICE)
+                each.upstream
+                for each in dependencies.upstream_directory.list_ready(SERVICE)
             }
-            if parts.tables.version != self._bench.version:
-                self._note(name, f'ends with version {parts.tables.version}')
-            if parts.evacuations.zones != self._evacuated:
-                self._note(name, f'ends with {parts.evacuations.zones} out')
+            if dependencies.tables.version != self._bench.version:
+                self._note(
+                    name, f'ends with version {dependencies.tables.version}'
+                )
+            if dependencies.evacuations.zones != self._evacuated:
+                self._note(
+                    name, f'ends with {dependencies.evacuations.zones} out'
+                )
             if found != ready:
                 self._note(name, f'ends with {sorted(found)} ready')
 
--- a/features/steps/adapter.py
+++ b/features/steps/adapter.py
@@ -86,7 +86,7 @@
     r'capacity ([\d.]+)'
 )
 def check_strength(context, cores, link, capacity):
-    settings = context.boot.ok_value.settings
+    settings = context.settings_file.ok_value.settings
     assert settings.cores == float(cores), settings
     assert settings.link_bytes_s == float(link), settings
     assert settings.capacity == float(capacity), settings
@@ -102,22 +102,24 @@
 
 @when(r'it is read')
 def read_file(context):
-    context.boot = platform.read_boot(context.file)
+    context.settings_file = platform.read_boot(context.file)
 
 
 @when(r'a settings file that is not there is read')
 def read_no_file(context):
-    context.boot = platform.read_boot(pathlib.Path('no/such/boot.conf'))
+    context.settings_file = platform.read_boot(
+        pathlib.Path('no/such/boot.conf')
+    )
 
 
 @then(r'the problem names "([^"]+)"')
 def check_problem(context, text):
-    assert text in context.boot.err_value, context.boot
+    assert text in context.settings_file.err_value, context.settings_file
 
 
 @then(r'the gateway\'s settings have host "([^"]+)" in "([^"]+)" of "([^"]+)"')
 def check_place(context, host, zone, region):
-    settings = context.boot.ok_value.settings
+    settings = context.settings_file.ok_value.settings
     assert settings.host == host
     assert settings.place.zone == zone
     assert settings.place.regions[zone] == region
@@ -125,7 +127,7 @@
 
 @then(r'they listen at "([^"]+)" on (\d+), (\d+) and for peers on (\d+)')
 def check_addresses(context, ip, front, ready, peers):
-    settings = context.boot.ok_value.settings
+    settings = context.settings_file.ok_value.settings
     assert settings.callers == (ip, int(front))
     assert settings.readiness == (ip, int(ready))
     assert settings.peers == (ip, int(peers))
@@ -133,18 +135,18 @@
 
 @then(r'they name no seeds')
 def check_no_seeds(context):
-    assert context.boot.ok_value.settings.seeds == ()
+    assert context.settings_file.ok_value.settings.seeds == ()
 
 
 @then(r'they name the seeds "([^"]+)" and "([^"]+)" on (\d+)')
 def check_seeds(context, first, second, port):
     wanted = ((first, int(port)), (second, int(port)))
-    assert context.boot.ok_value.settings.seeds == wanted
+    assert context.settings_file.ok_value.settings.seeds == wanted
 
 
 @then(r'extra requests are bounded by ([\d.]+), (\d+) seconds and (\d+)')
 def check_bounds(context, ratio, window, slack):
-    settings = context.boot.ok_value.settings
+    settings = context.settings_file.ok_value.settings
     assert settings.extra_ratio == float(ratio)
     assert settings.extra_window_s == float(window)
     assert settings.extra_slack == float(slack)
@@ -152,7 +154,7 @@
 
 @then(r'the store is at "([^"]+)" on (\d+)')
 def check_store(context, ip, port):
-    assert context.boot.ok_value.store == (ip, int(port))
+    assert context.settings_file.ok_value.store == (ip, int(port))
 
 
 @given(r'a platform store(?: with pages of (\d+))?')
@@ -360,7 +362,7 @@
 
 @then(r'the watch says that the history is gone')
 def check_gone(context):
-    assert context.answer.err_value == gateway.HistoryGone()
+    assert context.answer.err_value == gateway.HistoryCompacted()
 
 
 @then(r'it finds (\d+) ready and (\d+) draining ones')
@@ -438,13 +440,13 @@
 def start_over_store(context):
     text = platform_standins.make_boot('10.0.0.1', 8104, '%s:%d' % _STORE)
     write_file(context, text)
-    boot = platform.read_boot(context.file).ok_value
+    settings_file = platform.read_boot(context.file).ok_value
 
     async def start():
         clock = state.Clock(context.loop)
         events = gateway.EventLog('front-1', clock)
         process = gateway_root.make_gateway(
-            boot.settings, context.source, clock, 1, events
+            settings_file.settings, context.source, clock, 1, events
         )
         task = asyncio.create_task(process.run())
         context.stack.push_async_callback(core.end_task, task)
--- a/features/steps/canaries.py
+++ b/features/steps/canaries.py
@@ -30,15 +30,17 @@
     def __init__(self, probe, live):
         self.live = live
         self.is_sent = False
-        self.advice = None
+        self.decision = None
         self._probe = probe
 
     def wait(self):
         """Wait, unless it is judged otherwise."""
-        self.advice = self._probe.judge()
-        if self.advice is gateway.Advice.WAIT:
+        self.decision = self._probe.judge()
+        if self.decision is gateway.SendDecision.WAIT:
             self._probe.wait(
-                gateway.Waiter(self.wait, self._send, lambda: self.live)
+                gateway.WaitingAttempt(
+                    self.wait, self._send, lambda: self.live
+                )
             )
 
     def _send(self):
@@ -99,7 +101,9 @@
 @then(r'the copy is sent to nobody')
 def check_copy(context):
     assert not [each for each in context.copies if each.is_sent]
-    assert {each.advice for each in context.copies} == {gateway.Advice.STOP}
+    assert {each.decision for each in context.copies} == {
+        gateway.SendDecision.STOP
+    }
 
 
 @then(r'nothing is sent to the service with (\d+)')
--- a/features/steps/copies.py
+++ b/features/steps/copies.py
@@ -200,7 +200,7 @@
 @then(r'a renewal says that the source has returned')
 def check_returned(context):
     adapter_steps.call(context, context.source.renew(context.lease))
-    assert context.answer.err_value == gateway.SourceReturned(), context.answer
+    assert context.answer.err_value == gateway.SourceRestored(), context.answer
 
 
 @then(r"the host's lease is found in the new era")
@@ -215,8 +215,8 @@
 def check_good(context, era, judged):
     reader = context.fleet.find_reader()
     known = gateway.Known()
-    book = context.fleet.members[reader].process._changes
-    told = book.list_changes(known)
+    feed = context.fleet.members[reader].process._changes
+    told = feed.list_changes(known)
     told = msgspec.structs.replace(told, era=int(era))
     others = [
         member
@@ -224,5 +224,5 @@
         if name != reader
     ]
     for member in others:
-        is_good = member.process._follower._is_good(told)
+        is_good = member.process._synchronizer._is_good(told)
         assert is_good == (judged == 'good'), told
--- a/features/steps/delegate.py
+++ b/features/steps/delegate.py
@@ -541,7 +541,7 @@
 @when(r'the ways to the other region seem to take ' + _SECONDS)
 def lengthen_ways(context, seconds):
     for member in list(context.fleet.members.values())[:3]:
-        for peer in member.gateway.delegation.list_callers():
+        for peer in member.gateway.delegation.list_clients():
             peer.round_trip_s = float(seconds)
 
 
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -410,7 +410,7 @@
         tuple(context.endpoints),
         context.accepted,
         hosts.count_by_zone(),
-        gateway.Place(zone, _REGIONS),
+        gateway.Topology(zone, _REGIONS),
     )
 
 
--- a/features/steps/gateway_checks.py
+++ b/features/steps/gateway_checks.py
@@ -22,7 +22,7 @@
 
 @then(r'its request is lost and may have run')
 def check_lost(context):
-    assert context.outcomes == [gateway.Lost(True, 'reset')]
+    assert context.outcomes == [gateway.ConnectionLost(True, 'reset')]
 
 
 @then(r'the reply is (\d+)')
--- a/features/steps/quarantine.py
+++ b/features/steps/quarantine.py
@@ -394,19 +394,24 @@
 
 @then(r'the request is in quarantine for (\d+) seconds')
 def check_left(context, seconds):
-    assert context.known.get_standing(DIGEST) is gateway.Standing.QUARANTINED
+    assert (
+        context.known.get_standing(DIGEST)
+        is gateway.QuarantineState.QUARANTINED
+    )
     left_s = context.known.get_left_s(DIGEST)
     assert round(left_s) == int(seconds), left_s
 
 
 @then(r'the request is suspected')
 def check_suspect(context):
-    assert context.known.get_standing(DIGEST) is gateway.Standing.SUSPECT
+    assert (
+        context.known.get_standing(DIGEST) is gateway.QuarantineState.SUSPECT
+    )
 
 
 @then(r'nothing is held against the request')
 def check_clear(context):
-    assert context.known.get_standing(DIGEST) is gateway.Standing.CLEAR
+    assert context.known.get_standing(DIGEST) is gateway.QuarantineState.CLEAR
 
 
 _STEPS = strategies.lists(
@@ -461,7 +466,7 @@
         host=state.HostId('h1'), zone=state.ZoneId('z'), address='10.0.1.1:1'
     )
     fleet = gateway.Fleet(entry, 2, clock)
-    hearer = gateway.Announcer(context.known, fleet, lambda: False)
+    hearer = gateway.QuarantineBroadcaster(context.known, fleet, lambda: False)
     context.teller = make_quarantine(context, 'h2')
     context.teller.note_trial(DIGEST, context.loop.time(), False)
     told = gateway.render_records(context.teller.list_since(0))
@@ -474,4 +479,4 @@
 @then(r'that one has the request in quarantine too')
 def check_teller(context):
     found = context.teller.get_standing(DIGEST)
-    assert found is gateway.Standing.QUARANTINED, found
+    assert found is gateway.QuarantineState.QUARANTINED, found
--- a/features/steps/wide_load.py
+++ b/features/steps/wide_load.py
@@ -16,7 +16,7 @@
 
 use_step_matcher('re')
 
-_KIND = gateway.WorkKind(gateway.RouteName('all'), is_part=False)
+_QUERY_CLASS = gateway.QueryClass(gateway.RouteName('all'), is_part=False)
 _RECORD_BYTES = 16
 
 
@@ -101,7 +101,7 @@
 @then(r'(\d+) connections to shards were opened')
 def check_opened(context, count):
     members = context.fleet.members.values()
-    opened = sum(member.gateway.book.dials for member in members)
+    opened = sum(member.gateway.selector.dials for member in members)
     assert opened == int(count), opened
 
 
@@ -116,29 +116,29 @@
 @given(r'a host of ([\d.]+) cores with a link of (\d+) bytes a second')
 def make_meter(context, cores, link):
     clock = state.Clock(context.loop)
-    context.meter = gateway.WorkMeter(clock, float(cores), float(link))
+    context.estimator = gateway.LoadEstimator(clock, float(cores), float(link))
 
 
 @given(r'its queries ask (\d+) shards and receive (\d+) bytes')
 def note_queries(context, shards, size):
-    context.meter.note_ended(_KIND, int(shards), int(size))
+    context.estimator.note_ended(_QUERY_CLASS, int(shards), int(size))
 
 
 @when(r'it begins (\d+) queries at once')
 def begin(context, count):
     for _ in range(int(count)):
-        context.meter.note_begun(_KIND, 1)
+        context.estimator.note_begun(_QUERY_CLASS, 1)
 
 
 @then(r'the next is delayed by ([\d.]+) ms')
 def check_delay(context, delay_ms):
-    found = round(1000 * context.meter.get_delay_s(), 1)
+    found = round(1000 * context.estimator.get_delay_s(), 1)
     assert found == float(delay_ms), found
 
 
 @then(r'a query with a goal of ([\d.]+) seconds has (room|none)')
 def check_room(context, goal_s, answer):
-    assert context.meter.has_room(float(goal_s)) is (answer == 'room')
+    assert context.estimator.has_room(float(goal_s)) is (answer == 'room')
 
 
 @when(r'one gateway with a wide link sends queries back with nonsense')
--- a/features/steps/zones.py
+++ b/features/steps/zones.py
@@ -314,16 +314,16 @@
 def merge_entries(chance, entries):
     """Return what a directory holds after entries came in any order."""
     clock = state.Clock(asyncio.new_event_loop())
-    listing = gateway.Directory(clock)
+    directory = gateway.Directory(clock)
     came = entries + chance.choices(entries, k=4)
     chance.shuffle(came)
     for number, entry in enumerate(came, 1):
         stamp = gateway.ReadingStamp('p1', number, float(number))
         read = gateway.Position(0, number)
-        listing.apply_reading([entry], read, stamp)
+        directory.apply_reading([entry], read, stamp)
         if chance.random() < 0.3:
-            listing.apply_changes([], [], read, stamp)
-    return listing.get_endpoint(core.UpstreamId('u1'))
+            directory.apply_changes([], [], read, stamp)
+    return directory.get_endpoint(core.UpstreamId('u1'))
 
 
 class NoLog:
--- a/rudderrock/gateway/__init__.py
+++ b/rudderrock/gateway/__init__.py
@@ -10,17 +10,20 @@
 from rudderrock.gateway._process import GatewayProcess
 from rudderrock.gateway._process import ProcessState
 from rudderrock.gateway._settings import GatewaySettings
-from rudderrock.gateway.decisions._budget import ExtraBudget
-from rudderrock.gateway.decisions._canary import Advice
+from rudderrock.gateway.decisions._budget import ExtraRequestBudget
 from rudderrock.gateway.decisions._canary import Canary
-from rudderrock.gateway.decisions._canary import Waiter
+from rudderrock.gateway.decisions._canary import SendDecision
+from rudderrock.gateway.decisions._canary import WaitingAttempt
 from rudderrock.gateway.decisions._cold import ColdLimits
-from rudderrock.gateway.decisions._connection_shares import LinkShare
+from rudderrock.gateway.decisions._connection_shares import ConnectionShare
 from rudderrock.gateway.decisions._connection_shares import share_links
-from rudderrock.gateway.decisions._host_load import Kind as WorkKind
-from rudderrock.gateway.decisions._host_load import WorkMeter
+from rudderrock.gateway.decisions._host_load import LoadEstimator
+from rudderrock.gateway.decisions._host_load import QueryClass
 from rudderrock.gateway.decisions._replicas import Replica
-from rudderrock.gateway.decisions._replicas import ReplicaBook
+from rudderrock.gateway.decisions._replicas import ReplicaSelector
+from rudderrock.gateway.discovery._broadcast import QuarantineBroadcaster
+from rudderrock.gateway.discovery._broadcast import read_records
+from rudderrock.gateway.discovery._broadcast import render_records
 from rudderrock.gateway.discovery._directory import Directory
 from rudderrock.gateway.discovery._directory import DirectoryChange
 from rudderrock.gateway.discovery._directory import Endpoint
@@ -31,8 +34,8 @@
 from rudderrock.gateway.discovery._evacuations import Evacuations
 from rudderrock.gateway.discovery._fleet import Fleet
 from rudderrock.gateway.discovery._fleet import HostEntry
-from rudderrock.gateway.discovery._initial_sync import FirstKnowledge
-from rudderrock.gateway.discovery._peers import ChangeBook
+from rudderrock.gateway.discovery._initial_sync import InitialSync
+from rudderrock.gateway.discovery._peers import ChangeFeed
 from rudderrock.gateway.discovery._peers import Changes
 from rudderrock.gateway.discovery._peers import InForce
 from rudderrock.gateway.discovery._peers import Known
@@ -42,11 +45,8 @@
 from rudderrock.gateway.discovery._position import NOWHERE
 from rudderrock.gateway.discovery._position import Position
 from rudderrock.gateway.discovery._quarantine import Quarantine
+from rudderrock.gateway.discovery._quarantine import QuarantineState
 from rudderrock.gateway.discovery._quarantine import Record as QuarantineRecord
-from rudderrock.gateway.discovery._quarantine import Standing
-from rudderrock.gateway.discovery._quarantine_broadcast import Announcer
-from rudderrock.gateway.discovery._quarantine_broadcast import read_records
-from rudderrock.gateway.discovery._quarantine_broadcast import render_records
 from rudderrock.gateway.discovery._registration import Registration
 from rudderrock.gateway.discovery._routing import IntakeLimits
 from rudderrock.gateway.discovery._routing import NO_VERSION
@@ -62,34 +62,34 @@
 from rudderrock.gateway.discovery._routing import Split
 from rudderrock.gateway.discovery._routing import TableVersion
 from rudderrock.gateway.discovery._routing import Target
-from rudderrock.gateway.discovery._sources import HistoryGone
+from rudderrock.gateway.discovery._sources import HistoryCompacted
 from rudderrock.gateway.discovery._sources import Lease
 from rudderrock.gateway.discovery._sources import LeaseEnded
 from rudderrock.gateway.discovery._sources import SourcePort
-from rudderrock.gateway.discovery._sources import SourceReturned
+from rudderrock.gateway.discovery._sources import SourceRestored
 from rudderrock.gateway.discovery._sources import TableHolder
 from rudderrock.gateway.discovery._sources import TableReading
 from rudderrock.gateway.discovery._sources import Unavailable
 from rudderrock.gateway.discovery._sources import UpstreamReading
-from rudderrock.gateway.discovery._synchronizer import Follower
+from rudderrock.gateway.discovery._synchronizer import Synchronizer
 from rudderrock.gateway.discovery._topology import Anywhere
-from rudderrock.gateway.discovery._topology import Place
 from rudderrock.gateway.discovery._topology import RegionId
 from rudderrock.gateway.discovery._topology import Residency
+from rudderrock.gateway.discovery._topology import Topology
 from rudderrock.gateway.discovery._topology import Within
 from rudderrock.gateway.forwarding._calls import Counters
 from rudderrock.gateway.forwarding._gateway import Gateway
-from rudderrock.gateway.forwarding._gateway import Parts
+from rudderrock.gateway.forwarding._gateway import GatewayDependencies
 from rudderrock.gateway.forwarding._records import merge_records
 from rudderrock.gateway.forwarding._results import Outcome
 from rudderrock.gateway.forwarding._results import Result
 from rudderrock.gateway.http._digest import digest_request
 from rudderrock.gateway.http._header_names import HeaderNames
-from rudderrock.gateway.http._http_client import HttpCaller
+from rudderrock.gateway.http._http_client import HttpClient
+from rudderrock.gateway.http._link import ConnectionLost
 from rudderrock.gateway.http._link import Exchange
 from rudderrock.gateway.http._link import Link
-from rudderrock.gateway.http._link import Lost
-from rudderrock.gateway.http._listener import Intake
+from rudderrock.gateway.http._listener import CallerListener
 from rudderrock.gateway.http._messages import drop_connection_headers
 from rudderrock.gateway.http._messages import Headers
 from rudderrock.gateway.http._messages import render_reply
@@ -101,13 +101,14 @@
 from rudderrock.gateway.http._verdicts import Verdict
 
 __all__ = [
-    'Advice',
-    'Announcer',
     'Anywhere',
+    'CallerListener',
     'Canary',
-    'ChangeBook',
+    'ChangeFeed',
     'Changes',
     'ColdLimits',
+    'ConnectionLost',
+    'ConnectionShare',
     'Counters',
     'Directory',
     'DirectoryChange',
@@ -116,49 +117,48 @@
     'Evacuations',
     'EventLog',
     'Exchange',
-    'ExtraBudget',
-    'FirstKnowledge',
+    'ExtraRequestBudget',
     'Fleet',
-    'Follower',
     'Gateway',
+    'GatewayDependencies',
     'GatewayMetrics',
     'GatewayProcess',
     'GatewaySettings',
     'HeaderNames',
     'Headers',
-    'HistoryGone',
+    'HistoryCompacted',
     'HostEntry',
-    'HttpCaller',
+    'HttpClient',
     'InForce',
-    'Intake',
+    'InitialSync',
     'IntakeLimits',
-    'Known',
     'KIND_INFO',
+    'Known',
     'Lease',
     'LeaseEnded',
     'Link',
-    'LinkShare',
+    'LoadEstimator',
     'LogKind',
-    'Lost',
     'NOWHERE',
     'NO_VERSION',
     'Outcome',
-    'Parts',
     'PeerClient',
     'Phase',
     'PipeHandler',
-    'Place',
     'Pool',
     'Position',
     'ProcessState',
-    'RegionId',
-    'Registration',
     'Quarantine',
+    'QuarantineBroadcaster',
     'QuarantineRecord',
+    'QuarantineState',
+    'QueryClass',
     'ReadingStamp',
+    'RegionId',
+    'Registration',
     'Repeat',
     'Replica',
-    'ReplicaBook',
+    'ReplicaSelector',
     'Reply',
     'Request',
     'Residency',
@@ -167,26 +167,26 @@
     'RouteName',
     'RoutingTable',
     'Scatter',
+    'SendDecision',
     'Service',
     'ServiceName',
     'Share',
     'Single',
     'SourceEra',
     'SourcePort',
-    'SourceReturned',
-    'Standing',
+    'SourceRestored',
     'Split',
+    'Synchronizer',
     'TableHolder',
     'TableReading',
     'TableVersion',
     'Target',
+    'Topology',
     'Unavailable',
     'UpstreamReading',
     'Verdict',
-    'Waiter',
+    'WaitingAttempt',
     'Within',
-    'WorkKind',
-    'WorkMeter',
     'digest_request',
     'drop_connection_headers',
     'format_event_page',
--- a/rudderrock/gateway/_process.py
+++ b/rudderrock/gateway/_process.py
@@ -11,13 +11,13 @@
 from rudderrock import core
 from rudderrock.gateway import _events as events
 from rudderrock.gateway import _settings as settings
+from rudderrock.gateway.discovery import _broadcast as broadcast
 from rudderrock.gateway.discovery import _fleet as fleet
 from rudderrock.gateway.discovery import _peers as peers
-from rudderrock.gateway.discovery import _quarantine_broadcast as broadcast
 from rudderrock.gateway.discovery import _registration as registration_module
 from rudderrock.gateway.discovery import _routing as routing
 from rudderrock.gateway.discovery import _sources as sources
-from rudderrock.gateway.discovery import _synchronizer as synchronizer
+from rudderrock.gateway.discovery import _synchronizer as synchronizer_module
 from rudderrock.gateway.forwarding import _delegate as delegate
 from rudderrock.gateway.forwarding import _gateway as gateway
 from rudderrock.gateway.http import _listener as listener
@@ -50,45 +50,45 @@
         self,
         config: settings.GatewaySettings,
         served: gateway.Gateway,
-        follower: synchronizer.Follower,
+        synchronizer: synchronizer_module.Synchronizer,
         registration: registration_module.Registration,
-        changes: peers.ChangeBook,
-        announcer: broadcast.Announcer,
-        parts: gateway.Parts,
+        changes: peers.ChangeFeed,
+        broadcaster: broadcast.QuarantineBroadcaster,
+        dependencies: gateway.GatewayDependencies,
     ):
         self.state = ProcessState.STARTING
         self._config = config
         self.gateway = served
-        self._follower = follower
+        self._synchronizer = synchronizer
         self._registration = registration
-        self._parts = parts
+        self._dependencies = dependencies
         self._stop = asyncio.Event()
-        self._caller_listener = listener.Intake(
+        self._caller_listener = listener.CallerListener(
             served.handle, self._record_unreadable
         )
-        self._readiness_listener = listener.Intake(self._answer_probe)
-        self._metrics_listener = listener.Intake(self._answer_scrape)
-        self.peers = listener.Intake(self._answer_peer)
+        self._readiness_listener = listener.CallerListener(self._answer_probe)
+        self._metrics_listener = listener.CallerListener(self._answer_scrape)
+        self.peers = listener.CallerListener(self._answer_peer)
         self.peers.limits = routing.IntakeLimits(
             max_header_bytes=delegate.PEER_HEADER_BYTES,
             max_body_bytes=delegate.PEER_BODY_BYTES,
             idle_timeout_s=delegate.PEER_IDLE_S,
         )
         self._changes = changes
-        self._announcer = announcer
+        self._broadcaster = broadcaster
         self._was_ready = False
         self._stop_started_at = 0.0
-        parts.tables.add_listener(self._apply_table)
+        dependencies.tables.add_listener(self._apply_table)
 
     @property
     def hosts(self) -> fleet.Fleet:
         """Return the hosts known to this one."""
-        return self._parts.hosts
+        return self._dependencies.hosts
 
     @property
     def tables(self) -> sources.TableHolder:
         """Return the holder of the current routing table."""
-        return self._parts.tables
+        return self._dependencies.tables
 
     def stop(self) -> None:
         """Start a graceful shutdown; a second call has no effect."""
@@ -97,10 +97,10 @@
 
     async def run(self) -> None:
         """Serve until `stop` is called; return after the shutdown."""
-        record = self._parts.events.record
+        record = self._dependencies.events.record
         config = self._config
         async with contextlib.AsyncExitStack() as stack:
-            stack.callback(self.gateway.book.close)
+            stack.callback(self.gateway.selector.close)
             stack.callback(self.gateway.delegation.close)
             stack.push_async_callback(self.gateway.checker.close)
             for served, address in (
@@ -111,9 +111,9 @@
             ):
                 await stack.enter_async_context(served.listen(*address))
             for background_task in (
-                self._follower.run,
-                self._announcer.run,
-                self._announcer.ask,
+                self._synchronizer.run,
+                self._broadcaster.run,
+                self._broadcaster.ask,
                 self.gateway.sweep,
                 self.gateway.warm_hedges,
             ):
@@ -128,11 +128,11 @@
         record(events.LogKind.STOPPED)
 
     def _start_shutdown(self) -> None:
-        self._stop_started_at = self._parts.clock.now()
+        self._stop_started_at = self._dependencies.clock.now()
         self.state = ProcessState.LEAVING
         self._caller_listener.is_stopping = True
         self.gateway.takes_delegated = False
-        self._parts.events.record(
+        self._dependencies.events.record(
             events.LogKind.STOPPING, busy=self._caller_listener.busy
         )
         self._stop.set()
@@ -161,14 +161,16 @@
         self._caller_listener.limits = table.limits
 
     def _record_unreadable(self, problem: str) -> None:
-        self._parts.figures.note_unreadable(problem)
-        self._parts.events.record(events.LogKind.UNREADABLE, problem=problem)
+        self._dependencies.metrics.note_unreadable(problem)
+        self._dependencies.events.record(
+            events.LogKind.UNREADABLE, problem=problem
+        )
 
     async def _answer_peer(self, request: messages.Request) -> messages.Reply:
         if request.get_header(delegate.VERSION) is not None:
             return await self.gateway.handle_delegated(request)
         if request.target == broadcast.PATH:
-            return self._announcer.take(request)
+            return self._broadcaster.take(request)
         return await self._changes.answer(request)
 
     async def _answer_probe(self, request: messages.Request) -> messages.Reply:
@@ -176,32 +178,32 @@
         if ready != self._was_ready:
             self._was_ready = ready
             kind = events.LogKind.READY if ready else events.LogKind.NOT_READY
-            self._parts.events.record(kind, state=self.state.value)
+            self._dependencies.events.record(kind, state=self.state.value)
         return messages.Reply(200 if ready else 503, [])
 
     async def _answer_scrape(
         self, request: messages.Request
     ) -> messages.Reply:
-        lines = self._parts.figures.list_lines(self._list_gauges())
+        lines = self._dependencies.metrics.list_lines(self._list_gauges())
         kind = (b'content-type', b'text/plain; version=0.0.4')
         return messages.Reply(200, [kind], '\n'.join(lines).encode() + b'\n')
 
     def _list_gauges(self) -> dict[str, float]:
-        tables = self._parts.tables
-        listing = self._parts.listing
+        tables = self._dependencies.tables
+        upstream_directory = self._dependencies.upstream_directory
         counters = self.gateway.counters
         return {
             'table_version': tables.version,
             'table_age_seconds': tables.age_s,
-            'upstreams': len(listing.list_all()),
-            'upstreams_age_seconds': listing.age_s,
-            'source_era': self._parts.source_era.current,
-            'source_returns_total': self._parts.source_era.returns,
-            'evacuated_zones': len(self._parts.evacuations.zones),
-            'cold_upstreams': listing.count_cold(),
+            'upstreams': len(upstream_directory.list_all()),
+            'upstreams_age_seconds': upstream_directory.age_s,
+            'source_era': self._dependencies.source_era.current,
+            'source_returns_total': self._dependencies.source_era.returns,
+            'evacuated_zones': len(self._dependencies.evacuations.zones),
+            'cold_upstreams': upstream_directory.count_cold(),
             'cold_requests_total': self.gateway.cold_limits.sent,
             'cold_held_back_total': self.gateway.cold_limits.held_back,
-            'hosts': self._parts.hosts.count(),
+            'hosts': self._dependencies.hosts.count(),
             'caller_connections': len(self._caller_listener.links),
             'requests_under_way': self._caller_listener.busy,
             'upstream_requests_total': counters.firsts,
@@ -210,11 +212,11 @@
             'extras_denied_total': counters.denied,
             'overloaded_total': self.gateway.admission.refused,
             'requests_in_quarantine': (
-                self._parts.quarantine.count_quarantined()
+                self._dependencies.quarantine.count_quarantined()
             ),
             'reach_checks_total': self.gateway.checker.checks,
-            'connections_opened_total': self.gateway.book.dials,
-            'log_lines_dropped_total': self._parts.events.dropped,
+            'connections_opened_total': self.gateway.selector.dials,
+            'log_lines_dropped_total': self._dependencies.events.dropped,
         }
 
 
--- a/rudderrock/gateway/_settings.py
+++ b/rudderrock/gateway/_settings.py
@@ -34,7 +34,7 @@
     """
 
     host: str
-    place: topology_module.Place
+    place: topology_module.Topology
     callers: Address
     readiness: Address
     metrics: Address
--- a/rudderrock/gateway/decisions/_admission.py
+++ b/rudderrock/gateway/decisions/_admission.py
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Gate:
+class ConcurrencyLimit:
     """State of the concurrency limit for one set of shards."""
 
     limit: float = INITIAL_LIMIT
@@ -65,68 +65,81 @@
     def __init__(self, clock: core.Clock):
         self.refused = 0
         self._clock = clock
-        self._gates: collections.defaultdict[tuple[str, ...], Gate] = (
-            collections.defaultdict(Gate)
-        )
+        self._limits: collections.defaultdict[
+            tuple[str, ...], ConcurrencyLimit
+        ] = collections.defaultdict(ConcurrencyLimit)
 
-    def get_gate(self, shards: tuple[str, ...]) -> Gate:
+    def get_gate(self, shards: tuple[str, ...]) -> ConcurrencyLimit:
         """Return the concurrency limit of a set of shards."""
-        return self._gates[shards]
+        return self._limits[shards]
 
-    def try_enter(self, gate: Gate, rank: int) -> bool:
+    def try_enter(self, concurrency: ConcurrencyLimit, rank: int) -> bool:
         """Admit a query if the limit allows; return whether it was admitted.
 
         Rank 0 has the highest priority.
         """
-        if gate.under_way >= max(MIN_LIMIT, gate.limit * RANK_FRACTION**rank):
+        if concurrency.under_way >= max(
+            MIN_LIMIT, concurrency.limit * RANK_FRACTION**rank
+        ):
             self.refused += 1
             return False
-        gate.under_way += 1
+        concurrency.under_way += 1
         return True
 
-    def leave(self, gate: Gate, congested: bool | None) -> None:
+    def leave(
+        self, concurrency: ConcurrencyLimit, congested: bool | None
+    ) -> None:
         """Release the slot of a query and adapt the limit.
 
         `congested` is None if the query was cancelled, which is no evidence
         for or against congestion.
         """
-        busy = gate.under_way
-        gate.under_way -= 1
+        busy = concurrency.under_way
+        concurrency.under_way -= 1
         if congested is None:
             return
-        gate.congested_fraction += _QUERY_WEIGHT * (
-            congested - gate.congested_fraction
+        concurrency.congested_fraction += _QUERY_WEIGHT * (
+            congested - concurrency.congested_fraction
         )
         now = self._clock.now()
-        if gate.congested_fraction > _DECREASE_ABOVE:
-            self._decrease(gate, busy, now)
-        elif gate.congested_fraction < _INCREASE_BELOW:
-            gate.at_min_since = None
-            self._increase(gate, busy, now)
-
-    def _decrease(self, gate: Gate, busy: int, now: float) -> None:
+        if concurrency.congested_fraction > _DECREASE_ABOVE:
+            self._decrease(concurrency, busy, now)
+        elif concurrency.congested_fraction < _INCREASE_BELOW:
+            concurrency.at_min_since = None
+            self._increase(concurrency, busy, now)
+
+    def _decrease(
+        self, concurrency: ConcurrencyLimit, busy: int, now: float
+    ) -> None:
         if (
-            now < gate.suspended_until
-            or now - gate.decreased_at < _DECREASE_INTERVAL_S
+            now < concurrency.suspended_until
+            or now - concurrency.decreased_at < _DECREASE_INTERVAL_S
         ):
             return
-        gate.decreased_at = now
-        decreased = min(gate.limit, busy) * _DECREASE_FACTOR
-        gate.limit = max(float(MIN_LIMIT), decreased)
-        if gate.limit > MIN_LIMIT:
-            gate.at_min_since = None
-        elif gate.at_min_since is None:
-            gate.at_min_since = now
-        elif now - gate.at_min_since >= _MAX_TIME_AT_MIN_S:
-            gate.at_min_since = None
-            gate.limit = float(INITIAL_LIMIT)
-            gate.suspended_until = now + _SUSPENSION_S
-
-    def _increase(self, gate: Gate, busy: int, now: float) -> None:
-        is_utilized = busy >= _MIN_UTILIZATION * gate.limit
-        if is_utilized and now - gate.increased_at >= _INCREASE_INTERVAL_S:
-            gate.increased_at = now
-            gate.limit = min(gate.limit + 1.0, float(INITIAL_LIMIT))
+        concurrency.decreased_at = now
+        decreased = min(concurrency.limit, busy) * _DECREASE_FACTOR
+        concurrency.limit = max(float(MIN_LIMIT), decreased)
+        if concurrency.limit > MIN_LIMIT:
+            concurrency.at_min_since = None
+        elif concurrency.at_min_since is None:
+            concurrency.at_min_since = now
+        elif now - concurrency.at_min_since >= _MAX_TIME_AT_MIN_S:
+            concurrency.at_min_since = None
+            concurrency.limit = float(INITIAL_LIMIT)
+            concurrency.suspended_until = now + _SUSPENSION_S
+
+    def _increase(
+        self, concurrency: ConcurrencyLimit, busy: int, now: float
+    ) -> None:
+        is_utilized = busy >= _MIN_UTILIZATION * concurrency.limit
+        if (
+            is_utilized
+            and now - concurrency.increased_at >= _INCREASE_INTERVAL_S
+        ):
+            concurrency.increased_at = now
+            concurrency.limit = min(
+                concurrency.limit + 1.0, float(INITIAL_LIMIT)
+            )
 
 
 def is_congested(
--- a/rudderrock/gateway/decisions/_budget.py
+++ b/rudderrock/gateway/decisions/_budget.py
@@ -17,7 +17,7 @@
 RATIO_MARGIN = 0.85
 
 
-class ExtraBudget:
+class ExtraRequestBudget:
     """Extra requests that this host may send to one service.
 
     Parameters: each request of the last `window_s` seconds earns `ratio`
--- a/rudderrock/gateway/decisions/_canary.py
+++ b/rudderrock/gateway/decisions/_canary.py
@@ -37,7 +37,7 @@
 CANARY_DELAY_S = 0.5
 
 
-class Advice(enum.Enum):
+class SendDecision(enum.Enum):
     """Whether an attempt is sent, held back or abandoned."""
 
     SEND = 'send'
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Waiter:
+class WaitingAttempt:
     """An attempt that is held back until the attempts in flight end.
 
     `resume` decides on the attempt again, `send` sends it as a canary, and
@@ -99,7 +99,7 @@
         self._is_canary_in_flight = False
         # No service had an upstream to which a canary could be sent.
         self._has_no_spare = False
-        self._waiting: list[Waiter] = []
+        self._waiting: list[WaitingAttempt] = []
 
     @property
     def digest(self) -> str:
@@ -109,18 +109,18 @@
         return self._digest
 
     @property
-    def standing(self) -> quarantine.Standing:
+    def state(self) -> quarantine.QuarantineState:
         """Return the quarantine state of the request."""
         if self._quarantine.is_empty:
-            return quarantine.Standing.CLEAR
+            return quarantine.QuarantineState.CLEAR
         return self._quarantine.get_standing(self.digest)
 
     @property
     def is_suspect(self) -> bool:
         """Return whether attempts are sent one at a time."""
-        standing = self.standing
-        return standing is quarantine.Standing.SUSPECT or (
-            standing is quarantine.Standing.CLEAR
+        state = self.state
+        return state is quarantine.QuarantineState.SUSPECT or (
+            state is quarantine.QuarantineState.CLEAR
             and self._is_suspect_elsewhere
         )
 
@@ -129,29 +129,29 @@
         """Return whether attempts are held back until one is answered."""
         return not self.is_answered and (
             self._is_suspect_elsewhere
-            or self.standing is not quarantine.Standing.CLEAR
+            or self.state is not quarantine.QuarantineState.CLEAR
         )
 
-    def judge(self) -> Advice:
+    def judge(self) -> SendDecision:
         """Return whether an attempt is sent, held back or abandoned now."""
         if self.is_answered:
-            return Advice.SEND
-        if self.standing is quarantine.Standing.QUARANTINED:
-            return Advice.STOP
+            return SendDecision.SEND
+        if self.state is quarantine.QuarantineState.QUARANTINED:
+            return SendDecision.STOP
         if not (self.is_suspect or self._has_crashes()):
-            return Advice.SEND
+            return SendDecision.SEND
         if self._is_round_open():
-            return Advice.WAIT
+            return SendDecision.WAIT
         if self._is_part or self._has_no_spare:
-            return Advice.STOP
-        return Advice.WAIT
+            return SendDecision.STOP
+        return SendDecision.WAIT
 
-    def wait(self, waiter: Waiter) -> None:
+    def wait(self, attempt: WaitingAttempt) -> None:
         """Hold an attempt back until it may be sent or is abandoned.
 
         If no attempt is in flight, this is decided at once.
         """
-        self._waiting.append(waiter)
+        self._waiting.append(attempt)
         self._advance()
 
     def list_ended(self) -> list[core.UpstreamLife]:
@@ -163,7 +163,7 @@
     @property
     def is_stopped(self) -> bool:
         """Return whether no attempt may be sent to any upstream."""
-        is_quarantined = self.standing is quarantine.Standing.QUARANTINED
+        is_quarantined = self.state is quarantine.QuarantineState.QUARANTINED
         return not self.is_answered and (self._has_no_spare or is_quarantined)
 
     def get_retry_after_s(self) -> float:
@@ -172,7 +172,7 @@
         This is when the quarantine ends or, without one, when crashed
         upstreams may have restarted.
         """
-        if self.standing is quarantine.Standing.QUARANTINED:
+        if self.state is quarantine.QuarantineState.QUARANTINED:
             return self._quarantine.get_left_s(self.digest)
         return self._quarantine.get_gone_s(self.digest) + TRIAL_SPREAD_S
 
@@ -244,7 +244,7 @@
         self._end_finished_canary()
         if not self._waiting:
             return
-        if self.judge() is Advice.WAIT:
+        if self.judge() is SendDecision.WAIT:
             self._send_canary()
         else:
             self._resume_all()
--- a/rudderrock/gateway/decisions/_cold.py
+++ b/rudderrock/gateway/decisions/_cold.py
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        listing: directory.Directory,
+        upstream_directory: directory.Directory,
         clock: core.Clock,
         own: core.HostId,
         overage: float,
@@ -50,7 +50,7 @@
     ):
         self.sent = 0
         self.held_back = 0
-        self._listing = listing
+        self._directory = upstream_directory
         self._clock = clock
         self._own = own
         self._overage = overage
@@ -61,7 +61,7 @@
 
     def admits(self, endpoint: directory.Endpoint) -> bool:
         """Return whether another request may be sent to an upstream now."""
-        if self._listing.get_cold_s(endpoint.upstream) <= 0.0:
+        if self._directory.get_cold_s(endpoint.upstream) <= 0.0:
             self._sent_at.pop(endpoint.upstream, None)
             return True
         max_rate = self._get_max_rate(endpoint)
@@ -76,7 +76,7 @@
 
     def note_sent(self, endpoint: directory.Endpoint) -> None:
         """Record that a request is sent."""
-        if self._listing.get_cold_s(endpoint.upstream) <= 0.0:
+        if self._directory.get_cold_s(endpoint.upstream) <= 0.0:
             return
         self.sent += 1
         sent_times = self._sent_at.setdefault(
--- a/rudderrock/gateway/decisions/_connection_shares.py
+++ b/rudderrock/gateway/decisions/_connection_shares.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LinkShare:
+class ConnectionShare:
     """Number of connections that one host may open to one upstream.
 
     `is_spare` is set if the host's share is less than one connection. One may
@@ -36,8 +36,8 @@
     siblings: tuple[directory.Endpoint, ...],
     accepted: int,
     counts: Mapping[core.ZoneId, int],
-    topology: topology_module.Place,
-) -> LinkShare:
+    topology: topology_module.Topology,
+) -> ConnectionShare:
     """Return this host's share of an upstream's connections.
 
     Parameters: `siblings` are the upstreams of the service, `accepted` is the
@@ -56,14 +56,14 @@
     else:
         connections = accepted * FAR_FRACTION / max(1, far)
     cap = min(max(1, int(connections)), MOST_CONNECTIONS)
-    return LinkShare(cap, connections < 1.0)
+    return ConnectionShare(cap, connections < 1.0)
 
 
 def _is_nearest(
     zone: core.ZoneId,
     endpoint: directory.Endpoint,
     siblings: tuple[directory.Endpoint, ...],
-    topology: topology_module.Place,
+    topology: topology_module.Topology,
 ) -> bool:
     own = topology.compare_zones(zone, endpoint.zone)
     return all(
--- a/rudderrock/gateway/decisions/_host_load.py
+++ b/rudderrock/gateway/decisions/_host_load.py
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Kind:
+class QueryClass:
     """Class of queries with about the same load."""
 
     route: routing.RouteName
@@ -60,7 +60,7 @@
         self.updated_at = now
 
 
-class WorkMeter:
+class LoadEstimator:
     """Estimate the load of the wide queries that this host runs.
 
     Parameters: `cores` is the speed of the processor in whole cores, and
@@ -73,7 +73,7 @@
         self._link_bytes_s = link_bytes_s
         self._processor = _LeakyBucket()
         self._link = _LeakyBucket()
-        self._averages: dict[Kind, tuple[float, float]] = {}
+        self._averages: dict[QueryClass, tuple[float, float]] = {}
 
     def get_delay_s(self) -> float:
         """Return the delay of a new query by work in progress, in seconds."""
@@ -84,28 +84,30 @@
         """Return whether to run a query with this latency goal here."""
         return self.get_delay_s() <= MAX_DELAY_FRACTION * goal_s
 
-    def note_begun(self, kind: Kind, shards: int) -> None:
+    def note_begun(self, query_class: QueryClass, shards: int) -> None:
         """Add the estimated load of a query that starts.
 
         The first query of its class counts as one request to each shard and
         answers without records.
         """
         requests, size = self._averages.get(
-            kind, (shards, shards * ANSWER_OVERHEAD_BYTES)
+            query_class, (shards, shards * ANSWER_OVERHEAD_BYTES)
         )
         now = self._clock.now()
         self._processor.add(now, requests * REQUEST_CPU_S / self._cores)
         if self._link_bytes_s > 0:
             self._link.add(now, size / self._link_bytes_s)
 
-    def note_ended(self, kind: Kind, requests: int, size: int) -> None:
+    def note_ended(
+        self, query_class: QueryClass, requests: int, size: int
+    ) -> None:
         """Update the averages of a class; `size` is in bytes of records."""
         found = (
             float(requests),
             float(size + requests * ANSWER_OVERHEAD_BYTES),
         )
-        before = self._averages.get(kind, found)
-        self._averages[kind] = (
+        before = self._averages.get(query_class, found)
+        self._averages[query_class] = (
             before[0] + _QUERY_WEIGHT * (found[0] - before[0]),
             before[1] + _QUERY_WEIGHT * (found[1] - before[1]),
         )
--- a/rudderrock/gateway/decisions/_replicas.py
+++ b/rudderrock/gateway/decisions/_replicas.py
@@ -92,20 +92,24 @@
 class ConnectionPolicy(Protocol):
     """Policy that decides which connections a host opens."""
 
-    def get_share(self, endpoint: directory.Endpoint) -> shares.LinkShare:
+    def get_share(
+        self, endpoint: directory.Endpoint
+    ) -> shares.ConnectionShare:
         """Return how many connections to an upstream this host may open."""
 
-    def list_wanted(self, book: 'ReplicaBook') -> set[routing.ServiceName]:
+    def list_wanted(
+        self, selector: 'ReplicaSelector'
+    ) -> set[routing.ServiceName]:
         """Return the services that this host sends requests to itself."""
 
 
-class ReplicaBook:
+class ReplicaSelector:
     """The replicas that this host uses, updated from the directory."""
 
     def __init__(
         self,
-        listing: directory.Directory,
-        topology: topology.Place,
+        upstream_directory: directory.Directory,
+        topology: topology.Topology,
         names: header_names.HeaderNames,
         clock: core.Clock,
         rng: random.Random,
@@ -118,7 +122,7 @@
         self._has_ended = has_ended
         self._cold = cold_limits
         self._own = own
-        self._listing = listing
+        self._directory = upstream_directory
         self._topology = topology
         self._names = names
         self._clock = clock
@@ -126,7 +130,7 @@
         self._policy = policy
         self._replicas: dict[core.UpstreamId, Replica] = {}
         self._retired: list[Replica] = []
-        listing.add_listener(self._on_change)
+        upstream_directory.add_listener(self._on_change)
 
     def list_ready(
         self, service: routing.ServiceName, residency: topology.Residency
@@ -137,7 +141,7 @@
         """
         return [
             self._get_replica(endpoint)
-            for endpoint in self._listing.list_ready(service)
+            for endpoint in self._directory.list_ready(service)
             if self._topology.allows(residency, endpoint.zone)
         ]
 
@@ -162,7 +166,7 @@
         """Return whether a service has an upstream in the allowed zones."""
         return any(
             self._topology.allows(residency, endpoint.zone)
-            for endpoint in self._listing.list_ready(service)
+            for endpoint in self._directory.list_ready(service)
         )
 
     def choose(
@@ -233,7 +237,7 @@
         """Return whether a replica of a service is in this host's zone."""
         return any(
             self._topology.get_distance(endpoint.zone) == 0
-            for endpoint in self._listing.list_ready(service)
+            for endpoint in self._directory.list_ready(service)
         )
 
     def warm(self, service: routing.ServiceName) -> None:
@@ -322,10 +326,10 @@
 
     def _apply_shares(self, upstream: core.UpstreamId) -> None:
         """Recompute the connection limits of all replicas of a service."""
-        endpoint = self._listing.get_endpoint(upstream)
+        endpoint = self._directory.get_endpoint(upstream)
         if endpoint is None:
             return
-        for each in self._listing.list_ready(endpoint.service):
+        for each in self._directory.list_ready(endpoint.service):
             replica = self._replicas.get(each.upstream)
             if replica is not None:
                 self._apply_share(replica)
@@ -348,6 +352,6 @@
         for upstream in change.added:
             self._apply_shares(upstream)
         for upstream in change.added:
-            endpoint = self._listing.get_endpoint(upstream)
+            endpoint = self._directory.get_endpoint(upstream)
             if endpoint is not None and endpoint.service in wanted:
                 self.warm(endpoint.service)
--- a/rudderrock/gateway/discovery/_quarantine_broadcast.py
+++ b/rudderrock/gateway/discovery/_broadcast.py
@@ -45,7 +45,7 @@
 _DECODER = msgspec.json.Decoder(quarantine.Record)
 
 
-class Announcer:
+class QuarantineBroadcaster:
     """Exchanges quarantine records with the other hosts.
 
     Parameters: `has_no_peer` returns whether this host polls no peer, so that
@@ -160,7 +160,7 @@
         self, address: str, method: bytes, body: bytes
     ) -> result.Result[messages.Reply, http_client.NoReply]:
         async with self._call_slots:
-            client = http_client.HttpCaller(core.split_address(address), 1)
+            client = http_client.HttpClient(core.split_address(address), 1)
             try:
                 return await client.call(method, PATH, body, CALL_TIMEOUT_S)
             finally:
--- a/rudderrock/gateway/discovery/_initial_sync.py
+++ b/rudderrock/gateway/discovery/_initial_sync.py
@@ -21,25 +21,25 @@
 STARTUP_WAIT_S = 0.5
 
 
-class FirstKnowledge:
+class InitialSync:
     """Signals when routes, upstreams and evacuations are all known."""
 
     def __init__(
         self,
         tables: sources.TableHolder,
-        listing: directory.Directory,
+        upstream_directory: directory.Directory,
         evacuated: evacuations.EvacuationHolder,
         clock: core.Clock,
     ):
         self._tables = tables
         self._evacuated = evacuated
-        self._listing = listing
+        self._directory = upstream_directory
         self._clock = clock
         self._started_at = clock.now()
         self._complete = asyncio.Event()
         self._has_waiter = asyncio.Event()
         tables.add_listener(lambda table: self._update())
-        listing.add_reader(self._update)
+        upstream_directory.add_reader(self._update)
         evacuated.add_listener(lambda found: self._update())
 
     @property
@@ -66,5 +66,5 @@
 
     def _update(self) -> None:
         known = self._tables.current is not None and self._evacuated.is_known
-        if known and self._listing.stamp is not None:
+        if known and self._directory.stamp is not None:
             self._complete.set()
--- a/rudderrock/gateway/discovery/_operators.py
+++ b/rudderrock/gateway/discovery/_operators.py
@@ -95,7 +95,7 @@
                 case result.Ok(reading):
                     self._apply(reading, 'watch')
                     read = reading.position
-                case result.Err(sources.HistoryGone()):
+                case result.Err(sources.HistoryCompacted()):
                     break
                 case result.Err(problem):
                     self._log_failure('watch', problem.detail)
--- a/rudderrock/gateway/discovery/_peers.py
+++ b/rudderrock/gateway/discovery/_peers.py
@@ -191,7 +191,7 @@
         return _are_recent(self.age_ms / 1000, self.table_age_ms / 1000)
 
 
-class ChangeBook:
+class ChangeFeed:
     """Keeps recent changes of this host's state and answers polls of peers.
 
     Parameters: `process` identifies this incarnation of the process, since
@@ -201,18 +201,18 @@
     def __init__(
         self,
         process: str,
-        listing: directory.Directory,
+        upstream_directory: directory.Directory,
         hosts: fleet.Fleet,
         tables: sources.TableHolder,
         evacuated: evacuations.EvacuationHolder,
-        initial_sync: initial_sync_module.FirstKnowledge,
+        initial_sync: initial_sync_module.InitialSync,
         known_quarantine: quarantine.Quarantine,
         clock: core.Clock,
     ):
         self.generation = 0
         self._evacuated = evacuated
         self.process = process
-        self._listing = listing
+        self._directory = upstream_directory
         self._hosts = hosts
         self._tables = tables
         self._initial_sync = initial_sync
@@ -230,10 +230,10 @@
         )
         self._hosts_by_id: dict[core.HostId, fleet.HostEntry] = {}
         self._changed = asyncio.Event()
-        listing.add_listener(self._on_upstreams)
+        upstream_directory.add_listener(self._on_upstreams)
         hosts.add_listener(self._on_hosts)
         tables.add_listener(lambda table: self.wake())
-        listing.add_reader(self.wake)
+        upstream_directory.add_reader(self.wake)
         evacuated.add_listener(lambda found: self.wake())
         known_quarantine.add_listener(self.wake)
 
@@ -282,9 +282,9 @@
         """Return the changes that a peer lacks."""
         has_baseline = known.process == self.process
         upstreams, left, whole = self._list_upstreams(known, has_baseline)
-        listing = self._listing
+        upstream_directory = self._directory
         tables = self._tables
-        stamp = listing.stamp
+        stamp = upstream_directory.stamp
         evacuated = self._evacuated.current
         hosts, hosts_left, hosts_whole = self._list_hosts(known, has_baseline)
         return Changes(
@@ -293,14 +293,14 @@
             whole=whole,
             upstreams=upstreams,
             left=left,
-            revision=listing.position.revision,
-            era=listing.position.era,
+            revision=upstream_directory.position.revision,
+            era=upstream_directory.position.era,
             origin=stamp.origin if stamp is not None else '',
             number=stamp.number if stamp is not None else 0,
             hops=stamp.hops if stamp is not None else 0,
-            age_ms=_to_ms(listing.age_s),
+            age_ms=_to_ms(upstream_directory.age_s),
             table_age_ms=_to_ms(tables.confirmed_s),
-            hold_ms=_to_ms(listing.hold_s),
+            hold_ms=_to_ms(upstream_directory.hold_s),
             hosts_generation=self._hosts.generation,
             hosts=hosts,
             hosts_left=hosts_left,
@@ -323,15 +323,15 @@
         self, known: Known, has_baseline: bool
     ) -> tuple[list[directory.Endpoint], list[str], bool]:
         oldest = self._changes[0][0] if self._changes else self.generation
-        is_same_era = known.era in (None, self._listing.position.era)
+        is_same_era = known.era in (None, self._directory.position.era)
         has_baseline = has_baseline and is_same_era
         if not has_baseline or known.upstreams < oldest - 1:
-            return list(self._listing.list_all()), [], True
+            return list(self._directory.list_all()), [], True
         touched: set[core.UpstreamId] = set()
         for generation, change in self._changes:
             if generation > known.upstreams:
                 touched.update(change.touched)
-        found = {each: self._listing.get_endpoint(each) for each in touched}
+        found = {each: self._directory.get_endpoint(each) for each in touched}
         upstreams = [each for each in found.values() if each is not None]
         left = [name for name, each in found.items() if each is None]
         return upstreams, left, False
@@ -393,9 +393,9 @@
         If it isn't, the poll is not held, so that the peer can switch to
         another host.
         """
-        if not _are_recent(self._listing.age_s, self._tables.confirmed_s):
+        if not _are_recent(self._directory.age_s, self._tables.confirmed_s):
             return False
-        return known.is_lost or self._listing.stamp.hops <= MAX_HOPS
+        return known.is_lost or self._directory.stamp.hops <= MAX_HOPS
 
     async def _wait_for_change(self) -> None:
         await core.wait_for_event(self._changed, POLL_HOLD_S)
@@ -444,7 +444,7 @@
         self._hosts: dict[core.HostId, fleet.HostEntry] = {}
         self._received_table_revision = position.NOWHERE.revision
         self._received_table_version = routing.NO_VERSION
-        self._caller = http_client.HttpCaller(
+        self._client = http_client.HttpClient(
             core.split_address(entry.address)
         )
 
@@ -473,7 +473,7 @@
         fields = msgspec.to_builtins(known)
         fields['is_lost'] = int(is_lost)
         query = urllib.parse.urlencode(fields)
-        answer = await self._caller.call(
+        answer = await self._client.call(
             b'GET', f'{PATH}?{query}'.encode(), b'', timeout_s
         )
         match answer:
@@ -520,7 +520,7 @@
 
     def close(self) -> None:
         """Close the connections to the peer."""
-        self._caller.close()
+        self._client.close()
 
 
 def render_changes(changes: Changes) -> messages.Reply:
--- a/rudderrock/gateway/discovery/_quarantine.py
+++ b/rudderrock/gateway/discovery/_quarantine.py
@@ -73,7 +73,7 @@
 _INITIAL_TRIAL = 'first'
 
 
-class Standing(enum.Enum):
+class QuarantineState(enum.Enum):
     """Whether a request is sent normally, as a canary first, or not at all."""
 
     CLEAR = 'clear'
@@ -112,14 +112,14 @@
         self.last_crash_at = -math.inf
         self.generation = 0
 
-    def get_standing(self, now: float) -> Standing:
+    def get_standing(self, now: float) -> QuarantineState:
         if self.answered:
-            return Standing.CLEAR
+            return QuarantineState.CLEAR
         if not self.has_reached_threshold():
-            return Standing.SUSPECT
+            return QuarantineState.SUSPECT
         if now - self.last_crash_at < self.get_quarantine_duration_s():
-            return Standing.QUARANTINED
-        return Standing.SUSPECT
+            return QuarantineState.QUARANTINED
+        return QuarantineState.SUSPECT
 
     def has_reached_threshold(self) -> bool:
         """Return whether it has the failed attempts for a quarantine."""
@@ -178,11 +178,11 @@
         """Return the number of requests in quarantine."""
         now = self._clock.now()
         return sum(
-            each.get_standing(now) is Standing.QUARANTINED
+            each.get_standing(now) is QuarantineState.QUARANTINED
             for each in self._histories.values()
         )
 
-    def get_standing(self, digest: str) -> Standing:
+    def get_standing(self, digest: str) -> QuarantineState:
         """Return the state of a request, `CLEAR` if there is no record."""
         history = self._histories.get(digest)
         now = self._clock.now()
@@ -190,7 +190,7 @@
             history is None
             or now - history.last_crash_at >= history.get_retention_s()
         ):
-            return Standing.CLEAR
+            return QuarantineState.CLEAR
         return history.get_standing(now)
 
     def get_left_s(self, digest: str) -> float:
@@ -364,7 +364,9 @@
             # Nothing new. Repeated reports of a crash differ in age only.
             return
         before = (
-            history.get_standing(now) if history.trials else Standing.CLEAR
+            history.get_standing(now)
+            if history.trials
+            else QuarantineState.CLEAR
         )
         history.trials = merged_trials
         history.ended = merged_ended
@@ -384,7 +386,7 @@
         self,
         digest: str,
         history: _RequestHistory,
-        before: Standing,
+        before: QuarantineState,
         now: float,
         origin: str,
     ) -> None:
--- a/rudderrock/gateway/discovery/_registration.py
+++ b/rudderrock/gateway/discovery/_registration.py
@@ -88,7 +88,7 @@
         match await self._source.renew(self._lease):
             case result.Err(sources.LeaseEnded()):
                 await self._register()
-            case result.Err(sources.SourceReturned()):
+            case result.Err(sources.SourceRestored()):
                 await self._renew_in_new_era()
             case result.Err(problem):
                 self._log_failure('renew', problem.detail)
--- a/rudderrock/gateway/discovery/_sources.py
+++ b/rudderrock/gateway/discovery/_sources.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HistoryGone:
+class HistoryCompacted:
     """The source no longer has the changes; a full read is needed."""
 
 
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SourceReturned:
+class SourceRestored:
     """The source was restored from a backup after it granted the lease."""
 
 
@@ -86,7 +86,7 @@
 
     async def watch_table(
         self, after: position.Position, wait_s: float
-    ) -> result.Result[TableReading | None, Unavailable | HistoryGone]:
+    ) -> result.Result[TableReading | None, Unavailable | HistoryCompacted]:
         """Wait for operators to write something after a position.
 
         Return None if nothing was written within `wait_s` seconds. The reading
@@ -120,7 +120,7 @@
 
     async def renew(
         self, lease: Lease
-    ) -> result.Result[None, Unavailable | LeaseEnded | SourceReturned]:
+    ) -> result.Result[None, Unavailable | LeaseEnded | SourceRestored]:
         """Extend a lease by its time to live."""
 
     async def withdraw(self, lease: Lease) -> result.Result[None, Unavailable]:
--- a/rudderrock/gateway/discovery/_synchronizer.py
+++ b/rudderrock/gateway/discovery/_synchronizer.py
@@ -76,7 +76,7 @@
 AFTER_ANSWER_PAUSE_S = 0.02
 
 
-class Follower:
+class Synchronizer:
     """Synchronizes with peers or the source, and logs which one is used."""
 
     def __init__(
@@ -84,10 +84,10 @@
         source: sources.SourcePort,
         tables: sources.TableHolder,
         evacuated: evacuations.EvacuationHolder,
-        listing: directory.Directory,
+        upstream_directory: directory.Directory,
         hosts: fleet.Fleet,
-        initial_sync: initial_sync_module.FirstKnowledge,
-        changes: peers.ChangeBook,
+        initial_sync: initial_sync_module.InitialSync,
+        changes: peers.ChangeFeed,
         known_quarantine: quarantine.Quarantine,
         source_era: era.SourceEra,
         clock: core.Clock,
@@ -100,7 +100,7 @@
         self._source = source
         self._tables = tables
         self._evacuated = evacuated
-        self._listing = listing
+        self._directory = upstream_directory
         self._hosts = hosts
         self._initial_sync = initial_sync
         self._changes = changes
@@ -238,7 +238,7 @@
             # incomplete, because others have started at the same time; their
             # order of hosts differs.
             candidates = [self._seed_peer, *candidates]
-        if not (candidates or self._listing.differs_from_reading):
+        if not (candidates or self._directory.differs_from_reading):
             # While upstreams are kept, only full listings show when to drop
             # them, and those are too large to send between zones.
             candidates = self._hosts.list_earlier_readers()
@@ -292,7 +292,7 @@
         return peers.InForce(
             table_version=self._tables.version,
             table=self._tables.position,
-            upstreams=self._listing.position,
+            upstreams=self._directory.position,
             evacuations=self._evacuated.current.position,
         )
 
@@ -305,7 +305,7 @@
         """
         if not changes.is_fresh:
             return False
-        if changes.era < self._listing.position.era:
+        if changes.era < self._directory.position.era:
             # Readings from an earlier era are ignored here, so the changes
             # would add nothing. A peer of the previous version sends no era.
             return False
@@ -382,7 +382,7 @@
         if changes.age_ms < 0:
             return
         self._era.note(
-            changes.upstreams_position, self._listing.position, origin
+            changes.upstreams_position, self._directory.position, origin
         )
         stamp = directory.ReadingStamp(
             changes.origin,
@@ -391,21 +391,21 @@
             changes.hops + 1,
         )
         if changes.hold_ms > 0:
-            self._listing.hold_for(changes.hold_ms / 1000)
-        is_older = changes.upstreams_position < self._listing.position
+            self._directory.hold_for(changes.hold_ms / 1000)
+        is_older = changes.upstreams_position < self._directory.position
         if changes.whole:
-            change = self._listing.apply_reading(
+            change = self._directory.apply_reading(
                 changes.upstreams, changes.upstreams_position, stamp
             )
         else:
-            change = self._listing.apply_changes(
+            change = self._directory.apply_changes(
                 changes.upstreams,
                 changes.left,
                 changes.upstreams_position,
                 stamp,
             )
         self._log_change(change, origin)
-        if self._listing.differs_from_reading or is_older:
+        if self._directory.differs_from_reading or is_older:
             # Request a full listing next time. Only a full listing shows when
             # to drop these upstreams, and what the peer knew when its data was
             # ignored: it may have a newer entry for an upstream than the
@@ -458,7 +458,9 @@
 
     def _apply_upstreams(self, reading: sources.UpstreamReading) -> None:
         self._log_new_problems(reading.problems)
-        if self._era.note(reading.position, self._listing.position, 'source'):
+        if self._era.note(
+            reading.position, self._directory.position, 'source'
+        ):
             # The watch may continue from a revision that was assigned again.
             self._operators.stop()
             self._hosts_read_at = -HOSTS_INTERVAL_S
@@ -466,7 +468,7 @@
         stamp = directory.ReadingStamp(
             self._changes.process, self._reading_count, self._clock.now()
         )
-        change = self._listing.apply_reading(
+        change = self._directory.apply_reading(
             reading.endpoints, reading.position, stamp
         )
         self._log_change(change, 'source')
@@ -485,8 +487,8 @@
             return
         self._events.record(
             events.LogKind.UPSTREAMS_CHANGED,
-            era=self._listing.position.era,
-            revision=self._listing.position.revision,
+            era=self._directory.position.era,
+            revision=self._directory.position.revision,
             added=change.added,
             left=change.left,
             held=change.held,
@@ -510,8 +512,8 @@
             return
         away_s = self._clock.now() - self.lost_at
         self.lost_at = None
-        if self._listing.age_s > directory.MAX_HARMLESS_OUTAGE_S:
-            self._listing.hold_for(directory.REREGISTRATION_GRACE_S)
+        if self._directory.age_s > directory.MAX_HARMLESS_OUTAGE_S:
+            self._directory.hold_for(directory.REREGISTRATION_GRACE_S)
         # The watch may have been disconnected without an error.
         self._operators.stop()
         self._events.record(
--- a/rudderrock/gateway/discovery/_topology.py
+++ b/rudderrock/gateway/discovery/_topology.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class Topology:
     """Availability zone of this host, and the region of each zone."""
 
     zone: core.ZoneId
--- a/rudderrock/gateway/forwarding/_calls.py
+++ b/rudderrock/gateway/forwarding/_calls.py
@@ -33,8 +33,8 @@
 
     loop: asyncio.AbstractEventLoop
     names: header_names.HeaderNames
-    book: replicas.ReplicaBook
-    get_budget: Callable[[routing.ServiceName], budget.ExtraBudget]
+    selector: replicas.ReplicaSelector
+    get_budget: Callable[[routing.ServiceName], budget.ExtraRequestBudget]
     counters: Counters
     checker: reach.ReachChecker
 
--- a/rudderrock/gateway/forwarding/_connections.py
+++ b/rudderrock/gateway/forwarding/_connections.py
@@ -26,13 +26,13 @@
     def __init__(
         self,
         tables: sources.TableHolder,
-        listing: directory.Directory,
+        upstream_directory: directory.Directory,
         hosts: fleet.Fleet,
-        topology: topology.Place,
+        topology: topology.Topology,
         delegation: delegate.Delegation,
     ):
         self._tables = tables
-        self._listing = listing
+        self._directory = upstream_directory
         self._hosts = hosts
         self._topology = topology
         self._delegation = delegation
@@ -43,14 +43,14 @@
         """Update the services that only wide queries use."""
         self._wide_services = table.list_wide_only(delegate.WIDE_SHARDS)
 
-    def warm(self, book: replicas.ReplicaBook) -> None:
+    def warm(self, selector: replicas.ReplicaSelector) -> None:
         """Open the connections that this host will need.
 
         Connections to hosts that are no longer registered are closed.
         """
         self._delegation.close_unlisted()
-        for service in self.list_wanted(book):
-            book.warm(service)
+        for service in self.list_wanted(selector):
+            selector.warm(service)
         table = self._tables.current
         if table is None or not self._hosts.is_listed:
             return
@@ -89,7 +89,7 @@
         return OTHER_HOST_SLACK_FRACTION * slack / others
 
     def list_wanted(
-        self, book: replicas.ReplicaBook
+        self, selector: replicas.ReplicaSelector
     ) -> set[routing.ServiceName]:
         """Return the services to which this host itself sends requests."""
         table = self._tables.current
@@ -101,7 +101,7 @@
             if len(services) < delegate.WIDE_SHARDS:
                 required.update(services)
             elif self.runs_locally(services):
-                required.update(filter(book.has_nearest, services))
+                required.update(filter(selector.has_nearest, services))
         return required
 
     def find_service(
@@ -125,7 +125,9 @@
             senders = self._hosts.rank_zone(zone)
         return [each.host for each in senders or self._hosts.list_hosts()]
 
-    def get_share(self, endpoint: directory.Endpoint) -> shares.LinkShare:
+    def get_share(
+        self, endpoint: directory.Endpoint
+    ) -> shares.ConnectionShare:
         """Return how many connections this host may open to an upstream."""
         service = endpoint.service
         entry = self.find_service(service)
@@ -136,7 +138,7 @@
             counts = coordinators.count_by_zone()
         share = shares.share_links(
             endpoint,
-            self._listing.list_ready(service),
+            self._directory.list_ready(service),
             entry.max_connections if entry is not None else 1,
             counts,
             self._topology,
@@ -144,5 +146,5 @@
         if is_wide and not coordinators.has_own():
             # This host sends to the upstream only while the coordinators are
             # full or gone, so its connections are closed soon after use.
-            return shares.LinkShare(1, True)
+            return shares.ConnectionShare(1, True)
         return share
--- a/rudderrock/gateway/forwarding/_delegate.py
+++ b/rudderrock/gateway/forwarding/_delegate.py
@@ -165,7 +165,7 @@
         self._names = names
         self._clock = clock
         self._get_version = get_version
-        self._callers: dict[str, http_client.HttpCaller] = {}
+        self._clients: dict[str, http_client.HttpClient] = {}
 
     def choose(
         self,
@@ -223,7 +223,7 @@
             if zone == own:
                 continue
             for entry in self.coordinators.list_regular(zone):
-                self._get_caller(entry).warm(_WARM_CONNECTIONS)
+                self._get_client(entry).warm(_WARM_CONNECTIONS)
 
     def has_time_to_hedge(self, zone: core.ZoneId, call: calls.Call) -> bool:
         """Return whether every host of a zone can hedge and meet the goal.
@@ -240,7 +240,7 @@
         ) / 2
         has_time = True
         for entry in available:
-            peer = self._get_caller(entry)
+            peer = self._get_client(entry)
             if (
                 peer.round_trip_s or DEFAULT_ROUND_TRIP_S
             ) > time_per_attempt_s:
@@ -248,17 +248,17 @@
                 peer.measure()
         return has_time
 
-    def list_callers(self) -> list[http_client.HttpCaller]:
+    def list_clients(self) -> list[http_client.HttpClient]:
         """Return the HTTP clients of the hosts contacted so far."""
-        return list(self._callers.values())
+        return list(self._clients.values())
 
     def close_unlisted(self) -> None:
         """Close idle clients of hosts that are no longer registered."""
         known = {each.address for each in self._hosts.list_hosts()}
-        for address, peer in list(self._callers.items()):
+        for address, peer in list(self._clients.items()):
             if address not in known and not peer.is_busy:
                 peer.close()
-                del self._callers[address]
+                del self._clients[address]
 
     async def ask_part(
         self,
@@ -341,7 +341,7 @@
         entry = candidate.entry
         if candidate.is_last:
             extra_headers = [*extra_headers, (MUST_RUN, b'1')]
-        peer = self._get_caller(entry)
+        peer = self._get_client(entry)
         round_trip_s = peer.round_trip_s or DEFAULT_ROUND_TRIP_S
         version = self._get_version()
 
@@ -407,7 +407,7 @@
 
     def close(self) -> None:
         """Close all connections to other hosts."""
-        for each in self._callers.values():
+        for each in self._clients.values():
             each.close()
 
     def _parse_result(
@@ -434,17 +434,17 @@
             answered=answered,
         )
 
-    def _get_caller(self, entry: fleet.HostEntry) -> http_client.HttpCaller:
-        http_caller = self._callers.get(entry.address)
-        if http_caller is None:
-            http_caller = http_client.HttpCaller(
+    def _get_client(self, entry: fleet.HostEntry) -> http_client.HttpClient:
+        client = self._clients.get(entry.address)
+        if client is None:
+            client = http_client.HttpClient(
                 core.split_address(entry.address),
                 _MAX_CONNECTIONS,
                 self._names,
                 PEER_IDLE_S,
             )
-            self._callers[entry.address] = http_caller
-        return http_caller
+            self._clients[entry.address] = client
+        return client
 
 
 def make_missing_header(
--- a/rudderrock/gateway/forwarding/_forward.py
+++ b/rudderrock/gateway/forwarding/_forward.py
@@ -164,7 +164,7 @@
         # would send it to another one.
         if self._delegation is not None and not self._call.canary.is_suspect:
             self.parts = parts.plan_parts(
-                self._context.book,
+                self._context.selector,
                 self._call,
                 self.service_calls,
                 self._delegation,
@@ -195,11 +195,11 @@
         Shortly after an outage of the registry, upstreams may still be
         missing. Sending requests that must be cancelled would waste work.
         """
-        book = self._context.book
+        selector = self._context.selector
         without_upstream = [
             each
             for each in self.service_calls
-            if not book.has_ready(each.service, self._call.route.residency)
+            if not selector.has_ready(each.service, self._call.route.residency)
         ]
         if self._can_still_succeed(len(without_upstream)):
             return False
--- a/rudderrock/gateway/forwarding/_gateway.py
+++ b/rudderrock/gateway/forwarding/_gateway.py
@@ -8,7 +8,7 @@
 
 from rudderrock import core
 from rudderrock.gateway import _log as log
-from rudderrock.gateway import _metrics as metrics
+from rudderrock.gateway import _metrics as metrics_module
 from rudderrock.gateway import _settings as settings
 from rudderrock.gateway.decisions import _admission as admission
 from rudderrock.gateway.decisions import _budget as budget
@@ -47,18 +47,18 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Parts:
+class GatewayDependencies:
     """Dependencies of a gateway, created by the composition root."""
 
     tables: sources.TableHolder
     evacuations: evacuations.EvacuationHolder
-    listing: directory.Directory
+    upstream_directory: directory.Directory
     hosts: fleet.Fleet
-    initial_sync: initial_sync.FirstKnowledge
+    initial_sync: initial_sync.InitialSync
     source_era: era.SourceEra
     quarantine: quarantine.Quarantine
     events: log.EventLog
-    figures: metrics.GatewayMetrics
+    metrics: metrics_module.GatewayMetrics
     clock: core.Clock
     chance: random.Random
 
@@ -66,56 +66,62 @@
 class Gateway:
     """Routes, forwards and answers the requests of callers."""
 
-    def __init__(self, config: settings.GatewaySettings, parts: Parts):
+    def __init__(
+        self,
+        config: settings.GatewaySettings,
+        dependencies: GatewayDependencies,
+    ):
         self.delegation = delegate.Delegation(
-            parts.hosts,
+            dependencies.hosts,
             config.names,
-            parts.clock,
-            parts.events,
-            lambda: parts.tables.version,
+            dependencies.clock,
+            dependencies.events,
+            lambda: dependencies.tables.version,
         )
         self._connections = connections.Connections(
-            parts.tables,
-            parts.listing,
-            parts.hosts,
+            dependencies.tables,
+            dependencies.upstream_directory,
+            dependencies.hosts,
             config.place,
             self.delegation,
         )
         self.cold_limits = cold.ColdLimits(
-            parts.listing,
-            parts.clock,
-            parts.hosts.own.host,
+            dependencies.upstream_directory,
+            dependencies.clock,
+            dependencies.hosts.own.host,
             config.warmup_overage,
             config.warmup_slack,
             self._connections.list_senders,
             self._connections.find_service,
         )
-        self.book = replicas.ReplicaBook(
-            parts.listing,
+        self.selector = replicas.ReplicaSelector(
+            dependencies.upstream_directory,
             config.place,
             config.names,
-            parts.clock,
-            parts.chance,
+            dependencies.clock,
+            dependencies.chance,
             self._connections,
             self.cold_limits,
-            parts.hosts.own.host,
+            dependencies.hosts.own.host,
             # A random delay keeps hosts from sending canaries at once.
             functools.partial(
-                parts.quarantine.has_ended,
-                lag_s=parts.chance.uniform(0.0, canary.TRIAL_SPREAD_S),
+                dependencies.quarantine.has_ended,
+                lag_s=dependencies.chance.uniform(0.0, canary.TRIAL_SPREAD_S),
             ),
         )
         self.counters = calls.Counters()
-        self.admission = admission.Admission(parts.clock)
-        self.work = host_load.WorkMeter(
-            parts.clock, config.cores, config.link_bytes_s
+        self.admission = admission.Admission(dependencies.clock)
+        self.load_estimator = host_load.LoadEstimator(
+            dependencies.clock, config.cores, config.link_bytes_s
         )
         self.delegated = 0
         self.takes_delegated = True
         self._config = config
-        self._parts = parts
+        self._dependencies = dependencies
         self._thresholds = forward.HedgeThresholds()
-        self._budgets: dict[routing.ServiceName, budget.ExtraBudget] = {}
+        self._budgets: dict[
+            routing.ServiceName, budget.ExtraRequestBudget
+        ] = {}
         self._split_counts: dict[
             routing.RouteName, collections.Counter[routing.ServiceName]
         ] = {}
@@ -123,32 +129,32 @@
         self._context = calls.ForwardingContext(
             asyncio.get_running_loop(),
             config.names,
-            self.book,
+            self.selector,
             self._get_budget,
             self.counters,
             self.checker,
         )
-        parts.tables.add_listener(self._on_table_change)
-        parts.hosts.add_listener(self._on_hosts_change)
+        dependencies.tables.add_listener(self._on_table_change)
+        dependencies.hosts.add_listener(self._on_hosts_change)
         zone_policy = zones.ZonePolicy(
-            parts.listing,
+            dependencies.upstream_directory,
             config.place,
             self._connections.find_service,
-            parts.events,
+            dependencies.events,
         )
-        parts.tables.add_listener(zone_policy.check_table)
-        parts.evacuations.add_listener(zone_policy.apply_evacuations)
+        dependencies.tables.add_listener(zone_policy.check_table)
+        dependencies.evacuations.add_listener(zone_policy.apply_evacuations)
 
     @property
     def is_ready(self) -> bool:
         """Return whether routes, upstreams and evacuations are known."""
-        return self._parts.initial_sync.is_complete
+        return self._dependencies.initial_sync.is_complete
 
     def _on_hosts_change(self) -> None:
         """Redistribute budgets and connections among the hosts."""
         self._share_slack()
-        self.book.set_caps()
-        self._connections.warm(self.book)
+        self.selector.set_caps()
+        self._connections.warm(self.selector)
 
     def _share_slack(self) -> None:
         for service, each in self._budgets.items():
@@ -158,14 +164,14 @@
         """Close connections that are no longer needed, until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
-            self.book.sweep()
+            self.selector.sweep()
 
     async def warm_hedges(self) -> None:
         """Keep connections open for hedges, until cancelled."""
         while True:
             await asyncio.sleep(WARM_INTERVAL_S)
-            for service in self._connections.list_wanted(self.book):
-                self.book.warm_hedge(service)
+            for service in self._connections.list_wanted(self.selector):
+                self.selector.warm_hedge(service)
 
     async def handle_delegated(
         self, request: messages.Request
@@ -179,7 +185,7 @@
         """
         version = request.get_header(delegate.VERSION) or b''
         names = self._config.names
-        table = self._parts.tables.current
+        table = self._dependencies.tables.current
         if not self.takes_delegated:
             return delegate.make_refusal(
                 names, delegate.RefusalReason.STOPPING
@@ -198,7 +204,7 @@
             return delegate.make_refusal(
                 names,
                 delegate.RefusalReason.FULL,
-                f'{1000 * self.work.get_delay_s():.0f} ms',
+                f'{1000 * self.load_estimator.get_delay_s():.0f} ms',
             )
         elapsed = request.get_header(delegate.ELAPSED) or b''
         if elapsed.isdigit():
@@ -241,7 +247,7 @@
         if request.get_header(delegate.MUST_RUN) is not None:
             return True
         route = self._find_route(table, request)
-        return route is None or self.work.has_room(route.goal_s)
+        return route is None or self.load_estimator.has_room(route.goal_s)
 
     async def handle(
         self,
@@ -254,8 +260,8 @@
         If `shards` is not empty, only these shards are queried.
         """
         if not self.is_ready:
-            await self._parts.initial_sync.wait()
-        table = self._parts.tables.current
+            await self._dependencies.initial_sync.wait()
+        table = self._dependencies.tables.current
         route = self._find_route(table, request)
         result = results.Result(
             messages.Reply(503, []),
@@ -295,7 +301,7 @@
         if deadline_s is None:
             deadline_s = route.timeout_s
         probe = self._make_canary(request, is_part=bool(shards))
-        if probe.standing is quarantine.Standing.QUARANTINED:
+        if probe.state is quarantine.QuarantineState.QUARANTINED:
             return self._refuse_quarantined(request_id, probe, shards)
         call = self._make_call(request, request_id, route, deadline_s, probe)
         threshold = self._thresholds.get(route)
@@ -310,8 +316,8 @@
                     self._context, call, service, threshold
                 )
             case routing.Scatter() if shards:
-                kind = host_load.Kind(route.name, is_part=True)
-                self.work.note_begun(kind, len(shards))
+                query_class = host_load.QueryClass(route.name, is_part=True)
+                self.load_estimator.note_begun(query_class, len(shards))
                 min_answers = request.get_header(delegate.MIN_ANSWERS) or b'1'
                 result = await gather.answer_part(
                     self._context,
@@ -321,8 +327,8 @@
                     shards,
                     int(min_answers),
                 )
-                self.work.note_ended(
-                    kind, result.requests_sent, result.bytes_received
+                self.load_estimator.note_ended(
+                    query_class, result.requests_sent, result.bytes_received
                 )
                 return result
             case routing.Scatter():
@@ -357,7 +363,7 @@
         is_last = False
         tried: tuple[core.HostId, ...] = ()
         while not is_last:
-            has_room = self.work.has_room(call.route.goal_s)
+            has_room = self.load_estimator.has_room(call.route.goal_s)
             candidate = self.delegation.choose(
                 call.request_id, has_room, tried
             )
@@ -384,33 +390,33 @@
         rank: int,
     ) -> results.Result:
         """Run a query over shards if admission control allows it."""
-        gate = self.admission.get_gate(scatter.shards)
-        if not self.admission.try_enter(gate, rank):
+        concurrency = self.admission.get_gate(scatter.shards)
+        if not self.admission.try_enter(concurrency, rank):
             return results.refuse(
                 self._config.names,
                 call.request_id,
                 admission.RETRY_AFTER_S,
                 results.Outcome.OVERLOADED,
-                f'{gate.under_way} in flight, limit {gate.limit:.1f}, '
-                f'rank {rank}',
+                f'{concurrency.under_way} in flight, limit '
+                f'{concurrency.limit:.1f}, rank {rank}',
             )
         congested = None
-        kind = host_load.Kind(call.route.name, is_part=False)
-        self.work.note_begun(kind, len(scatter.shards))
+        query_class = host_load.QueryClass(call.route.name, is_part=False)
+        self.load_estimator.note_begun(query_class, len(scatter.shards))
         try:
             result = await gather.forward_to_all(
                 self._context, call, scatter, threshold, self.delegation
             )
-            self.work.note_ended(
-                kind, result.requests_sent, result.bytes_received
+            self.load_estimator.note_ended(
+                query_class, result.requests_sent, result.bytes_received
             )
-            elapsed_s = self._parts.clock.now() - call.request.arrived
+            elapsed_s = self._dependencies.clock.now() - call.request.arrived
             congested = admission.is_congested(
                 result.late, result.shards, elapsed_s, call.route.goal_s
             )
             return result
         finally:
-            self.admission.leave(gate, congested)
+            self.admission.leave(concurrency, congested)
 
     def _make_call(
         self,
@@ -445,8 +451,8 @@
         self, request: messages.Request, is_part: bool
     ) -> canary.Canary:
         return canary.Canary(
-            self._parts.quarantine,
-            self._parts.clock,
+            self._dependencies.quarantine,
+            self._dependencies.clock,
             lambda: digest.digest_request(request, self._config.names),
             is_part,
         )
@@ -511,18 +517,20 @@
         self._split_counts.clear()
         self._connections.update_table(table)
         self._share_slack()
-        self.book.set_caps()
-        self._connections.warm(self.book)
+        self.selector.set_caps()
+        self._connections.warm(self.selector)
 
     def get_extra_slack(self, service: routing.ServiceName) -> float:
         """Return how many extra requests a window always allows."""
         return self._connections.share_slack(service, self._config.extra_slack)
 
-    def _get_budget(self, service: routing.ServiceName) -> budget.ExtraBudget:
+    def _get_budget(
+        self, service: routing.ServiceName
+    ) -> budget.ExtraRequestBudget:
         extra_budget = self._budgets.get(service)
         if extra_budget is None:
-            extra_budget = budget.ExtraBudget(
-                self._parts.clock,
+            extra_budget = budget.ExtraRequestBudget(
+                self._dependencies.clock,
                 self._config.extra_ratio,
                 self._config.extra_window_s,
                 self.get_extra_slack(service),
@@ -537,17 +545,17 @@
         request: messages.Request,
         result: results.Result,
     ) -> None:
-        elapsed_s = self._parts.clock.now() - request.arrived
+        elapsed_s = self._dependencies.clock.now() - request.arrived
         name = route.name if route is not None else None
-        self._parts.figures.note(name, result, elapsed_s)
+        self._dependencies.metrics.note(name, result, elapsed_s)
         request_id = request.get_header(self._config.names.request_id) or b''
-        listing = self._parts.listing
-        self._parts.events.record_request(
+        upstream_directory = self._dependencies.upstream_directory
+        self._dependencies.events.record_request(
             result.outcome is results.Outcome.ANSWERED,
             request_id=request_id.decode('latin-1'),
             route=name,
             table_version=table.version if table is not None else None,
-            upstreams_revision=listing.position.revision,
+            upstreams_revision=upstream_directory.position.revision,
             outcome=result.outcome.value,
             status=result.reply.status,
             detail=result.detail,
@@ -560,7 +568,7 @@
             lost=result.lost,
             digest=self._digest_if_suspect(request, result),
             waited_for=result.waited_for,
-            upstreams_age_ms=round(listing.age_s * 1000),
+            upstreams_age_ms=round(upstream_directory.age_s * 1000),
             elapsed_ms=round(elapsed_s * 1000, 1),
         )
 
--- a/rudderrock/gateway/forwarding/_parts.py
+++ b/rudderrock/gateway/forwarding/_parts.py
@@ -132,7 +132,7 @@
 
 
 def plan_parts(
-    book: replicas.ReplicaBook,
+    selector: replicas.ReplicaSelector,
     call: calls.Call,
     service_calls: list[service_call.ServiceCall],
     delegation: delegate.Delegation,
@@ -142,7 +142,7 @@
     Zones are taken in descending order of the number of shards whose nearest
     upstreams they have. A hash of the request id breaks ties.
     """
-    nearest = _find_nearest(book, call, service_calls, delegation)
+    nearest = _find_nearest(selector, call, service_calls, delegation)
     parts = []
     while nearest:
         counts = collections.Counter(
@@ -151,7 +151,7 @@
         zones = [
             zone
             for zone, count in counts.items()
-            if count >= _get_min_shards(book.get_distance(zone))
+            if count >= _get_min_shards(selector.get_distance(zone))
         ]
         if not zones:
             break
@@ -174,7 +174,7 @@
 
 
 def _find_nearest(
-    book: replicas.ReplicaBook,
+    selector: replicas.ReplicaSelector,
     call: calls.Call,
     service_calls: list[service_call.ServiceCall],
     delegation: delegate.Delegation,
@@ -186,7 +186,7 @@
     nearest = {}
     has_time_by_zone: dict[core.ZoneId, bool] = {}
     for each in service_calls:
-        nearest_replicas = book.list_nearest(
+        nearest_replicas = selector.list_nearest(
             each.service, call.route.residency, call.late_after_s
         )
         if not nearest_replicas or nearest_replicas[0].distance == 0:
--- a/rudderrock/gateway/forwarding/_service_call.py
+++ b/rudderrock/gateway/forwarding/_service_call.py
@@ -147,11 +147,11 @@
         if self.settled:
             return
         match self._call.canary.judge():
-            case canary.Advice.SEND:
+            case canary.SendDecision.SEND:
                 send_attempt()
-            case canary.Advice.WAIT:
+            case canary.SendDecision.WAIT:
                 self._call.canary.wait(
-                    canary.Waiter(
+                    canary.WaitingAttempt(
                         resume=functools.partial(
                             self._run_when_allowed, send_attempt
                         ),
@@ -161,7 +161,7 @@
                         count_live=self.count_live,
                     )
                 )
-            case canary.Advice.STOP:
+            case canary.SendDecision.STOP:
                 self._fail(QUARANTINED)
 
     def _send_canary(self, send_attempt: Callable[[], None]) -> None:
@@ -170,7 +170,7 @@
 
     def count_live(self) -> int:
         """Return the number of upstreams of the service known to be alive."""
-        return self._context.book.count_live(
+        return self._context.selector.count_live(
             self.service, self._call.route.residency
         )
 
@@ -242,7 +242,7 @@
 
     def _has_attempts_for_all(self) -> bool:
         """Return whether the route allows an attempt at each ready replica."""
-        ready = self._context.book.list_ready(
+        ready = self._context.selector.list_ready(
             self.service, self._call.route.residency
         )
         return len(ready) <= self._call.route.max_attempts
@@ -256,7 +256,7 @@
         """Send the call to a second replica because the first one is late."""
         if self.settled or not self._attempts or not self._is_idempotent:
             return
-        if self._call.canary.judge() is not canary.Advice.SEND:
+        if self._call.canary.judge() is not canary.SendDecision.SEND:
             return
         now = self._context.loop.time()
         slow = self._attempts[0]
@@ -288,7 +288,7 @@
         self._attempts.clear()
 
     def _choose(self) -> replicas.Replica | None:
-        return self._context.book.choose(
+        return self._context.selector.choose(
             self.service,
             self._call.route.residency,
             self._call.late_after_s,
@@ -322,7 +322,7 @@
         self._attempts.append(attempt)
         self.sent += 1
         call.canary.note_sent()
-        context.book.note_sent(replica.endpoint)
+        context.selector.note_sent(replica.endpoint)
         replica.links.submit(exchange)
 
     def _on_outcome(self, attempt: Attempt, outcome: link.Outcome) -> None:
--- a/rudderrock/gateway/forwarding/_zones.py
+++ b/rudderrock/gateway/forwarding/_zones.py
@@ -19,12 +19,12 @@
 
     def __init__(
         self,
-        listing: directory.Directory,
-        topology: topology_module.Place,
+        upstream_directory: directory.Directory,
+        topology: topology_module.Topology,
         find_service: Callable[[routing.ServiceName], routing.Service | None],
         events: log.EventLog,
     ):
-        self._listing = listing
+        self._directory = upstream_directory
         self._topology = topology
         self._find_service = find_service
         self._events = events
@@ -35,14 +35,14 @@
         Upstreams of a restored zone are treated as cold: they may have become
         cold recently, and their directory entries may not show it yet.
         """
-        change = self._listing.set_evacuated(current.zones)
+        change = self._directory.set_evacuated(current.zones)
         if change is None:
             return
         for upstream in change.added:
-            entry = self._listing.get_endpoint(upstream)
+            entry = self._directory.get_endpoint(upstream)
             service = self._find_service(entry.service)
             if service is not None and service.warmup_per_s > 0.0:
-                self._listing.note_cold(upstream, service.warmup_s)
+                self._directory.note_cold(upstream, service.warmup_s)
 
     def check_table(self, table: routing.RoutingTable) -> None:
         """Log each region that routes use but the settings don't define."""
--- a/rudderrock/gateway/http/_http_client.py
+++ b/rudderrock/gateway/http/_http_client.py
@@ -41,7 +41,7 @@
     timed_out: bool = False
 
 
-class HttpCaller:
+class HttpClient:
     """HTTP client for one address with a small pool of connections.
 
     A call that times out closes its connection, so that a late reply can't
@@ -151,7 +151,7 @@
                 self._pool.drop(exchange)
             self._pool.sweep()
         match outcome:
-            case link.Lost(sent=sent, detail=detail):
+            case link.ConnectionLost(sent=sent, detail=detail):
                 return result.Err(
                     NoReply(sent, detail, pending.has_interim_reply)
                 )
--- a/rudderrock/gateway/http/_link.py
+++ b/rudderrock/gateway/http/_link.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Lost:
+class ConnectionLost:
     """The outcome of an exchange without a complete reply.
 
     `sent` is whether the upstream may have received the request.
@@ -30,7 +30,7 @@
     detail: str
 
 
-Outcome = messages.Reply | Lost
+Outcome = messages.Reply | ConnectionLost
 
 
 class Exchange:
@@ -271,4 +271,4 @@
     def _fail(self, detail: str) -> None:
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
-            exchange.finish(Lost(True, detail))
+            exchange.finish(ConnectionLost(True, detail))
--- a/rudderrock/gateway/http/_listener.py
+++ b/rudderrock/gateway/http/_listener.py
@@ -27,8 +27,8 @@
 class CallerConnection(asyncio.Protocol):
     """A connection of a caller, served by its own task."""
 
-    def __init__(self, intake: 'Intake'):
-        self._intake = intake
+    def __init__(self, listener: 'CallerListener'):
+        self._listener = listener
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
@@ -51,9 +51,9 @@
     def connection_made(self, transport) -> None:
         """Register the connection and start its task."""
         self._transport = transport
-        self._intake.links.add(self)
+        self._listener.links.add(self)
         self._task = self._loop.create_task(self._serve())
-        self._set_timer(self._intake.limits.idle_timeout_s, self.close)
+        self._set_timer(self._listener.limits.idle_timeout_s, self.close)
 
     def data_received(self, data: bytes) -> None:
         """Feed the parser; answer invalid HTTP with an error and close."""
@@ -68,7 +68,7 @@
             self._reject('syntax')
         except httptools.HttpParserError:
             self._reject(self._problem or 'syntax')
-        limit = self._intake.limits.max_header_bytes
+        limit = self._listener.limits.max_header_bytes
         if not self._head_done and self._head_bytes > limit + len(data):
             self._reject('head')
         if self._pending.qsize() > MAX_PIPELINED_REQUESTS:
@@ -81,7 +81,7 @@
     def pause_writing(self) -> None:
         """Stop replying until the caller reads; abort if it does not."""
         self._writable.clear()
-        idle_s = self._intake.limits.idle_timeout_s
+        idle_s = self._listener.limits.idle_timeout_s
         self._stall_timer = self._loop.call_later(
             idle_s, self._transport.abort
         )
@@ -96,7 +96,7 @@
         self._closing = True
         self._cancel_timer()
         self._cancel_stall_timer()
-        self._intake.links.discard(self)
+        self._listener.links.discard(self)
         if self._task is not None:
             self._task.cancel()
 
@@ -120,7 +120,7 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         """Store one header; raise ValueError if the head is too large."""
         self._header_size += len(name) + len(value) + 4
-        if self._header_size > self._intake.limits.max_header_bytes:
+        if self._header_size > self._listener.limits.max_header_bytes:
             self._problem = 'head'
             raise ValueError('head too large')
         self._headers.append((name.lower(), value))
@@ -128,14 +128,14 @@
     def on_headers_complete(self) -> None:
         """Restart the timer and send an interim reply if one is expected."""
         self._head_done = True
-        self._set_timer(self._intake.limits.idle_timeout_s, self._time_out)
+        self._set_timer(self._listener.limits.idle_timeout_s, self._time_out)
         if messages.find_header(self._headers, b'expect') is not None:
             self._transport.write(b'HTTP/1.1 100 Continue\r\n\r\n')
 
     def on_body(self, data: bytes) -> None:
         """Store a chunk of the body; raise ValueError if it is too large."""
         self._body_size += len(data)
-        if self._body_size > self._intake.limits.max_body_bytes:
+        if self._body_size > self._listener.limits.max_body_bytes:
             self._problem = 'body'
             raise ValueError('body too large')
         self._body.append(data)
@@ -169,7 +169,7 @@
     def _start_message(self) -> None:
         self._in_message = True
         self._started_at = self._loop.time()
-        limits = self._intake.limits
+        limits = self._listener.limits
         self._set_timer(limits.header_timeout_s, self._time_out)
 
     def _reject(self, problem: str) -> None:
@@ -188,23 +188,23 @@
             item = await self._pending.get()
             if isinstance(item, str):
                 reply = messages.Reply(_STATUS_BY_PROBLEM[item], [])
-                self._intake.note_unreadable(item)
+                self._listener.note_unreadable(item)
                 self._write(reply, close=True, headless=False)
                 return
             self._answering = True
             reply = await self._answer(item)
-            close = not item.keep_alive or self._intake.is_stopping
+            close = not item.keep_alive or self._listener.is_stopping
             self._write(reply, close, item.method == b'HEAD')
             self._answering = False
             if close:
                 return
             if self._pending.empty() and not self._in_message:
-                idle_s = self._intake.limits.idle_timeout_s
+                idle_s = self._listener.limits.idle_timeout_s
                 self._set_timer(idle_s, self.close)
 
     async def _answer(self, request: messages.Request) -> messages.Reply:
         try:
-            return await self._intake.handle(request)
+            return await self._listener.handle(request)
         except Exception:
             # A defect in the gateway fails this request only and leaves the
             # caller's connection open. The traceback is logged.
@@ -235,7 +235,7 @@
             self._timer = None
 
 
-class Intake:
+class CallerListener:
     """A listening address and its accepted connections.
 
     `handle` returns the reply to a request. `note_unreadable` is called with
--- a/rudderrock/gateway/http/_pool.py
+++ b/rudderrock/gateway/http/_pool.py
@@ -191,7 +191,9 @@
         self._retired = True
         while self._waiting:
             exchange = self._waiting.popleft()
-            exchange.finish(link_module.Lost(False, 'upstream was removed'))
+            exchange.finish(
+                link_module.ConnectionLost(False, 'upstream was removed')
+            )
         self.drop_idle()
 
     def drop_idle(self) -> None:
@@ -261,7 +263,7 @@
         while self._waiting:
             exchange = self._waiting.popleft()
             exchange.finish(
-                link_module.Lost(False, f'no connection: {detail}')
+                link_module.ConnectionLost(False, f'no connection: {detail}')
             )
 
     def _on_free(self, link: link_module.Link) -> None:
--- a/rudderrock/gateway/http/_verdicts.py
+++ b/rudderrock/gateway/http/_verdicts.py
@@ -38,9 +38,9 @@
     they have a content encoding, or a status below 300 and no signature.
     """
     match outcome:
-        case link.Lost(sent=False):
+        case link.ConnectionLost(sent=False):
             return Verdict.UNSENT
-        case link.Lost():
+        case link.ConnectionLost():
             return Verdict.LOST
     if outcome.status == 421:
         return Verdict.MISDIRECTED
@@ -58,6 +58,6 @@
 def describe_outcome(verdict: Verdict, outcome: link.Outcome) -> str:
     """Return a short description of an outcome for logs."""
     match outcome:
-        case link.Lost(detail=detail):
+        case link.ConnectionLost(detail=detail):
             return f'{verdict.value}: {detail}'
     return f'{verdict.value}: status {outcome.status}'
--- a/rudderrock/gateway_root.py
+++ b/rudderrock/gateway_root.py
@@ -21,7 +21,7 @@
         return core.make_random(seed, f'{settings.host}/{name}')
 
     tables = gateway.TableHolder(clock, events)
-    listing = gateway.Directory(clock)
+    upstream_directory = gateway.Directory(clock)
     own_entry = gateway.HostEntry(
         host=core.HostId(settings.host),
         zone=settings.place.zone,
@@ -31,25 +31,27 @@
     evacuated = gateway.EvacuationHolder(settings.place.regions, clock, events)
     hosts = gateway.Fleet(own_entry, settings.assumed_hosts, clock)
     source_era = gateway.SourceEra(events)
-    initial_sync = gateway.FirstKnowledge(tables, listing, evacuated, clock)
+    initial_sync = gateway.InitialSync(
+        tables, upstream_directory, evacuated, clock
+    )
     process_id = f'{settings.host}/{make_rng("process").getrandbits(64):x}'
     quarantine = gateway.Quarantine(process_id, clock, events)
-    parts = gateway.Parts(
+    dependencies = gateway.GatewayDependencies(
         tables=tables,
         evacuations=evacuated,
-        listing=listing,
+        upstream_directory=upstream_directory,
         hosts=hosts,
         initial_sync=initial_sync,
         source_era=source_era,
         quarantine=quarantine,
         events=events,
-        figures=gateway.GatewayMetrics(),
+        metrics=gateway.GatewayMetrics(),
         clock=clock,
         chance=make_rng('replicas'),
     )
-    changes = gateway.ChangeBook(
+    changes = gateway.ChangeFeed(
         process_id,
-        listing,
+        upstream_directory,
         hosts,
         tables,
         evacuated,
@@ -57,11 +59,11 @@
         quarantine,
         clock,
     )
-    follower = gateway.Follower(
+    synchronizer = gateway.Synchronizer(
         source,
         tables,
         evacuated,
-        listing,
+        upstream_directory,
         hosts,
         initial_sync,
         changes,
@@ -75,13 +77,15 @@
     registration = gateway.Registration(
         source, hosts, source_era, clock, events
     )
-    served = gateway.Gateway(settings, parts)
+    served = gateway.Gateway(settings, dependencies)
     return gateway.GatewayProcess(
         settings,
         served,
-        follower,
+        synchronizer,
         registration,
         changes,
-        gateway.Announcer(quarantine, hosts, lambda: follower.peer is None),
-        parts,
+        gateway.QuarantineBroadcaster(
+            quarantine, hosts, lambda: synchronizer.peer is None
+        ),
+        dependencies,
     )
--- a/rudderrock/platform/__init__.py
+++ b/rudderrock/platform/__init__.py
@@ -8,15 +8,15 @@
 from rudderrock.platform._decode import decode_table
 from rudderrock.platform._decode import decode_upstream
 from rudderrock.platform._headers import NAMES
-from rudderrock.platform._settings_file import Boot
 from rudderrock.platform._settings_file import METRICS_PORT
 from rudderrock.platform._settings_file import read_boot
+from rudderrock.platform._settings_file import SettingsFile
 from rudderrock.platform._store import StoreSource
 
 __all__ = [
-    'Boot',
     'METRICS_PORT',
     'NAMES',
+    'SettingsFile',
     'StoreSource',
     'decode_table',
     'decode_upstream',
--- a/rudderrock/platform/_settings_file.py
+++ b/rudderrock/platform/_settings_file.py
@@ -20,14 +20,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Boot:
+class SettingsFile:
     """The content of the file: the store address and gateway settings."""
 
     store: tuple[str, int]
     settings: gateway.GatewaySettings
 
 
-def read_boot(path: pathlib.Path) -> result.Result[Boot, str]:
+def read_boot(path: pathlib.Path) -> result.Result[SettingsFile, str]:
     """Return the content of the file; unknown fields are ignored."""
     try:
         text = path.read_text(encoding='utf-8')
@@ -40,7 +40,7 @@
             fields[key.strip()] = value.strip()
     try:
         store = core.split_address(fields['platform.address'])
-        return result.Ok(Boot(store, _make_settings(fields)))
+        return result.Ok(SettingsFile(store, _make_settings(fields)))
     except KeyError as error:
         return result.Err(f'{path}: {error.args[0]} is required')
     except ValueError as error:
@@ -55,7 +55,7 @@
     return gateway.GatewaySettings(
         host=fields['node_name'],
         # The platform's zone is an availability zone.
-        place=gateway.Place(
+        place=gateway.Topology(
             core.ZoneId(fields['zone']),
             {
                 core.ZoneId(key.removeprefix(prefix)): region
--- a/rudderrock/platform/_store.py
+++ b/rudderrock/platform/_store.py
@@ -60,7 +60,7 @@
     """Source of routes, upstreams and hosts in the platform's store."""
 
     def __init__(self, address: tuple[str, int]):
-        self.caller = gateway.HttpCaller(address)
+        self.client = gateway.HttpClient(address)
 
     async def read_table(
         self,
@@ -87,7 +87,7 @@
         self, after: gateway.Position, wait_s: float
     ) -> result.Result[
         gateway.TableReading | None,
-        gateway.Unavailable | gateway.HistoryGone,
+        gateway.Unavailable | gateway.HistoryCompacted,
     ]:
         """Return what operators have written after a position, or None.
 
@@ -108,7 +108,7 @@
             case result.Err():
                 return answer
             case result.Ok(reply) if reply.status == 410:
-                return result.Err(gateway.HistoryGone())
+                return result.Err(gateway.HistoryCompacted())
         match _decode_era(answer.ok_value):
             case result.Err() as failed:
                 return failed
@@ -116,7 +116,7 @@
                 # After a restore the store assigns the same revisions again,
                 # so it can't detect that the position belongs to another
                 # history.
-                return result.Err(gateway.HistoryGone())
+                return result.Err(gateway.HistoryCompacted())
         match _decode_body(answer.ok_value, _Events):
             case result.Err() as failed:
                 return failed
@@ -153,7 +153,7 @@
 
     def close(self) -> None:
         """Close the connections to the store."""
-        self.caller.close()
+        self.client.close()
 
     def decode_table(
         self, raw: bytes, read: gateway.Position
@@ -236,7 +236,7 @@
         self, lease: gateway.Lease
     ) -> result.Result[
         None,
-        gateway.Unavailable | gateway.LeaseEnded | gateway.SourceReturned,
+        gateway.Unavailable | gateway.LeaseEnded | gateway.SourceRestored,
     ]:
         """Renew a lease for its time to live."""
         target = b'/kv-keep/%d' % lease.number
@@ -250,7 +250,7 @@
             case result.Err() as failed:
                 return failed
             case result.Ok(era) if era != lease.era:
-                return result.Err(gateway.SourceReturned())
+                return result.Err(gateway.SourceRestored())
         return result.Ok(None)
 
     async def withdraw(
@@ -342,7 +342,7 @@
         timeout_s: float = CALL_TIMEOUT_S,
         allowed: tuple[int, ...] = (200,),
     ) -> result.Result[gateway.Reply, gateway.Unavailable]:
-        answer = await self.caller.call(method, target, body, timeout_s)
+        answer = await self.client.call(method, target, body, timeout_s)
         match answer:
             case result.Err(problem):
                 return result.Err(gateway.Unavailable(problem.detail))
--- a/rudderrock/programs/gateway.py
+++ b/rudderrock/programs/gateway.py
@@ -42,7 +42,7 @@
             core.run_loop(_serve(boot, path))
 
 
-async def _serve(boot: platform.Boot, path: pathlib.Path) -> None:
+async def _serve(boot: platform.SettingsFile, path: pathlib.Path) -> None:
     loop = asyncio.get_running_loop()
     clock = runtime.make_system_clock()
     source = platform.StoreSource(boot.store)
--- a/rudderrock/standins/_memory_source.py
+++ b/rudderrock/standins/_memory_source.py
@@ -135,7 +135,7 @@
         self, after: gateway.Position, wait_s: float
     ) -> result.Result[
         gateway.TableReading | None,
-        gateway.Unavailable | gateway.HistoryGone,
+        gateway.Unavailable | gateway.HistoryCompacted,
     ]:
         """Wait for a table."""
         self.reads += 1
@@ -143,7 +143,7 @@
             return result.Err(gateway.Unavailable('down'))
         if self.history_gone or after.revision > self.revision:
             self.history_gone = False
-            return result.Err(gateway.HistoryGone())
+            return result.Err(gateway.HistoryCompacted())
         cuts = self._cuts
         try:
             async with asyncio.timeout(wait_s):
@@ -158,11 +158,11 @@
                         return result.Err(gateway.Unavailable('reset'))
         except TimeoutError:
             if after.era != self.era:
-                return result.Err(gateway.HistoryGone())
+                return result.Err(gateway.HistoryCompacted())
             return result.Ok(None)
         if self.history_gone:
             self.history_gone = False
-            return result.Err(gateway.HistoryGone())
+            return result.Err(gateway.HistoryCompacted())
         return result.Ok(self._read())
 
     async def list_upstreams(
@@ -224,7 +224,7 @@
         self, lease: gateway.Lease
     ) -> result.Result[
         None,
-        gateway.Unavailable | gateway.LeaseEnded | gateway.SourceReturned,
+        gateway.Unavailable | gateway.LeaseEnded | gateway.SourceRestored,
     ]:
         """Renew a registration."""
         if self.is_down:
@@ -232,7 +232,7 @@
         if lease.number not in self.hosts:
             return result.Err(gateway.LeaseEnded())
         if lease.era != self.era:
-            return result.Err(gateway.SourceReturned())
+            return result.Err(gateway.SourceRestored())
         return result.Ok(None)
 
     async def withdraw(
