--- a/features/steps/adapter.py
+++ b/features/steps/adapter.py
@@ -102,12 +102,12 @@
 
 @when(r'it is read')
 def read_file(context):
-    context.settings_file = platform.read_boot(context.file)
+    context.settings_file = platform.read_settings_file(context.file)
 
 
 @when(r'a settings file that is not there is read')
 def read_no_file(context):
-    context.settings_file = platform.read_boot(
+    context.settings_file = platform.read_settings_file(
         pathlib.Path('no/such/boot.conf')
     )
 
@@ -440,7 +440,7 @@
 def start_over_store(context):
     text = platform_standins.make_boot('10.0.0.1', 8104, '%s:%d' % _STORE)
     write_file(context, text)
-    settings_file = platform.read_boot(context.file).ok_value
+    settings_file = platform.read_settings_file(context.file).ok_value
 
     async def start():
         clock = state.Clock(context.loop)
--- a/features/steps/canaries.py
+++ b/features/steps/canaries.py
@@ -35,7 +35,7 @@
 
     def wait(self):
         """Wait, unless it is judged otherwise."""
-        self.decision = self._probe.judge()
+        self.decision = self._probe.decide()
         if self.decision is gateway.SendDecision.WAIT:
             self._probe.wait(
                 gateway.WaitingAttempt(
@@ -45,7 +45,7 @@
 
     def _send(self):
         self.is_sent = True
-        self._probe.note_sent()
+        self._probe.record_sent()
 
 
 def make_probe(context):
@@ -57,9 +57,11 @@
 @given(r'a request that was lost with (\d+) upstreams?')
 def lose_with(context, count):
     context.known = quarantine.make_quarantine(context, 'h1')
-    lives = [core.UpstreamLife(f'u{number}/0') for number in range(int(count))]
+    incarnations = [
+        core.UpstreamLife(f'u{number}/0') for number in range(int(count))
+    ]
     began = context.loop.time()
-    context.known.note_trial(quarantine.DIGEST, began, False, lives)
+    context.known.record_crash(quarantine.DIGEST, began, False, incarnations)
     context.probe = make_probe(context)
 
 
@@ -70,13 +72,13 @@
 
 def start_waiting(probe, counts):
     """Have attempts wait while another is under way, then end that one."""
-    probe.note_sent()
+    probe.record_sent()
     waiting = [
         _Waiting(probe, int(each)) for each in re.findall(r'\d+', counts)
     ]
     for each in waiting:
         each.wait()
-    probe.note_over()
+    probe.record_inconclusive()
     return waiting
 
 
@@ -88,8 +90,8 @@
 
 @when(r'its upstream ends too and a copy waits at services with ([\d and]+)')
 def end_canary(context, counts):
-    context.probe.note_lost()
-    context.probe.note_checked(core.UpstreamLife('u9/0'), True)
+    context.probe.record_lost()
+    context.probe.record_checked(core.UpstreamLife('u9/0'), True)
     context.copies = start_waiting(make_probe(context), counts)
 
 
--- a/features/steps/copies.py
+++ b/features/steps/copies.py
@@ -224,5 +224,5 @@
         if name != reader
     ]
     for member in others:
-        is_good = member.process._synchronizer._is_good(told)
-        assert is_good == (judged == 'good'), told
+        is_sufficient = member.process._synchronizer._is_sufficient(told)
+        assert is_sufficient == (judged == 'good'), told
--- a/features/steps/delegate.py
+++ b/features/steps/delegate.py
@@ -191,7 +191,7 @@
 
 @then(r'that gateway sent nothing to the shards')
 def check_old_idle(context):
-    sent = context.fleet.members[context.old].gateway.counters.firsts
+    sent = context.fleet.members[context.old].gateway.counters.first_attempts
     assert sent == 0, sent
 
 
@@ -276,7 +276,7 @@
     return {
         name
         for name, member in context.fleet.members.items()
-        if member.gateway.counters.firsts
+        if member.gateway.counters.first_attempts
     }
 
 
@@ -374,8 +374,8 @@
 @then(r'shards of each zone were asked (\d+) times, from their own zone')
 def check_own_zone_times(context, times):
     members = list(context.fleet.members.values())
-    first = sum(each.gateway.counters.firsts for each in members[:3])
-    other = sum(each.gateway.counters.firsts for each in members[3:])
+    first = sum(each.gateway.counters.first_attempts for each in members[:3])
+    other = sum(each.gateway.counters.first_attempts for each in members[3:])
     assert first == other == int(times), (first, other)
     check_no_repeat(context)
 
@@ -392,7 +392,7 @@
 @then(r'no gateway of the other zone was asked')
 def check_unasked(context):
     for member in list(context.fleet.members.values())[3:]:
-        assert not member.gateway.counters.firsts
+        assert not member.gateway.counters.first_attempts
 
 
 @given(
@@ -485,8 +485,8 @@
 @then(r'the shards of the other region were asked by its gateways only')
 def check_asked_there(context):
     members = list(context.fleet.members.values())
-    first = sum(each.gateway.counters.firsts for each in members[:3])
-    other = sum(each.gateway.counters.firsts for each in members[3:])
+    first = sum(each.gateway.counters.first_attempts for each in members[:3])
+    other = sum(each.gateway.counters.first_attempts for each in members[3:])
     assert (first, other) == (3 * 13, 3 * 7), (first, other)
     check_no_repeat(context)
 
@@ -547,7 +547,9 @@
 
 @then(r'the gateways of the other region were asked')
 def check_other_asked(context):
-    assert any(each.gateway.counters.firsts for each in list_other(context))
+    assert any(
+        each.gateway.counters.first_attempts for each in list_other(context)
+    )
 
 
 def ask_raw(context, **shape):
--- a/features/steps/entries.py
+++ b/features/steps/entries.py
@@ -70,7 +70,7 @@
 )
 def check_entry(context, born, sequence, seconds):
     (found,) = context.answer.ok_value.endpoints
-    assert found.life_order == (int(born), int(sequence)), found
+    assert found.incarnation_order == (int(born), int(sequence)), found
     assert found.warmup_left_s == float(seconds), found
 
 
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -357,7 +357,7 @@
 
     context.changes = run(context, ask()).ok_value
     context.known_hosts = context.peer.merge_hosts(context.changes)
-    context.peer.note_applied(context.changes)
+    context.peer.acknowledge(context.changes)
 
 
 @then(r'it is told of (\d+) hosts?, and knows (\d+)')
@@ -405,7 +405,7 @@
     own = next(each for each in entries if each.zone == zone)
     hosts = gateway.Fleet(own, 1, state.Clock(context.loop))
     hosts.apply_listing(entries)
-    return gateway.share_links(
+    return gateway.compute_connection_share(
         context.endpoints[0],
         tuple(context.endpoints),
         context.accepted,
@@ -426,7 +426,7 @@
     for zone in context.zones:
         share = get_share(context, zone)
         # A share of less than one is not kept open.
-        total += 0 if share.is_spare else share.cap
+        total += 0 if share.is_unallocated else share.cap
     assert total <= int(accepted), total
 
 
--- a/features/steps/quarantine.py
+++ b/features/steps/quarantine.py
@@ -358,7 +358,7 @@
 def lose_trials(context, count):
     context.known = make_quarantine(context, 'h1')
     for number in range(int(count)):
-        context.known.note_trial(DIGEST, context.loop.time(), number > 0)
+        context.known.record_crash(DIGEST, context.loop.time(), number > 0)
         run(context, asyncio.sleep(0.0))
 
 
@@ -368,23 +368,23 @@
     began = context.loop.time()
     run(context, asyncio.sleep(1.0))
     for number in range(int(count)):
-        context.known.note_trial(DIGEST, began, number > 0)
+        context.known.record_crash(DIGEST, began, number > 0)
 
 
 @when(r'one more trial of it is lost')
 def lose_one_more(context):
-    context.known.note_trial(DIGEST, context.loop.time(), True)
+    context.known.record_crash(DIGEST, context.loop.time(), True)
 
 
 @when(r'an upstream answers it')
 def answer_it(context):
-    context.known.note_answered(DIGEST)
+    context.known.record_answer(DIGEST)
 
 
 @when(r'(\d+) other requests are lost once each')
 def lose_others(context, count):
     for number in range(int(count)):
-        context.known.note_trial(f'{number:032}', context.loop.time(), False)
+        context.known.record_crash(f'{number:032}', context.loop.time(), False)
 
 
 @then(r'(\d+) requests are remembered')
@@ -395,23 +395,20 @@
 @then(r'the request is in quarantine for (\d+) seconds')
 def check_left(context, seconds):
     assert (
-        context.known.get_standing(DIGEST)
-        is gateway.QuarantineState.QUARANTINED
+        context.known.get_state(DIGEST) is gateway.QuarantineState.QUARANTINED
     )
-    left_s = context.known.get_left_s(DIGEST)
+    left_s = context.known.get_quarantine_left_s(DIGEST)
     assert round(left_s) == int(seconds), left_s
 
 
 @then(r'the request is suspected')
 def check_suspect(context):
-    assert (
-        context.known.get_standing(DIGEST) is gateway.QuarantineState.SUSPECT
-    )
+    assert context.known.get_state(DIGEST) is gateway.QuarantineState.SUSPECT
 
 
 @then(r'nothing is held against the request')
 def check_clear(context):
-    assert context.known.get_standing(DIGEST) is gateway.QuarantineState.CLEAR
+    assert context.known.get_state(DIGEST) is gateway.QuarantineState.CLEAR
 
 
 _STEPS = strategies.lists(
@@ -438,9 +435,9 @@
         for digest, is_answer in steps:
             run(context, asyncio.sleep(0.1))
             if is_answer:
-                teller.note_answered(digest)
+                teller.record_answer(digest)
             else:
-                teller.note_trial(digest, context.loop.time(), bool(told))
+                teller.record_crash(digest, context.loop.time(), bool(told))
             told.append(teller.list_since(0))
         told *= 2
         chance.shuffle(told)
@@ -448,8 +445,8 @@
         for records in told:
             hearer.merge(records, 'h1')
         for digest in 'ab':
-            found = hearer.get_standing(digest)
-            assert found is teller.get_standing(digest), (digest, steps)
+            found = hearer.get_state(digest)
+            assert found is teller.get_state(digest), (digest, steps)
 
     check()
 
@@ -468,15 +465,15 @@
     fleet = gateway.Fleet(entry, 2, clock)
     hearer = gateway.QuarantineBroadcaster(context.known, fleet, lambda: False)
     context.teller = make_quarantine(context, 'h2')
-    context.teller.note_trial(DIGEST, context.loop.time(), False)
+    context.teller.record_crash(DIGEST, context.loop.time(), False)
     told = gateway.render_records(context.teller.list_since(0))
     request = gateway.Request(b'POST', b'/v1/quarantine', [], told, 0.0)
-    reply = hearer.take(request)
+    reply = hearer.handle(request)
     assert reply.status == 200, reply
     context.teller.merge(gateway.read_records(reply.body), 'h1')
 
 
 @then(r'that one has the request in quarantine too')
 def check_teller(context):
-    found = context.teller.get_standing(DIGEST)
+    found = context.teller.get_state(DIGEST)
     assert found is gateway.QuarantineState.QUARANTINED, found
--- a/features/steps/wide_load.py
+++ b/features/steps/wide_load.py
@@ -79,7 +79,7 @@
     """Return how many requests each gateway has sent to shards."""
     return collections.Counter(
         {
-            name: member.gateway.counters.firsts
+            name: member.gateway.counters.first_attempts
             for name, member in context.fleet.members.items()
         }
     )
@@ -101,7 +101,9 @@
 @then(r'(\d+) connections to shards were opened')
 def check_opened(context, count):
     members = context.fleet.members.values()
-    opened = sum(member.gateway.selector.dials for member in members)
+    opened = sum(
+        member.gateway.selector.connections_opened for member in members
+    )
     assert opened == int(count), opened
 
 
@@ -121,13 +123,13 @@
 
 @given(r'its queries ask (\d+) shards and receive (\d+) bytes')
 def note_queries(context, shards, size):
-    context.estimator.note_ended(_QUERY_CLASS, int(shards), int(size))
+    context.estimator.record_end(_QUERY_CLASS, int(shards), int(size))
 
 
 @when(r'it begins (\d+) queries at once')
 def begin(context, count):
     for _ in range(int(count)):
-        context.estimator.note_begun(_QUERY_CLASS, 1)
+        context.estimator.record_start(_QUERY_CLASS, 1)
 
 
 @then(r'the next is delayed by ([\d.]+) ms')
--- a/features/steps/zones.py
+++ b/features/steps/zones.py
@@ -305,7 +305,7 @@
         written = {}
         for _ in range(6):
             entry = make_entry(chance, 'u1')
-            written.setdefault(entry.life_order, entry)
+            written.setdefault(entry.incarnation_order, entry)
         wanted = written[max(written)]
         found = merge_entries(chance, list(written.values()))
         assert found == wanted, (seed, found, wanted)
--- a/rudderrock/gateway/__init__.py
+++ b/rudderrock/gateway/__init__.py
@@ -15,12 +15,12 @@
 from rudderrock.gateway.decisions._canary import SendDecision
 from rudderrock.gateway.decisions._canary import WaitingAttempt
 from rudderrock.gateway.decisions._cold import ColdLimits
-from rudderrock.gateway.decisions._connection_shares import ConnectionShare
-from rudderrock.gateway.decisions._connection_shares import share_links
 from rudderrock.gateway.decisions._host_load import LoadEstimator
 from rudderrock.gateway.decisions._host_load import QueryClass
 from rudderrock.gateway.decisions._replicas import Replica
 from rudderrock.gateway.decisions._replicas import ReplicaSelector
+from rudderrock.gateway.decisions._shares import compute_connection_share
+from rudderrock.gateway.decisions._shares import ConnectionShare
 from rudderrock.gateway.discovery._broadcast import QuarantineBroadcaster
 from rudderrock.gateway.discovery._broadcast import read_records
 from rudderrock.gateway.discovery._broadcast import render_records
@@ -90,14 +90,14 @@
 from rudderrock.gateway.http._link import Exchange
 from rudderrock.gateway.http._link import Link
 from rudderrock.gateway.http._listener import CallerListener
-from rudderrock.gateway.http._messages import drop_connection_headers
 from rudderrock.gateway.http._messages import Headers
+from rudderrock.gateway.http._messages import remove_hop_by_hop_headers
 from rudderrock.gateway.http._messages import render_reply
 from rudderrock.gateway.http._messages import render_request
 from rudderrock.gateway.http._messages import Reply
 from rudderrock.gateway.http._messages import Request
 from rudderrock.gateway.http._pool import Pool
-from rudderrock.gateway.http._verdicts import judge_outcome
+from rudderrock.gateway.http._verdicts import classify_outcome
 from rudderrock.gateway.http._verdicts import Verdict
 
 __all__ = [
@@ -187,17 +187,17 @@
     'Verdict',
     'WaitingAttempt',
     'Within',
+    'classify_outcome',
+    'compute_connection_share',
     'digest_request',
-    'drop_connection_headers',
     'format_event_page',
-    'judge_outcome',
     'merge_records',
     'read_changes',
     'read_records',
+    'remove_hop_by_hop_headers',
     'render_changes',
     'render_records',
     'render_reply',
     'render_request',
     'set_up_log',
-    'share_links',
 ]
--- a/rudderrock/gateway/_metrics.py
+++ b/rudderrock/gateway/_metrics.py
@@ -25,7 +25,7 @@
         )
         self._latency: dict[str, histogram.HdrHistogram] = {}
 
-    def note(
+    def record_result(
         self,
         route: routing.RouteName | None,
         result: results.Result,
@@ -37,11 +37,11 @@
         latency_us = min(max(1, round(elapsed_s * _US_PER_S)), _MAX_LATENCY_US)
         self._latency[label].record_value(latency_us)
 
-    def note_unreadable(self, problem: str) -> None:
+    def record_unreadable(self, problem: str) -> None:
         """Count one request that could not be read."""
         self._counts[(_OTHER_ROUTES, f'unreadable_{problem}')] += 1
 
-    def list_lines(self, gauges: dict[str, float]) -> list[str]:
+    def format_lines(self, gauges: dict[str, float]) -> list[str]:
         """Return all metrics in the Prometheus text format 0.0.4."""
         lines = ['# TYPE rudderrock_requests_total counter']
         lines += [
--- a/rudderrock/gateway/_process.py
+++ b/rudderrock/gateway/_process.py
@@ -113,7 +113,7 @@
             for background_task in (
                 self._synchronizer.run,
                 self._broadcaster.run,
-                self._broadcaster.ask,
+                self._broadcaster.pull,
                 self.gateway.sweep,
                 self.gateway.warm_hedges,
             ):
@@ -131,7 +131,7 @@
         self._stop_started_at = self._dependencies.clock.now()
         self.state = ProcessState.LEAVING
         self._caller_listener.is_stopping = True
-        self.gateway.takes_delegated = False
+        self.gateway.accepts_delegated = False
         self._dependencies.events.record(
             events.LogKind.STOPPING, busy=self._caller_listener.busy
         )
@@ -155,13 +155,16 @@
             await asyncio.sleep(_POLL_INTERVAL_S)
 
     def _is_busy(self) -> bool:
-        return bool(self._caller_listener.links) or self.gateway.delegated > 0
+        return (
+            bool(self._caller_listener.links)
+            or self.gateway.delegated_in_flight > 0
+        )
 
     def _apply_table(self, table) -> None:
         self._caller_listener.limits = table.limits
 
     def _record_unreadable(self, problem: str) -> None:
-        self._dependencies.metrics.note_unreadable(problem)
+        self._dependencies.metrics.record_unreadable(problem)
         self._dependencies.events.record(
             events.LogKind.UNREADABLE, problem=problem
         )
@@ -170,7 +173,7 @@
         if request.get_header(delegate.VERSION) is not None:
             return await self.gateway.handle_delegated(request)
         if request.target == broadcast.PATH:
-            return self._broadcaster.take(request)
+            return self._broadcaster.handle(request)
         return await self._changes.answer(request)
 
     async def _answer_probe(self, request: messages.Request) -> messages.Reply:
@@ -184,7 +187,7 @@
     async def _answer_scrape(
         self, request: messages.Request
     ) -> messages.Reply:
-        lines = self._dependencies.metrics.list_lines(self._list_gauges())
+        lines = self._dependencies.metrics.format_lines(self._list_gauges())
         kind = (b'content-type', b'text/plain; version=0.0.4')
         return messages.Reply(200, [kind], '\n'.join(lines).encode() + b'\n')
 
@@ -198,7 +201,9 @@
             'upstreams': len(upstream_directory.list_all()),
             'upstreams_age_seconds': upstream_directory.age_s,
             'source_era': self._dependencies.source_era.current,
-            'source_returns_total': self._dependencies.source_era.returns,
+            'source_returns_total': (
+                self._dependencies.source_era.restore_count
+            ),
             'evacuated_zones': len(self._dependencies.evacuations.zones),
             'cold_upstreams': upstream_directory.count_cold(),
             'cold_requests_total': self.gateway.cold_limits.sent,
@@ -206,16 +211,18 @@
             'hosts': self._dependencies.hosts.count(),
             'caller_connections': len(self._caller_listener.links),
             'requests_under_way': self._caller_listener.busy,
-            'upstream_requests_total': counters.firsts,
+            'upstream_requests_total': counters.first_attempts,
             'hedges_total': counters.hedges,
             'retries_total': counters.retries,
-            'extras_denied_total': counters.denied,
+            'extras_denied_total': counters.extras_denied,
             'overloaded_total': self.gateway.admission.refused,
             'requests_in_quarantine': (
                 self._dependencies.quarantine.count_quarantined()
             ),
             'reach_checks_total': self.gateway.checker.checks,
-            'connections_opened_total': self.gateway.selector.dials,
+            'connections_opened_total': (
+                self.gateway.selector.connections_opened
+            ),
             'log_lines_dropped_total': self._dependencies.events.dropped,
         }
 
--- a/rudderrock/gateway/decisions/_admission.py
+++ b/rudderrock/gateway/decisions/_admission.py
@@ -51,7 +51,7 @@
     """State of the concurrency limit for one set of shards."""
 
     limit: float = INITIAL_LIMIT
-    under_way: int = 0
+    in_flight: int = 0
     congested_fraction: float = 0.0
     decreased_at: float = 0.0
     increased_at: float = 0.0
@@ -69,24 +69,24 @@
             tuple[str, ...], ConcurrencyLimit
         ] = collections.defaultdict(ConcurrencyLimit)
 
-    def get_gate(self, shards: tuple[str, ...]) -> ConcurrencyLimit:
+    def get_limit(self, shards: tuple[str, ...]) -> ConcurrencyLimit:
         """Return the concurrency limit of a set of shards."""
         return self._limits[shards]
 
-    def try_enter(self, concurrency: ConcurrencyLimit, rank: int) -> bool:
+    def try_acquire(self, concurrency: ConcurrencyLimit, rank: int) -> bool:
         """Admit a query if the limit allows; return whether it was admitted.
 
         Rank 0 has the highest priority.
         """
-        if concurrency.under_way >= max(
+        if concurrency.in_flight >= max(
             MIN_LIMIT, concurrency.limit * RANK_FRACTION**rank
         ):
             self.refused += 1
             return False
-        concurrency.under_way += 1
+        concurrency.in_flight += 1
         return True
 
-    def leave(
+    def release(
         self, concurrency: ConcurrencyLimit, congested: bool | None
     ) -> None:
         """Release the slot of a query and adapt the limit.
@@ -94,8 +94,8 @@
         `congested` is None if the query was cancelled, which is no evidence
         for or against congestion.
         """
-        busy = concurrency.under_way
-        concurrency.under_way -= 1
+        busy = concurrency.in_flight
+        concurrency.in_flight -= 1
         if congested is None:
             return
         concurrency.congested_fraction += _QUERY_WEIGHT * (
--- a/rudderrock/gateway/decisions/_budget.py
+++ b/rudderrock/gateway/decisions/_budget.py
@@ -35,7 +35,7 @@
         self._requests = 0
         self._extras = 0
 
-    def note_request(self) -> None:
+    def count_request(self) -> None:
         """Count the first request of a call."""
         self._get_slot()[1] += 1
         self._requests += 1
--- a/rudderrock/gateway/decisions/_canary.py
+++ b/rudderrock/gateway/decisions/_canary.py
@@ -113,7 +113,7 @@
         """Return the quarantine state of the request."""
         if self._quarantine.is_empty:
             return quarantine.QuarantineState.CLEAR
-        return self._quarantine.get_standing(self.digest)
+        return self._quarantine.get_state(self.digest)
 
     @property
     def is_suspect(self) -> bool:
@@ -132,7 +132,7 @@
             or self.state is not quarantine.QuarantineState.CLEAR
         )
 
-    def judge(self) -> SendDecision:
+    def decide(self) -> SendDecision:
         """Return whether an attempt is sent, held back or abandoned now."""
         if self.is_answered:
             return SendDecision.SEND
@@ -154,11 +154,11 @@
         self._waiting.append(attempt)
         self._advance()
 
-    def list_ended(self) -> list[core.UpstreamLife]:
+    def list_crashed(self) -> list[core.UpstreamLife]:
         """Return the upstreams that crashed while running the request."""
         if self._quarantine.is_empty:
             return []
-        return self._quarantine.list_ended(self.digest)
+        return self._quarantine.list_crashed(self.digest)
 
     @property
     def is_stopped(self) -> bool:
@@ -173,10 +173,12 @@
         upstreams may have restarted.
         """
         if self.state is quarantine.QuarantineState.QUARANTINED:
-            return self._quarantine.get_left_s(self.digest)
-        return self._quarantine.get_gone_s(self.digest) + TRIAL_SPREAD_S
+            return self._quarantine.get_quarantine_left_s(self.digest)
+        return (
+            self._quarantine.get_exclusion_left_s(self.digest) + TRIAL_SPREAD_S
+        )
 
-    def note_sent(self) -> None:
+    def record_sent(self) -> None:
         """Record that an attempt is sent."""
         if not self._is_round_open():
             self._round_started_at = self._clock.now()
@@ -184,46 +186,48 @@
         self._in_flight += 1
         self._has_sent = True
 
-    def note_over(self) -> None:
+    def record_inconclusive(self) -> None:
         """Record that an attempt ended with neither crash nor answer."""
         self._in_flight -= 1
         self._advance()
 
-    def note_answered(self) -> None:
+    def record_answer(self) -> None:
         """Record that an upstream has answered an attempt."""
         self._in_flight -= 1
-        self.note_survived()
+        self.record_survival()
 
-    def note_survived(self) -> None:
+    def record_survival(self) -> None:
         """Record that an upstream has answered this or another host."""
         if not self.is_answered:
             self.is_answered = True
             if not self._quarantine.is_empty:
-                self._quarantine.note_answered(self.digest)
+                self._quarantine.record_answer(self.digest)
         self._advance()
 
-    def note_lost(self) -> None:
+    def record_lost(self) -> None:
         """Record a lost connection whose upstream is being checked."""
         self._in_flight -= 1
         self._pending_checks += 1
 
-    def note_checked(self, life: core.UpstreamLife, crashed: bool) -> None:
+    def record_checked(
+        self, incarnation: core.UpstreamLife, crashed: bool
+    ) -> None:
         """Record whether the upstream of a lost connection has crashed."""
         self._pending_checks -= 1
         if crashed:
-            self._crashed.add(life)
+            self._crashed.add(incarnation)
         self._advance()
 
-    def warn(self, crashed: Iterable[core.UpstreamLife]) -> None:
+    def mark_suspected(self, crashed: Iterable[core.UpstreamLife]) -> None:
         """Record that another host suspects the request.
 
         Upstreams that crashed there count as part of the first round.
         """
         self._is_suspect_elsewhere = True
-        lives = tuple(crashed)
-        if lives and not self.is_answered:
-            self._quarantine.note_trial(
-                self.digest, self._round_started_at, False, lives
+        incarnations = tuple(crashed)
+        if incarnations and not self.is_answered:
+            self._quarantine.record_crash(
+                self.digest, self._round_started_at, False, incarnations
             )
 
     def finish(self) -> None:
@@ -244,7 +248,7 @@
         self._end_finished_canary()
         if not self._waiting:
             return
-        if self.judge() is SendDecision.WAIT:
+        if self.decide() is SendDecision.WAIT:
             self._send_canary()
         else:
             self._resume_all()
@@ -267,7 +271,7 @@
             return
         self._is_reported = self._is_round_open()
         crashed, self._crashed = self._crashed, set()
-        self._quarantine.note_trial(
+        self._quarantine.record_crash(
             self.digest, self._round_started_at, self._was_suspect, crashed
         )
 
@@ -293,11 +297,11 @@
 
     def _may_send_canary(self, live: int) -> bool:
         """Return whether a service with `live` upstreams may get a canary."""
-        if not self._quarantine.has_spread(self.digest):
+        if not self._quarantine.has_multiple_crashes(self.digest):
             return True
         if self._quarantine.has_canary(self.digest):
             return False
-        since_s = self._quarantine.get_since_s(self.digest)
+        since_s = self._quarantine.get_crash_age_s(self.digest)
         return live > 1 and (self._has_sent or since_s >= CANARY_DELAY_S)
 
     def _resume_all(self) -> None:
--- a/rudderrock/gateway/decisions/_cold.py
+++ b/rudderrock/gateway/decisions/_cold.py
@@ -74,7 +74,7 @@
         self.held_back += not admitted
         return admitted
 
-    def note_sent(self, endpoint: directory.Endpoint) -> None:
+    def record_sent(self, endpoint: directory.Endpoint) -> None:
         """Record that a request is sent."""
         if self._directory.get_cold_s(endpoint.upstream) <= 0.0:
             return
--- a/rudderrock/gateway/decisions/_coordinators.py
+++ b/rudderrock/gateway/decisions/_coordinators.py
@@ -69,7 +69,7 @@
         """Return the regular coordinators of a zone by rank."""
         return self._rank(zone)[:COORDINATORS_PER_ZONE]
 
-    def list_open(
+    def list_available(
         self, zone: core.ZoneId, tried: tuple[core.HostId, ...] = ()
     ) -> list[fleet.HostEntry]:
         """Return the hosts by rank that are neither skipped nor in `tried`.
@@ -93,10 +93,10 @@
         tried: tuple[core.HostId, ...] = (),
     ) -> fleet.HostEntry | None:
         """Return the coordinator for a query, None if there is none."""
-        found = self.list_open(zone)
-        self._note_change(zone, found)
+        found = self.list_available(zone)
+        self._log_change(zone, found)
         if tried:
-            found = self.list_open(zone, tried)
+            found = self.list_available(zone, tried)
         if not found:
             return None
         return found[fleet.rank_name(request_id) % len(found)]
@@ -107,9 +107,9 @@
         """Skip a host after a failure, with exponential backoff."""
         wait_s = skip_s * 2 ** self._failures[entry.host]
         self._failures[entry.host] += 1
-        self.pause(entry, detail, min(wait_s, MAX_SKIP_S))
+        self.skip_for(entry, detail, min(wait_s, MAX_SKIP_S))
 
-    def pause(
+    def skip_for(
         self, entry: fleet.HostEntry, detail: str, seconds: float
     ) -> None:
         """Skip a host for some seconds, without counting a failure."""
@@ -119,7 +119,7 @@
             events.LogKind.PEER_SKIPPED, peer=entry.host, detail=detail
         )
 
-    def note_good(self, entry: fleet.HostEntry) -> None:
+    def record_success(self, entry: fleet.HostEntry) -> None:
         """Record that a host has answered."""
         self._failures.pop(entry.host, None)
 
@@ -136,7 +136,7 @@
             self._ranked[zone] = ranked
         return ranked
 
-    def _note_change(
+    def _log_change(
         self, zone: core.ZoneId, found: list[fleet.HostEntry]
     ) -> None:
         """Log the coordinators of a zone if they have changed."""
--- a/rudderrock/gateway/decisions/_host_load.py
+++ b/rudderrock/gateway/decisions/_host_load.py
@@ -84,7 +84,7 @@
         """Return whether to run a query with this latency goal here."""
         return self.get_delay_s() <= MAX_DELAY_FRACTION * goal_s
 
-    def note_begun(self, query_class: QueryClass, shards: int) -> None:
+    def record_start(self, query_class: QueryClass, shards: int) -> None:
         """Add the estimated load of a query that starts.
 
         The first query of its class counts as one request to each shard and
@@ -98,7 +98,7 @@
         if self._link_bytes_s > 0:
             self._link.add(now, size / self._link_bytes_s)
 
-    def note_ended(
+    def record_end(
         self, query_class: QueryClass, requests: int, size: int
     ) -> None:
         """Update the averages of a class; `size` is in bytes of records."""
--- a/rudderrock/gateway/decisions/_replicas.py
+++ b/rudderrock/gateway/decisions/_replicas.py
@@ -7,7 +7,7 @@
 
 from rudderrock import core
 from rudderrock.gateway.decisions import _cold as cold
-from rudderrock.gateway.decisions import _connection_shares as shares
+from rudderrock.gateway.decisions import _shares as shares
 from rudderrock.gateway.discovery import _directory as directory
 from rudderrock.gateway.discovery import _fleet as fleet
 from rudderrock.gateway.discovery import _routing as routing
@@ -47,7 +47,7 @@
         self.endpoint = endpoint
         self.links = links
         self.distance = distance
-        self.strikes = 0
+        self.consecutive_failures = 0
         self._clock = clock
         self._avoid_until = 0.0
         self._excluded_until = 0.0
@@ -56,7 +56,7 @@
         """Return whether another upstream recently answered at its address."""
         return now < self._excluded_until
 
-    def note_gone(self) -> None:
+    def record_misdirected(self) -> None:
         """Record that another upstream answers at its address."""
         self._excluded_until = self._clock.now() + MISDIRECTED_EXCLUSION_S
 
@@ -70,12 +70,12 @@
             return True
         return self.links.get_oldest_age(now) > late_s
 
-    def note_good(self) -> None:
+    def record_success(self) -> None:
         """Record an answer in time."""
-        self.strikes = 0
+        self.consecutive_failures = 0
         self._avoid_until = 0.0
 
-    def note_bad(self, base_s: float = INITIAL_AVOID_S) -> None:
+    def record_failure(self, base_s: float = INITIAL_AVOID_S) -> None:
         """Record a late, failed, lost or rejected request.
 
         Each consecutive one doubles the avoidance time, which starts at
@@ -84,20 +84,22 @@
         now = self._clock.now()
         if now < self._avoid_until:
             return
-        wait_s = min(base_s * 2**self.strikes, MAX_AVOID_S)
-        self.strikes = min(self.strikes + 1, _MAX_BACKOFF_EXPONENT)
+        wait_s = min(base_s * 2**self.consecutive_failures, MAX_AVOID_S)
+        self.consecutive_failures = min(
+            self.consecutive_failures + 1, _MAX_BACKOFF_EXPONENT
+        )
         self._avoid_until = now + wait_s
 
 
 class ConnectionPolicy(Protocol):
     """Policy that decides which connections a host opens."""
 
-    def get_share(
+    def get_connection_limit(
         self, endpoint: directory.Endpoint
     ) -> shares.ConnectionShare:
         """Return how many connections to an upstream this host may open."""
 
-    def list_wanted(
+    def list_required_services(
         self, selector: 'ReplicaSelector'
     ) -> set[routing.ServiceName]:
         """Return the services that this host sends requests to itself."""
@@ -116,10 +118,10 @@
         policy: ConnectionPolicy,
         cold_limits: cold.ColdLimits,
         own: core.HostId,
-        has_ended: Callable[[core.UpstreamLife], bool],
+        has_crashed: Callable[[core.UpstreamLife], bool],
     ):
-        self.dials = 0
-        self._has_ended = has_ended
+        self.connections_opened = 0
+        self._has_crashed = has_crashed
         self._cold = cold_limits
         self._own = own
         self._directory = upstream_directory
@@ -156,7 +158,7 @@
         now = self._clock.now()
         return sum(
             not each.is_excluded(now)
-            and not self._has_ended(each.endpoint.life)
+            and not self._has_crashed(each.endpoint.incarnation)
             for each in self.list_ready(service, residency)
         )
 
@@ -200,7 +202,7 @@
             suspect = replica.is_suspect(now, late_s)
             key = (
                 suspect,
-                replica.strikes if suspect else 0,
+                replica.consecutive_failures if suspect else 0,
                 replica.links.is_full,
                 replica.distance,
                 replica.distance > 0 and not replica.links.is_idle,
@@ -251,7 +253,10 @@
             return
         nearest = min(replica.distance for replica in found)
         for replica in found:
-            if replica.distance == nearest and not replica.links.is_spare:
+            if (
+                replica.distance == nearest
+                and not replica.links.is_unallocated
+            ):
                 replica.links.warm()
 
     def warm_hedge(self, service: routing.ServiceName) -> None:
@@ -270,7 +275,7 @@
         others = [
             each
             for each in found
-            if each.distance > nearest and not each.links.is_spare
+            if each.distance > nearest and not each.links.is_unallocated
         ]
         if not others or any(each.links.is_open for each in others):
             return
@@ -295,9 +300,9 @@
         for replica in self._replicas.values():
             replica.links.drop_idle()
 
-    def note_sent(self, endpoint: directory.Endpoint) -> None:
+    def record_sent(self, endpoint: directory.Endpoint) -> None:
         """Record that a request is sent to an upstream."""
-        self._cold.note_sent(endpoint)
+        self._cold.record_sent(endpoint)
 
     def set_caps(self) -> None:
         """Apply the current connection limits to all pools."""
@@ -316,7 +321,7 @@
                 endpoint,
                 asyncio.get_running_loop(),
                 self._names,
-                self._count_dial,
+                self._count_opened,
             )
             distance = self._topology.get_distance(endpoint.zone)
             replica = Replica(endpoint, links, distance, self._clock)
@@ -335,12 +340,12 @@
                 self._apply_share(replica)
 
     def _apply_share(self, replica: Replica) -> None:
-        share = self._policy.get_share(replica.endpoint)
+        share = self._policy.get_connection_limit(replica.endpoint)
         replica.links.cap = share.cap
-        replica.links.is_spare = share.is_spare
+        replica.links.is_unallocated = share.is_unallocated
 
-    def _count_dial(self) -> None:
-        self.dials += 1
+    def _count_opened(self) -> None:
+        self.connections_opened += 1
 
     def _on_change(self, change: directory.DirectoryChange) -> None:
         for upstream in change.left:
@@ -348,10 +353,10 @@
             if replica is not None:
                 replica.links.retire()
                 self._retired.append(replica)
-        wanted = self._policy.list_wanted(self)
+        required = self._policy.list_required_services(self)
         for upstream in change.added:
             self._apply_shares(upstream)
         for upstream in change.added:
             endpoint = self._directory.get_endpoint(upstream)
-            if endpoint is not None and endpoint.service in wanted:
+            if endpoint is not None and endpoint.service in required:
                 self.warm(endpoint.service)
--- a/rudderrock/gateway/decisions/_connection_shares.py
+++ b/rudderrock/gateway/decisions/_shares.py
@@ -23,15 +23,15 @@
 class ConnectionShare:
     """Number of connections that one host may open to one upstream.
 
-    `is_spare` is set if the host's share is less than one connection. One may
-    then be opened when needed, and is closed soon after.
+    `is_unallocated` is set if the host's share is less than one connection.
+    One may then be opened when needed, and is closed soon after.
     """
 
     cap: int
-    is_spare: bool
+    is_unallocated: bool
 
 
-def share_links(
+def compute_connection_share(
     endpoint: directory.Endpoint,
     siblings: tuple[directory.Endpoint, ...],
     accepted: int,
--- a/rudderrock/gateway/discovery/_broadcast.py
+++ b/rudderrock/gateway/discovery/_broadcast.py
@@ -73,13 +73,13 @@
             self._has_unsent.clear()
             await self._send_to_all()
 
-    async def ask(self) -> None:
+    async def pull(self) -> None:
         """Pull records from one host after another until cancelled.
 
         Does nothing while this host polls a peer.
         """
-        for pull in itertools.count():
-            is_starting = pull < _STARTUP_PULLS
+        for number in itertools.count():
+            is_starting = number < _STARTUP_PULLS
             await asyncio.sleep(
                 STARTUP_PULL_INTERVAL_S if is_starting else PULL_INTERVAL_S
             )
@@ -87,7 +87,7 @@
                 continue
             others = self._rank_others()
             if others:
-                await self._pull_from(others[pull % len(others)].address)
+                await self._pull_from(others[number % len(others)].address)
 
     def _rank_others(self) -> list[fleet.HostEntry]:
         """Return the other hosts in an order specific to this host."""
@@ -166,7 +166,7 @@
             finally:
                 client.close()
 
-    def take(self, request: messages.Request) -> messages.Reply:
+    def handle(self, request: messages.Request) -> messages.Reply:
         """Handle a request of another host.
 
         GET returns all records. POST merges the records that are sent and
--- a/rudderrock/gateway/discovery/_directory.py
+++ b/rudderrock/gateway/discovery/_directory.py
@@ -38,10 +38,10 @@
     the upstream by its start as a Unix time in milliseconds, or is 0 if
     unknown: an upstream may restart under its id and then has no state from
     before. `sequence` counts the entries that an incarnation has written, so
-    of two entries the one with the greater `life_order` was written later,
-    whatever the order in which they arrive. A different `sequence` alone is
-    not a change. The upstream is cold for `warmup_left_s` seconds from the
-    reading on.
+    of two entries the one with the greater `incarnation_order` was written
+    later, whatever the order in which they arrive. A different `sequence`
+    alone is not a change. The upstream is cold for `warmup_left_s` seconds
+    from the reading on.
     """
 
     upstream: core.UpstreamId
@@ -55,16 +55,16 @@
     warmup_left_s: float = 0.0
 
     @property
-    def life_order(self) -> tuple[int, int]:
+    def incarnation_order(self) -> tuple[int, int]:
         """Return the key that sorts entries of one id by time of writing."""
         return self.born, self.sequence
 
     @property
-    def life(self) -> core.UpstreamLife:
+    def incarnation(self) -> core.UpstreamLife:
         """Return an id that is unique to this incarnation."""
         return core.UpstreamLife(f'{self.upstream}/{self.born}')
 
-    def is_same_life(self, other: 'Endpoint') -> bool:
+    def is_same_incarnation(self, other: 'Endpoint') -> bool:
         """Return whether state kept for the other entry is still valid."""
         return (self.born, self.address, self.service) == (
             other.born,
@@ -78,7 +78,7 @@
     """The upstream ids that one reading changed.
 
     `added` take new work from now on, `left` no longer do, `held` are missing
-    from the reading but kept, and `touched` are all whose entries differ. An
+    from the reading but kept, and `changed` are all whose entries differ. An
     upstream that has restarted under its id is in `left` for its former
     incarnation and in `added` for the new one.
     """
@@ -86,7 +86,7 @@
     added: tuple[core.UpstreamId, ...]
     left: tuple[core.UpstreamId, ...]
     held: tuple[core.UpstreamId, ...]
-    touched: tuple[core.UpstreamId, ...]
+    changed: tuple[core.UpstreamId, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -159,7 +159,7 @@
         """Register a callback for each reading that changed something."""
         self._listeners.append(call)
 
-    def add_reader(self, call: Callable[[], None]) -> None:
+    def add_reading_listener(self, call: Callable[[], None]) -> None:
         """Register a callback for each reading, changed or not."""
         self._reading_listeners.append(call)
 
@@ -185,7 +185,7 @@
         now = self._clock.now()
         return sum(until > now for until in self._cold_until.values())
 
-    def note_cold(self, upstream: core.UpstreamId, seconds: float) -> None:
+    def mark_cold(self, upstream: core.UpstreamId, seconds: float) -> None:
         """Treat an upstream as cold for at least this long from now."""
         until = self._clock.now() + seconds
         self._cold_until[upstream] = max(
@@ -311,7 +311,9 @@
         """
         newest = {}
         for upstream, entry in found.items():
-            if entry.life_order >= self._last_order.get(upstream, (0, 0)):
+            if entry.incarnation_order >= self._last_order.get(
+                upstream, (0, 0)
+            ):
                 newest[upstream] = entry
             elif upstream in self._endpoints:
                 newest[upstream] = self._endpoints[upstream]
@@ -327,13 +329,14 @@
         return frozenset(
             upstream
             for upstream in found.keys() - self._endpoints.keys()
-            if self._last_order.get(upstream) == found[upstream].life_order
+            if self._last_order.get(upstream)
+            == found[upstream].incarnation_order
             and not self._restore.was_missing(origin, upstream)
         )
 
     def _record_orders(self, found: dict[core.UpstreamId, Endpoint]) -> None:
         self._last_order.update(
-            {name: entry.life_order for name, entry in found.items()}
+            {name: entry.incarnation_order for name, entry in found.items()}
         )
         excess = len(self._last_order) - len(found) - MAX_DEPARTED_IDS
         if excess > 0:
@@ -367,21 +370,23 @@
     ) -> DirectoryChange | None:
         """Return what changed, after regrouping the ready upstreams."""
         now = self._endpoints
-        touched = [
+        changed = [
             upstream
             for upstream in before.keys() | now.keys()
             if before.get(upstream) != now.get(upstream)
         ]
-        if not (touched or regroup):
+        if not (changed or regroup):
             return None
-        self._update_cold(touched)
+        self._update_cold(changed)
         usable_before = _index_by_id(self._ready)
         self._ready = self._group_ready()
         usable = _index_by_id(self._ready)
         restarted = {
             upstream
             for upstream in usable.keys() & usable_before.keys()
-            if not usable[upstream].is_same_life(usable_before[upstream])
+            if not usable[upstream].is_same_incarnation(
+                usable_before[upstream]
+            )
         }
         added = usable.keys() - usable_before.keys() | restarted
         left = usable_before.keys() - usable.keys() | restarted
@@ -389,13 +394,13 @@
             added=tuple(sorted(added)),
             left=tuple(sorted(left)),
             held=tuple(sorted(held)),
-            touched=tuple(sorted(touched)),
+            changed=tuple(sorted(changed)),
         )
 
-    def _update_cold(self, touched: Iterable[core.UpstreamId]) -> None:
+    def _update_cold(self, changed: Iterable[core.UpstreamId]) -> None:
         """Update the end of the warm-up of each changed entry."""
         read_at = self.stamp.read_at if self.stamp else self._clock.now()
-        for upstream in touched:
+        for upstream in changed:
             entry = self._endpoints.get(upstream)
             if entry is None or entry.warmup_left_s <= 0.0:
                 self._cold_until.pop(upstream, None)
--- a/rudderrock/gateway/discovery/_era.py
+++ b/rudderrock/gateway/discovery/_era.py
@@ -14,15 +14,16 @@
 class SourceEra:
     """The latest known era of the source.
 
-    `returns` counts the restores of the source that this host has observed.
+    `restore_count` counts the restores of the source that this host has
+    observed.
     """
 
     def __init__(self, events: log.EventLog):
         self.current = position.NOWHERE.era
-        self.returns = 0
+        self.restore_count = 0
         self._events = events
 
-    def note(
+    def record_position(
         self, read: position.Position, known: position.Position, origin: str
     ) -> bool:
         """Record the position of a reading, made here or by a peer.
@@ -35,7 +36,7 @@
         before, self.current = self.current, read.era
         if before == position.NOWHERE.era:
             return False
-        self.returns += 1
+        self.restore_count += 1
         self._events.record(
             events.LogKind.SOURCE_RETURNED,
             era=read.era,
--- a/rudderrock/gateway/discovery/_initial_sync.py
+++ b/rudderrock/gateway/discovery/_initial_sync.py
@@ -39,7 +39,7 @@
         self._complete = asyncio.Event()
         self._has_waiter = asyncio.Event()
         tables.add_listener(lambda table: self._update())
-        upstream_directory.add_reader(self._update)
+        upstream_directory.add_reading_listener(self._update)
         evacuated.add_listener(lambda found: self._update())
 
     @property
--- a/rudderrock/gateway/discovery/_peers.py
+++ b/rudderrock/gateway/discovery/_peers.py
@@ -233,7 +233,7 @@
         upstream_directory.add_listener(self._on_upstreams)
         hosts.add_listener(self._on_hosts)
         tables.add_listener(lambda table: self.wake())
-        upstream_directory.add_reader(self.wake)
+        upstream_directory.add_reading_listener(self.wake)
         evacuated.add_listener(lambda found: self.wake())
         known_quarantine.add_listener(self.wake)
 
@@ -327,11 +327,11 @@
         has_baseline = has_baseline and is_same_era
         if not has_baseline or known.upstreams < oldest - 1:
             return list(self._directory.list_all()), [], True
-        touched: set[core.UpstreamId] = set()
+        changed: set[core.UpstreamId] = set()
         for generation, change in self._changes:
             if generation > known.upstreams:
-                touched.update(change.touched)
-        found = {each: self._directory.get_endpoint(each) for each in touched}
+                changed.update(change.changed)
+        found = {each: self._directory.get_endpoint(each) for each in changed}
         upstreams = [each for each in found.values() if each is not None]
         left = [name for name, each in found.items() if each is None]
         return upstreams, left, False
@@ -349,13 +349,13 @@
         oldest = self._host_changes[0][0] if self._host_changes else newest
         if not has_baseline or known.hosts < oldest - 1:
             return self._hosts.list_hosts(), [], True
-        touched: set[core.HostId] = set()
+        changed: set[core.HostId] = set()
         for generation, names in self._host_changes:
             if generation > known.hosts:
-                touched |= names
+                changed |= names
         by_id = self._hosts_by_id
-        hosts = [by_id[name] for name in sorted(touched & by_id.keys())]
-        return hosts, sorted(touched - by_id.keys()), False
+        hosts = [by_id[name] for name in sorted(changed & by_id.keys())]
+        return hosts, sorted(changed - by_id.keys()), False
 
     def _has_changes(self, known: Known) -> bool:
         return (
@@ -408,12 +408,12 @@
     def _on_hosts(self) -> None:
         now = {each.host: each for each in self._hosts.list_hosts()}
         before, self._hosts_by_id = self._hosts_by_id, now
-        touched = {
+        changed = {
             name
             for name in before.keys() | now.keys()
             if before.get(name) != now.get(name)
         }
-        self._host_changes.append((self._hosts.generation, touched))
+        self._host_changes.append((self._hosts.generation, changed))
         self.wake()
 
     def wake(self) -> None:
@@ -493,7 +493,7 @@
         return result.Ok(changes)
 
     @property
-    def is_in_step(self) -> bool:
+    def is_incremental(self) -> bool:
         """Return whether the next poll requests only changes."""
         return self.known.process != ''
 
@@ -506,7 +506,7 @@
         self._hosts.update({each.host: each for each in changes.hosts})
         return list(self._hosts.values())
 
-    def note_applied(self, changes: Changes | None) -> None:
+    def acknowledge(self, changes: Changes | None) -> None:
         """Record which changes were applied; None requests the full state."""
         if changes is None:
             self.known = Known()
--- a/rudderrock/gateway/discovery/_quarantine.py
+++ b/rudderrock/gateway/discovery/_quarantine.py
@@ -112,7 +112,7 @@
         self.last_crash_at = -math.inf
         self.generation = 0
 
-    def get_standing(self, now: float) -> QuarantineState:
+    def get_state(self, now: float) -> QuarantineState:
         if self.answered:
             return QuarantineState.CLEAR
         if not self.has_reached_threshold():
@@ -178,11 +178,11 @@
         """Return the number of requests in quarantine."""
         now = self._clock.now()
         return sum(
-            each.get_standing(now) is QuarantineState.QUARANTINED
+            each.get_state(now) is QuarantineState.QUARANTINED
             for each in self._histories.values()
         )
 
-    def get_standing(self, digest: str) -> QuarantineState:
+    def get_state(self, digest: str) -> QuarantineState:
         """Return the state of a request, `CLEAR` if there is no record."""
         history = self._histories.get(digest)
         now = self._clock.now()
@@ -191,9 +191,9 @@
             or now - history.last_crash_at >= history.get_retention_s()
         ):
             return QuarantineState.CLEAR
-        return history.get_standing(now)
+        return history.get_state(now)
 
-    def get_left_s(self, digest: str) -> float:
+    def get_quarantine_left_s(self, digest: str) -> float:
         """Return the remaining time of a quarantine, in seconds."""
         history = self._histories.get(digest)
         if history is None:
@@ -201,7 +201,7 @@
         end = history.last_crash_at + history.get_quarantine_duration_s()
         return max(0.0, end - self._clock.now())
 
-    def has_spread(self, digest: str) -> bool:
+    def has_multiple_crashes(self, digest: str) -> bool:
         """Return whether a request has crashed more than one upstream.
 
         A single crash can be an ordinary one that affects unrelated requests,
@@ -213,12 +213,12 @@
             and max(len(history.ended), len(history.trials)) > 1
         )
 
-    def list_ended(self, digest: str) -> list[core.UpstreamLife]:
+    def list_crashed(self, digest: str) -> list[core.UpstreamLife]:
         """Return the upstreams that a request has crashed."""
         history = self._histories.get(digest)
         return sorted(history.ended) if history is not None else []
 
-    def has_ended(
+    def has_crashed(
         self, incarnation: core.UpstreamLife, lag_s: float = 0.0
     ) -> bool:
         """Return whether an upstream has crashed under any request recently.
@@ -231,7 +231,7 @@
             for each in self._histories.values()
         )
 
-    def get_since_s(self, digest: str) -> float:
+    def get_crash_age_s(self, digest: str) -> float:
         """Return the time since the last crash, in seconds.
 
         It is infinite if there is no record.
@@ -241,9 +241,9 @@
             return math.inf
         return self._clock.now() - history.last_crash_at
 
-    def get_gone_s(self, digest: str) -> float:
+    def get_exclusion_left_s(self, digest: str) -> float:
         """Return how long its crashed upstreams stay excluded, in seconds."""
-        return max(0.0, GONE_S - self.get_since_s(digest))
+        return max(0.0, GONE_S - self.get_crash_age_s(digest))
 
     def has_canary(self, digest: str) -> bool:
         """Return whether a canary of a request is in flight at this host."""
@@ -263,7 +263,7 @@
         if not self._canary_counts[digest]:
             del self._canary_counts[digest]
 
-    def note_trial(
+    def record_crash(
         self,
         digest: str,
         began: float,
@@ -293,7 +293,7 @@
         for call in self._local_listeners:
             call()
 
-    def note_answered(self, digest: str) -> None:
+    def record_answer(self, digest: str) -> None:
         """Record that an upstream has answered, which clears the request."""
         history = self._histories.get(digest)
         if history is None or history.answered:
@@ -364,9 +364,7 @@
             # Nothing new. Repeated reports of a crash differ in age only.
             return
         before = (
-            history.get_standing(now)
-            if history.trials
-            else QuarantineState.CLEAR
+            history.get_state(now) if history.trials else QuarantineState.CLEAR
         )
         history.trials = merged_trials
         history.ended = merged_ended
@@ -394,7 +392,7 @@
             events.LogKind.QUARANTINE_CHANGED,
             digest=digest,
             before=before.value,
-            standing=history.get_standing(now).value,
+            standing=history.get_state(now).value,
             trials=len(history.trials),
             origin=origin,
         )
--- a/rudderrock/gateway/discovery/_routing.py
+++ b/rudderrock/gateway/discovery/_routing.py
@@ -179,7 +179,7 @@
         priorities = self._priorities_by_shards[route.target.shards]
         return sum(priority < route.priority for priority in priorities)
 
-    def list_wide_only(self, least: int) -> frozenset[ServiceName]:
+    def list_wide_services(self, least: int) -> frozenset[ServiceName]:
         """Return the services of routes to at least `least` services.
 
         Services that a narrower route uses too are left out.
--- a/rudderrock/gateway/discovery/_synchronizer.py
+++ b/rudderrock/gateway/discovery/_synchronizer.py
@@ -268,11 +268,11 @@
             match answer:
                 case result.Ok(changes):
                     self._apply_changes(client, changes)
-                    if self._is_good(changes):
-                        is_in_step = client.is_in_step
+                    if self._is_sufficient(changes):
+                        is_incremental = client.is_incremental
                         await self._pause(
                             AFTER_ANSWER_PAUSE_S
-                            if is_in_step
+                            if is_incremental
                             else RETRY_INTERVAL_S
                         )
                         return True
@@ -296,7 +296,7 @@
             evacuations=self._evacuated.current.position,
         )
 
-    def _is_good(self, changes: peers.Changes) -> bool:
+    def _is_sufficient(self, changes: peers.Changes) -> bool:
         """Return whether the changes of a peer replace an own reading.
 
         Each relay adds up to one polling period to the age. Data that was
@@ -381,7 +381,7 @@
                 self._apply_hosts(found, origin)
         if changes.age_ms < 0:
             return
-        self._era.note(
+        self._era.record_position(
             changes.upstreams_position, self._directory.position, origin
         )
         stamp = directory.ReadingStamp(
@@ -410,9 +410,9 @@
             # to drop these upstreams, and what the peer knew when its data was
             # ignored: it may have a newer entry for an upstream than the
             # restored source.
-            client.note_applied(None)
+            client.acknowledge(None)
         else:
-            client.note_applied(changes)
+            client.acknowledge(changes)
 
     async def _read_source(self) -> bool:
         """Read what is due from the source; return whether it answered."""
@@ -458,7 +458,7 @@
 
     def _apply_upstreams(self, reading: sources.UpstreamReading) -> None:
         self._log_new_problems(reading.problems)
-        if self._era.note(
+        if self._era.record_position(
             reading.position, self._directory.position, 'source'
         ):
             # The watch may continue from a revision that was assigned again.
--- a/rudderrock/gateway/forwarding/_calls.py
+++ b/rudderrock/gateway/forwarding/_calls.py
@@ -18,13 +18,13 @@
 class Counters:
     """Counts of the attempts that this host has sent to upstreams.
 
-    `denied` counts extra attempts that the budget did not allow.
+    `extras_denied` counts extra attempts that the budget did not allow.
     """
 
-    firsts: int = 0
+    first_attempts: int = 0
     hedges: int = 0
     retries: int = 0
-    denied: int = 0
+    extras_denied: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/rudderrock/gateway/forwarding/_connections.py
+++ b/rudderrock/gateway/forwarding/_connections.py
@@ -1,8 +1,8 @@
 """Connections that this host needs, and limits on how many it opens."""
 
 from rudderrock import core
-from rudderrock.gateway.decisions import _connection_shares as shares
 from rudderrock.gateway.decisions import _replicas as replicas
+from rudderrock.gateway.decisions import _shares as shares
 from rudderrock.gateway.discovery import _directory as directory
 from rudderrock.gateway.discovery import _fleet as fleet
 from rudderrock.gateway.discovery import _routing as routing
@@ -41,7 +41,7 @@
 
     def update_table(self, table: routing.RoutingTable) -> None:
         """Update the services that only wide queries use."""
-        self._wide_services = table.list_wide_only(delegate.WIDE_SHARDS)
+        self._wide_services = table.list_wide_services(delegate.WIDE_SHARDS)
 
     def warm(self, selector: replicas.ReplicaSelector) -> None:
         """Open the connections that this host will need.
@@ -49,7 +49,7 @@
         Connections to hosts that are no longer registered are closed.
         """
         self._delegation.close_unlisted()
-        for service in self.list_wanted(selector):
+        for service in self.list_required_services(selector):
             selector.warm(service)
         table = self._tables.current
         if table is None or not self._hosts.is_listed:
@@ -88,7 +88,7 @@
         others = max(1, self._hosts.count() - hosts)
         return OTHER_HOST_SLACK_FRACTION * slack / others
 
-    def list_wanted(
+    def list_required_services(
         self, selector: replicas.ReplicaSelector
     ) -> set[routing.ServiceName]:
         """Return the services to which this host itself sends requests."""
@@ -125,7 +125,7 @@
             senders = self._hosts.rank_zone(zone)
         return [each.host for each in senders or self._hosts.list_hosts()]
 
-    def get_share(
+    def get_connection_limit(
         self, endpoint: directory.Endpoint
     ) -> shares.ConnectionShare:
         """Return how many connections this host may open to an upstream."""
@@ -136,7 +136,7 @@
         counts = self._hosts.count_by_zone()
         if is_wide:
             counts = coordinators.count_by_zone()
-        share = shares.share_links(
+        share = shares.compute_connection_share(
             endpoint,
             self._directory.list_ready(service),
             entry.max_connections if entry is not None else 1,
--- a/rudderrock/gateway/forwarding/_delegate.py
+++ b/rudderrock/gateway/forwarding/_delegate.py
@@ -231,7 +231,7 @@
         A hedge, sent after a late first attempt, may need another round trip
         of the same length. Round trips that are too long are measured again.
         """
-        available = self.coordinators.list_open(zone)
+        available = self.coordinators.list_available(zone)
         if not available:
             return False
         left_s = call.goal_at - self._clock.now()
@@ -245,7 +245,7 @@
                 peer.round_trip_s or DEFAULT_ROUND_TRIP_S
             ) > time_per_attempt_s:
                 has_time = False
-                peer.measure()
+                peer.measure_round_trip()
         return has_time
 
     def list_clients(self) -> list[http_client.HttpClient]:
@@ -317,7 +317,9 @@
         match answer:
             case result.Ok(reply):
                 return self._parse_result(candidate.entry, reply)
-            case result.Err(http_client.NoReply(signed=False) as problem):
+            case result.Err(
+                http_client.NoReply(had_interim_reply=False) as problem
+            ):
                 return NotStarted(problem.sent)
             case result.Err(problem):
                 return results.fail(
@@ -373,20 +375,20 @@
                 call.expires_at - loop.time(),
                 make_headers,
                 call.request_id,
-                sign_s=round_trip_s + INTERIM_REPLY_TIMEOUT_S,
+                interim_timeout_s=round_trip_s + INTERIM_REPLY_TIMEOUT_S,
             )
         finally:
             suspect.cancel()
         match answer:
             case result.Ok(reply) if reply.get_header(REFUSAL_REASON) is None:
-                self.coordinators.note_good(entry)
+                self.coordinators.record_success(entry)
                 return answer
             case result.Ok(reply):
                 return self._handle_refusal(entry, reply)
             case result.Err(problem):
                 skip_s = (
                     coordinators.SKIP_S
-                    if problem.signed
+                    if problem.had_interim_reply
                     else UNRESPONSIVE_SKIP_S
                 )
                 self.coordinators.skip(entry, problem.detail, skip_s)
@@ -402,7 +404,7 @@
         detail = f'did not take a query: {reason}'
         is_full = reason.startswith(RefusalReason.FULL.value)
         pause_s = FULL_PAUSE_S if is_full else REFUSAL_PAUSE_S
-        self.coordinators.pause(entry, detail, pause_s)
+        self.coordinators.skip_for(entry, detail, pause_s)
         return result.Err(http_client.NoReply(False, detail))
 
     def close(self) -> None:
@@ -413,7 +415,7 @@
     def _parse_result(
         self, entry: fleet.HostEntry, reply: messages.Reply
     ) -> results.Result:
-        forwardable = messages.pass_on(reply)
+        forwardable = messages.make_forwardable(reply)
         detail = f'by {entry.host}'
         if reply.status != 200:
             outcome = _OUTCOME_BY_STATUS.get(
--- a/rudderrock/gateway/forwarding/_forward.py
+++ b/rudderrock/gateway/forwarding/_forward.py
@@ -325,7 +325,7 @@
     settled_call = forwarder.service_calls[0]
     late = int(settled_call.is_late)
     if settled_call.answer is not None:
-        reply = messages.pass_on(settled_call.answer)
+        reply = messages.make_forwardable(settled_call.answer)
         return results.Result(
             reply,
             results.Outcome.ANSWERED,
@@ -335,7 +335,7 @@
             far=count_cross_region([settled_call]),
         )
     if settled_call.failure is not None:
-        reply = messages.pass_on(settled_call.failure)
+        reply = messages.make_forwardable(settled_call.failure)
         return results.Result(
             reply,
             results.Outcome.UPSTREAM_FAILED,
--- a/rudderrock/gateway/forwarding/_gateway.py
+++ b/rudderrock/gateway/forwarding/_gateway.py
@@ -105,7 +105,7 @@
             dependencies.hosts.own.host,
             # A random delay keeps hosts from sending canaries at once.
             functools.partial(
-                dependencies.quarantine.has_ended,
+                dependencies.quarantine.has_crashed,
                 lag_s=dependencies.chance.uniform(0.0, canary.TRIAL_SPREAD_S),
             ),
         )
@@ -114,8 +114,8 @@
         self.load_estimator = host_load.LoadEstimator(
             dependencies.clock, config.cores, config.link_bytes_s
         )
-        self.delegated = 0
-        self.takes_delegated = True
+        self.delegated_in_flight = 0
+        self.accepts_delegated = True
         self._config = config
         self._dependencies = dependencies
         self._thresholds = forward.HedgeThresholds()
@@ -170,7 +170,9 @@
         """Keep connections open for hedges, until cancelled."""
         while True:
             await asyncio.sleep(WARM_INTERVAL_S)
-            for service in self._connections.list_wanted(self.selector):
+            for service in self._connections.list_required_services(
+                self.selector
+            ):
                 self.selector.warm_hedge(service)
 
     async def handle_delegated(
@@ -186,7 +188,7 @@
         version = request.get_header(delegate.VERSION) or b''
         names = self._config.names
         table = self._dependencies.tables.current
-        if not self.takes_delegated:
+        if not self.accepts_delegated:
             return delegate.make_refusal(
                 names, delegate.RefusalReason.STOPPING
             )
@@ -209,7 +211,7 @@
         elapsed = request.get_header(delegate.ELAPSED) or b''
         if elapsed.isdigit():
             request.arrived -= int(elapsed) / 1000
-        self.delegated += 1
+        self.delegated_in_flight += 1
         try:
             return await self.handle(
                 request,
@@ -217,7 +219,7 @@
                 shards=delegate.parse_service_names(listed or b''),
             )
         finally:
-            self.delegated -= 1
+            self.delegated_in_flight -= 1
 
     def _has_same_meaning(
         self,
@@ -317,7 +319,7 @@
                 )
             case routing.Scatter() if shards:
                 query_class = host_load.QueryClass(route.name, is_part=True)
-                self.load_estimator.note_begun(query_class, len(shards))
+                self.load_estimator.record_start(query_class, len(shards))
                 min_answers = request.get_header(delegate.MIN_ANSWERS) or b'1'
                 result = await gather.answer_part(
                     self._context,
@@ -327,7 +329,7 @@
                     shards,
                     int(min_answers),
                 )
-                self.load_estimator.note_ended(
+                self.load_estimator.record_end(
                     query_class, result.requests_sent, result.bytes_received
                 )
                 return result
@@ -390,24 +392,24 @@
         rank: int,
     ) -> results.Result:
         """Run a query over shards if admission control allows it."""
-        concurrency = self.admission.get_gate(scatter.shards)
-        if not self.admission.try_enter(concurrency, rank):
+        concurrency = self.admission.get_limit(scatter.shards)
+        if not self.admission.try_acquire(concurrency, rank):
             return results.refuse(
                 self._config.names,
                 call.request_id,
                 admission.RETRY_AFTER_S,
                 results.Outcome.OVERLOADED,
-                f'{concurrency.under_way} in flight, limit '
+                f'{concurrency.in_flight} in flight, limit '
                 f'{concurrency.limit:.1f}, rank {rank}',
             )
         congested = None
         query_class = host_load.QueryClass(call.route.name, is_part=False)
-        self.load_estimator.note_begun(query_class, len(scatter.shards))
+        self.load_estimator.record_start(query_class, len(scatter.shards))
         try:
             result = await gather.forward_to_all(
                 self._context, call, scatter, threshold, self.delegation
             )
-            self.load_estimator.note_ended(
+            self.load_estimator.record_end(
                 query_class, result.requests_sent, result.bytes_received
             )
             elapsed_s = self._dependencies.clock.now() - call.request.arrived
@@ -416,7 +418,7 @@
             )
             return result
         finally:
-            self.admission.leave(concurrency, congested)
+            self.admission.release(concurrency, congested)
 
     def _make_call(
         self,
@@ -441,7 +443,7 @@
             late_after_s=self._thresholds.get(route).get(),
             head=[
                 pair
-                for pair in messages.drop_connection_headers(request.headers)
+                for pair in messages.remove_hop_by_hop_headers(request.headers)
                 if pair[0] not in excluded_headers
             ],
             canary=probe,
@@ -467,7 +469,7 @@
         names = self._config.names
         if shards:
             return gather.refuse_part(
-                names, request_id, shards, probe.list_ended()
+                names, request_id, shards, probe.list_crashed()
             )
         return results.refuse(
             names,
@@ -547,7 +549,7 @@
     ) -> None:
         elapsed_s = self._dependencies.clock.now() - request.arrived
         name = route.name if route is not None else None
-        self._dependencies.metrics.note(name, result, elapsed_s)
+        self._dependencies.metrics.record_result(name, result, elapsed_s)
         request_id = request.get_header(self._config.names.request_id) or b''
         upstream_directory = self._dependencies.upstream_directory
         self._dependencies.events.record_request(
--- a/rudderrock/gateway/forwarding/_gather.py
+++ b/rudderrock/gateway/forwarding/_gather.py
@@ -78,7 +78,7 @@
     merged.reply.headers.append(delegate.make_missing_header(missing))
     if missing and call.canary.is_held:
         merged.reply.headers.append(
-            delegate.make_crashed_header(call.canary.list_ended())
+            delegate.make_crashed_header(call.canary.list_crashed())
         )
     return merged
 
--- a/rudderrock/gateway/forwarding/_parts.py
+++ b/rudderrock/gateway/forwarding/_parts.py
@@ -115,7 +115,7 @@
                 each.settle_from_part()
         if part_answer.crashed_upstreams is not None:
             part_failure = service_call.PartFailure.HELD_BACK
-            call.canary.warn(part_answer.crashed_upstreams)
+            call.canary.mark_suspected(part_answer.crashed_upstreams)
         # Missing shards come last: an answer clears the request of suspicion,
         # so their retries may be sent at once.
         for each in self._members:
--- a/rudderrock/gateway/forwarding/_service_call.py
+++ b/rudderrock/gateway/forwarding/_service_call.py
@@ -146,7 +146,7 @@
         """
         if self.settled:
             return
-        match self._call.canary.judge():
+        match self._call.canary.decide():
             case canary.SendDecision.SEND:
                 send_attempt()
             case canary.SendDecision.WAIT:
@@ -179,8 +179,8 @@
         if replica is None:
             self._fail(NO_UPSTREAM)
         elif not self._call.may_have_run_elsewhere:
-            self._budget.note_request()
-            self._context.counters.firsts += 1
+            self._budget.count_request()
+            self._context.counters.first_attempts += 1
             self._send(replica)
         elif self._has_attempts_for_all() and self._may_send_again():
             self._context.counters.retries += 1
@@ -209,9 +209,9 @@
     def settle_from_part(self) -> None:
         """Settle the call with the answer in another host's part."""
         self.is_in_part = True
-        self._call.canary.note_survived()
+        self._call.canary.record_survival()
         self.winner, self._delegated_replica = self._delegated_replica, None
-        self.winner.note_good()
+        self.winner.record_success()
         self._settle()
 
     def handle_part_failure(
@@ -230,7 +230,7 @@
         self.may_have_run = True
         self.detail = detail
         if part_failure is PartFailure.NO_ANSWER:
-            replica.note_bad()
+            replica.record_failure()
             self._fail(detail)
             return
         if self._has_attempts_for_all():
@@ -256,11 +256,11 @@
         """Send the call to a second replica because the first one is late."""
         if self.settled or not self._attempts or not self._is_idempotent:
             return
-        if self._call.canary.judge() is not canary.SendDecision.SEND:
+        if self._call.canary.decide() is not canary.SendDecision.SEND:
             return
         now = self._context.loop.time()
         slow = self._attempts[0]
-        slow.replica.note_bad()
+        slow.replica.record_failure()
         other = self._choose()
         if other is None or other.is_suspect(now, self._call.late_after_s):
             return
@@ -268,7 +268,7 @@
             self._attempts.remove(slow)
             self.sent -= 1
             self._send(other)
-            self._call.canary.note_over()
+            self._call.canary.record_inconclusive()
         elif self._may_send_again():
             self._context.counters.hedges += 1
             self._send(other)
@@ -284,7 +284,7 @@
             if attempt.exchange.sent_at is not None
         )
         for attempt in self._attempts:
-            attempt.replica.links.drop(attempt.exchange)
+            attempt.replica.links.cancel(attempt.exchange)
         self._attempts.clear()
 
     def _choose(self) -> replicas.Replica | None:
@@ -302,7 +302,7 @@
             self.extras += 1
             return True
         self.denied += 1
-        self._context.counters.denied += 1
+        self._context.counters.extras_denied += 1
         return False
 
     def _send(self, replica: replicas.Replica) -> None:
@@ -315,24 +315,24 @@
             call.request_id,
             lambda: call.render(upstream, context.names, context.loop.time()),
             lambda done, outcome: self._on_outcome(attempt, outcome),
-            headless=call.request.method == b'HEAD',
-            fresh=not self._is_idempotent,
+            is_head_request=call.request.method == b'HEAD',
+            needs_recent_connection=not self._is_idempotent,
         )
         attempt = Attempt(replica, exchange, context.loop.time())
         self._attempts.append(attempt)
         self.sent += 1
-        call.canary.note_sent()
-        context.selector.note_sent(replica.endpoint)
+        call.canary.record_sent()
+        context.selector.record_sent(replica.endpoint)
         replica.links.submit(exchange)
 
     def _on_outcome(self, attempt: Attempt, outcome: link.Outcome) -> None:
         if attempt in self._attempts:
             self._attempts.remove(attempt)
-        verdict = verdicts.judge_outcome(outcome, self._context.names)
+        verdict = verdicts.classify_outcome(outcome, self._context.names)
         self._update_canary(attempt, verdict, outcome)
         match verdict:
             case verdicts.Verdict.ANSWER:
-                attempt.replica.note_good()
+                attempt.replica.record_success()
                 self.answer = outcome
                 self.winner = attempt.replica
                 self._settle()
@@ -343,17 +343,17 @@
                 if outcome.status < 500:
                     self._settle()
                     return
-                attempt.replica.note_bad()
+                attempt.replica.record_failure()
             case verdicts.Verdict.REJECTED:
-                attempt.replica.note_bad(replicas.SHED_AVOID_S)
+                attempt.replica.record_failure(replicas.SHED_AVOID_S)
             case verdicts.Verdict.MISDIRECTED:
-                attempt.replica.note_gone()
-            case verdicts.Verdict.SPOILT | verdicts.Verdict.LOST:
+                attempt.replica.record_misdirected()
+            case verdicts.Verdict.INVALID_REPLY | verdicts.Verdict.LOST:
                 self.may_have_run = True
                 self.lost += verdict is verdicts.Verdict.LOST
-                attempt.replica.note_bad()
+                attempt.replica.record_failure()
             case verdicts.Verdict.UNSENT:
-                attempt.replica.note_bad(replicas.UNREACHABLE_AVOID_S)
+                attempt.replica.record_failure(replicas.UNREACHABLE_AVOID_S)
                 self.sent -= 1
                 self._unsent_count += 1
         self.detail = verdicts.describe_outcome(verdict, outcome)
@@ -373,20 +373,22 @@
         probe = self._call.canary
         match verdict:
             case verdicts.Verdict.LOST if not probe.is_answered:
-                probe.note_lost()
+                probe.record_lost()
                 endpoint = attempt.replica.endpoint
                 self._context.checker.check(
                     endpoint.address,
-                    functools.partial(probe.note_checked, endpoint.life),
+                    functools.partial(
+                        probe.record_checked, endpoint.incarnation
+                    ),
                 )
             case verdicts.Verdict.ANSWER:
-                probe.note_answered()
+                probe.record_answer()
             case verdicts.Verdict.FAILURE if _is_signed(
                 outcome, self._context.names
             ):
-                probe.note_answered()
+                probe.record_answer()
             case _:
-                probe.note_over()
+                probe.record_inconclusive()
 
     def _retry(self, verdict: verdicts.Verdict) -> None:
         now = self._context.loop.time()
@@ -441,11 +443,11 @@
         self._cancel_timer()
         for attempt in self._attempts:
             links = attempt.replica.links
-            links.leave(attempt.exchange, LOSER_TIMEOUT_S)
+            links.abandon(attempt.exchange, LOSER_TIMEOUT_S)
         left = len(self._attempts)
         self._attempts.clear()
         for _ in range(left):
-            self._call.canary.note_over()
+            self._call.canary.record_inconclusive()
         self._on_settled(self)
 
     def _cancel_timer(self) -> None:
--- a/rudderrock/gateway/forwarding/_zones.py
+++ b/rudderrock/gateway/forwarding/_zones.py
@@ -42,7 +42,7 @@
             entry = self._directory.get_endpoint(upstream)
             service = self._find_service(entry.service)
             if service is not None and service.warmup_per_s > 0.0:
-                self._directory.note_cold(upstream, service.warmup_s)
+                self._directory.mark_cold(upstream, service.warmup_s)
 
     def check_table(self, table: routing.RoutingTable) -> None:
         """Log each region that routes use but the settings don't define."""
--- a/rudderrock/gateway/http/_http_client.py
+++ b/rudderrock/gateway/http/_http_client.py
@@ -30,14 +30,14 @@
 class NoReply:
     """The result of a call that received no reply.
 
-    `sent` is whether the request may have arrived, `signed` whether an
-    interim reply has confirmed that it was read, and `timed_out` whether
+    `sent` is whether the request may have arrived, `had_interim_reply` whether
+    an interim reply has confirmed that it was read, and `timed_out` whether
     the only failure was a timeout.
     """
 
     sent: bool
     detail: str
-    signed: bool = False
+    had_interim_reply: bool = False
     timed_out: bool = False
 
 
@@ -99,15 +99,15 @@
         timeout_s: float,
         make_headers: Callable[[], messages.Headers] | None = None,
         request_id: bytes = b'',
-        sign_s: float | None = None,
+        interim_timeout_s: float | None = None,
     ) -> result.Result[messages.Reply, NoReply]:
         """Send one request and return its reply, or why there is none.
 
         `make_headers` replaces the default headers and is called when the
-        request is written. A reply with a request id is accepted only if
-        that id equals `request_id`. If `sign_s` is given, an interim reply
-        is requested, and the call fails if no reply of either kind arrives
-        within `sign_s` seconds.
+        request is written. A reply with a request id is accepted only if that
+        id equals `request_id`. If `interim_timeout_s` is given, an interim
+        reply is requested, and the call fails if no reply of either kind
+        arrives within `interim_timeout_s` seconds.
         """
 
         def render() -> bytes:
@@ -116,7 +116,7 @@
                 headers = make_headers()
             elif body:
                 headers.append(JSON)
-            if sign_s is not None:
+            if interim_timeout_s is not None:
                 headers.append(EXPECT_CONTINUE)
             return messages.render_request(method, target, headers, body)
 
@@ -135,7 +135,7 @@
         )
         self._pool.submit(exchange)
         try:
-            outcome = await pending.wait(timeout_s, sign_s)
+            outcome = await pending.wait(timeout_s, interim_timeout_s)
         except TimeoutError:
             sent = exchange.sent_at is not None
             return result.Err(
@@ -148,7 +148,7 @@
             )
         finally:
             if not pending.is_done:
-                self._pool.drop(exchange)
+                self._pool.cancel(exchange)
             self._pool.sweep()
         match outcome:
             case link.ConnectionLost(sent=sent, detail=detail):
@@ -161,7 +161,7 @@
         """Open connections until there are `count`, before calls need them."""
         self._pool.warm(count)
 
-    def measure(self) -> None:
+    def measure_round_trip(self) -> None:
         """Measure the round-trip time again by opening another connection.
 
         The first connections may have been slow to open because both sides
@@ -207,12 +207,12 @@
         self._changed.set()
 
     async def wait(
-        self, timeout_s: float, sign_s: float | None
+        self, timeout_s: float, interim_timeout_s: float | None
     ) -> link.Outcome:
         """Return the outcome, or raise TimeoutError on a timeout."""
         end = self._loop.time() + timeout_s
-        if sign_s is not None:
-            async with asyncio.timeout(min(sign_s, timeout_s)):
+        if interim_timeout_s is not None:
+            async with asyncio.timeout(min(interim_timeout_s, timeout_s)):
                 await self._changed.wait()
         while self._outcome is None:
             self._changed.clear()
--- a/rudderrock/gateway/http/_link.py
+++ b/rudderrock/gateway/http/_link.py
@@ -36,20 +36,21 @@
 class Exchange:
     """A request to one upstream and the callbacks for its reply.
 
-    `render` returns the bytes of the request. It is called when the request
-    is written, so that the remaining time stated in the request is current.
+    `render` returns the bytes of the request. It is called when the request is
+    written, so that the remaining time stated in the request is current.
     `on_done` is called once with the outcome, unless the exchange has been
-    dropped. `on_interim_reply` is called for each interim reply, which shows
-    that the other side has read the request (RFC 9110, 15.2). If `headless`
-    is true, the reply has no body. If `fresh` is true, the request must not
-    be sent on a connection that has been idle for long.
+    cancelled. `on_interim_reply` is called for each interim reply, which shows
+    that the other side has read the request (RFC 9110, 15.2). If
+    `is_head_request` is true, the reply has no body. If
+    `needs_recent_connection` is true, the request must not be sent on a
+    connection that has been idle for long.
     """
 
     __slots__ = (
         'request_id',
         'render',
-        'headless',
-        'fresh',
+        'is_head_request',
+        'needs_recent_connection',
         'on_done',
         'on_interim_reply',
         'sent_at',
@@ -63,14 +64,14 @@
         render: Callable[[], bytes],
         on_done: Callable[['Exchange', Outcome], None] | None,
         *,
-        headless: bool = False,
-        fresh: bool = False,
+        is_head_request: bool = False,
+        needs_recent_connection: bool = False,
         on_interim_reply: Callable[[], None] | None = None,
     ):
         self.request_id = request_id
         self.render = render
-        self.headless = headless
-        self.fresh = fresh
+        self.is_head_request = is_head_request
+        self.needs_recent_connection = needs_recent_connection
         self.on_done = on_done
         self.on_interim_reply = on_interim_reply
         self.sent_at: float | None = None
@@ -203,7 +204,7 @@
     def on_headers_complete(self) -> None:
         """Complete the reply if the request was a HEAD request."""
         self._head_done = True
-        if self.exchange is not None and self.exchange.headless:
+        if self.exchange is not None and self.exchange.is_head_request:
             self._unusable = True
             self._complete()
 
@@ -246,7 +247,7 @@
     def _deliver(self) -> None:
         reply, self._reply = self._reply, None
         exchange, self.exchange = self.exchange, None
-        self._note_keep_alive(reply)
+        self._record_keep_alive(reply)
         unsent = self._transport.get_write_buffer_size()
         reusable = self._keep_alive and not unsent
         if self._unusable or self._in_message or not reusable:
@@ -257,7 +258,7 @@
         if self.is_free:
             self._on_free(self)
 
-    def _note_keep_alive(self, reply: messages.Reply) -> None:
+    def _record_keep_alive(self, reply: messages.Reply) -> None:
         header = reply.get_header(b'keep-alive') or b''
         for parameter in header.split(b','):
             key, _, value = parameter.strip().partition(b'=')
--- a/rudderrock/gateway/http/_listener.py
+++ b/rudderrock/gateway/http/_listener.py
@@ -188,8 +188,8 @@
             item = await self._pending.get()
             if isinstance(item, str):
                 reply = messages.Reply(_STATUS_BY_PROBLEM[item], [])
-                self._listener.note_unreadable(item)
-                self._write(reply, close=True, headless=False)
+                self._listener.record_unreadable(item)
+                self._write(reply, close=True, is_head_request=False)
                 return
             self._answering = True
             reply = await self._answer(item)
@@ -212,11 +212,13 @@
             return messages.Reply(500, [])
 
     def _write(
-        self, reply: messages.Reply, close: bool, headless: bool
+        self, reply: messages.Reply, close: bool, is_head_request: bool
     ) -> None:
         if self._transport.is_closing():
             return
-        self._transport.write(messages.render_reply(reply, close, headless))
+        self._transport.write(
+            messages.render_reply(reply, close, is_head_request)
+        )
         if close:
             self.close()
 
@@ -238,7 +240,7 @@
 class CallerListener:
     """A listening address and its accepted connections.
 
-    `handle` returns the reply to a request. `note_unreadable` is called with
+    `handle` returns the reply to a request. `record_unreadable` is called with
     the reason if a request could not be read: 'head' or 'body' if that part
     is too large, 'syntax' or 'slow'.
     """
@@ -246,10 +248,10 @@
     def __init__(
         self,
         handle: Handler,
-        note_unreadable: Callable[[str], None] = lambda problem: None,
+        record_unreadable: Callable[[str], None] = lambda problem: None,
     ):
         self.handle = handle
-        self.note_unreadable = note_unreadable
+        self.record_unreadable = record_unreadable
         self.limits = routing.IntakeLimits()
         self.links: set[CallerConnection] = set()
         self.is_stopping = False
--- a/rudderrock/gateway/http/_messages.py
+++ b/rudderrock/gateway/http/_messages.py
@@ -71,7 +71,7 @@
     return None
 
 
-def drop_connection_headers(headers: Headers) -> Headers:
+def remove_hop_by_hop_headers(headers: Headers) -> Headers:
     """Return the headers that may be forwarded (RFC 9110, 7.6.1).
 
     Headers that are listed in `Connection` are removed as well.
@@ -86,10 +86,10 @@
     return [pair for pair in headers if pair[0] not in dropped]
 
 
-def pass_on(reply: Reply) -> Reply:
+def make_forwardable(reply: Reply) -> Reply:
     """Return a copy of a reply without its hop-by-hop headers."""
     return Reply(
-        reply.status, drop_connection_headers(reply.headers), reply.body
+        reply.status, remove_hop_by_hop_headers(reply.headers), reply.body
     )
 
 
@@ -110,21 +110,23 @@
     return b''.join(lines)
 
 
-def render_reply(reply: Reply, close: bool, headless: bool = False) -> bytes:
+def render_reply(
+    reply: Reply, close: bool, is_head_request: bool = False
+) -> bytes:
     """Return the bytes of a reply.
 
-    If `close` is true, the reply announces that the connection will be
-    closed. If `headless` is true, the body and the content length are left
-    out, as for a HEAD request.
+    If `close` is true, the reply announces that the connection will be closed.
+    If `is_head_request` is true, the body and the content length are left out,
+    as for a HEAD request.
     """
     reason = _REASON_PHRASES.get(reply.status, b'Unknown')
     lines = [b'HTTP/1.1 %d %b\r\n' % (reply.status, reason)]
     lines += [b'%b: %b\r\n' % pair for pair in reply.headers]
-    if reply.status not in (204, 304) and not headless:
+    if reply.status not in (204, 304) and not is_head_request:
         lines.append(b'content-length: %d\r\n' % len(reply.body))
     if close:
         lines.append(b'connection: close\r\n')
     lines.append(b'\r\n')
-    if not headless:
+    if not is_head_request:
         lines.append(reply.body)
     return b''.join(lines)
--- a/rudderrock/gateway/http/_pool.py
+++ b/rudderrock/gateway/http/_pool.py
@@ -32,9 +32,9 @@
 class Pool:
     """A pool of at most `cap` connections to one endpoint.
 
-    If `is_spare` is true, this host has no share of the upstream's
+    If `is_unallocated` is true, this host has no share of the upstream's
     connections and closes each connection after a short idle time.
-    `count_dial` is called each time that opening a connection starts.
+    `count_opened` is called each time that opening a connection starts.
     """
 
     def __init__(
@@ -42,19 +42,19 @@
         endpoint: directory.Endpoint,
         loop: asyncio.AbstractEventLoop,
         names: header_names.HeaderNames,
-        count_dial: Callable[[], None],
+        count_opened: Callable[[], None],
         cap: int = 1,
         keep_alive_s: float = DEFAULT_KEEP_ALIVE_S,
     ):
         self.endpoint = endpoint
         self.cap = cap
-        self.is_spare = False
+        self.is_unallocated = False
         # The shortest time in seconds in which the other side has accepted a
         # connection or sent an interim reply.
         self.round_trip_s: float | None = None
         self._loop = loop
         self._names = names
-        self._count_dial = count_dial
+        self._count_opened = count_opened
         self._keep_alive_s = keep_alive_s
         self._free: list[link_module.Link] = []
         self._links: set[link_module.Link] = set()
@@ -103,7 +103,7 @@
 
     def submit(self, exchange: link_module.Exchange) -> None:
         """Send the request of an exchange once a connection is free."""
-        link = self._take_free(exchange.fresh)
+        link = self._take_free(exchange.needs_recent_connection)
         if link is not None:
             link.start(exchange)
             return
@@ -121,21 +121,21 @@
         exchange.on_done = None
         return True
 
-    def drop(self, exchange: link_module.Exchange) -> None:
+    def cancel(self, exchange: link_module.Exchange) -> None:
         """Cancel an exchange and close its connection if it was sent."""
         exchange.on_done = None
         if not self.withdraw(exchange) and exchange.link is not None:
             self._abort_unanswered(exchange)
 
-    def leave(self, exchange: link_module.Exchange, patience_s: float) -> None:
+    def abandon(self, exchange: link_module.Exchange, grace_s: float) -> None:
         """Let an exchange finish whose reply is no longer needed.
 
         The connection can be reused once the reply has arrived. If it has
-        not arrived after `patience_s` seconds, the connection is closed.
+        not arrived after `grace_s` seconds, the connection is closed.
         """
         exchange.on_done = None
         if not self.withdraw(exchange):
-            exchange.abort_at = self._loop.time() + patience_s
+            exchange.abort_at = self._loop.time() + grace_s
 
     def record_round_trip(self, elapsed_s: float) -> None:
         """Update the shortest measured round-trip time."""
@@ -182,7 +182,7 @@
         exchange.link.abort()
 
     def _get_max_idle_s(self, link: link_module.Link) -> float:
-        if self.is_spare:
+        if self.is_unallocated:
             return UNALLOCATED_IDLE_S
         return (link.keep_alive_s or self._keep_alive_s) * KEEP_ALIVE_FRACTION
 
@@ -209,13 +209,18 @@
         for link in list(self._links):
             link.abort()
 
-    def _take_free(self, fresh: bool) -> link_module.Link | None:
+    def _take_free(
+        self, needs_recent_connection: bool
+    ) -> link_module.Link | None:
         now = self._loop.time()
         while self._free:
             link = self._free.pop()
             if not link.is_free:
                 continue
-            if fresh and now - link.idle_since > RECENT_USE_S:
+            if (
+                needs_recent_connection
+                and now - link.idle_since > RECENT_USE_S
+            ):
                 link.abort()
                 continue
             return link
@@ -228,7 +233,7 @@
             self._dial()
 
     def _dial(self) -> None:
-        self._count_dial()
+        self._count_opened()
         task = self._loop.create_task(self._connect())
         self._dials.add(task)
         task.add_done_callback(self._dials.discard)
--- a/rudderrock/gateway/http/_verdicts.py
+++ b/rudderrock/gateway/http/_verdicts.py
@@ -9,17 +9,17 @@
 class Verdict(enum.Enum):
     """The class of an attempt's outcome.
 
-    ANSWER is a valid reply; FAILURE an error reply from the upstream;
-    REJECTED a rejection that states that the request was not run;
-    MISDIRECTED status 421; SPOILT an invalid reply; LOST no complete reply
-    to a request that may have arrived; UNSENT a request that was not sent.
+    ANSWER is a valid reply; FAILURE an error reply from the upstream; REJECTED
+    a rejection that states that the request was not run; MISDIRECTED status
+    421; INVALID_REPLY an invalid reply; LOST no complete reply to a request
+    that may have arrived; UNSENT a request that was not sent.
     """
 
     ANSWER = 'answer'
     FAILURE = 'failure'
     REJECTED = 'rejected'
     MISDIRECTED = 'misdirected'
-    SPOILT = 'spoilt'
+    INVALID_REPLY = 'spoilt'
     LOST = 'lost'
     UNSENT = 'unsent'
 
@@ -28,7 +28,7 @@
 NOT_RUN = frozenset({Verdict.UNSENT, Verdict.REJECTED, Verdict.MISDIRECTED})
 
 
-def judge_outcome(
+def classify_outcome(
     outcome: link.Outcome, names: header_names.HeaderNames
 ) -> Verdict:
     """Return the verdict on an outcome.
@@ -47,11 +47,11 @@
     if outcome.get_header(names.not_run):
         return Verdict.REJECTED
     if outcome.get_header(b'content-encoding') is not None:
-        return Verdict.SPOILT
+        return Verdict.INVALID_REPLY
     if outcome.status >= 300:
         return Verdict.FAILURE
     if outcome.get_header(names.stamp) is None:
-        return Verdict.SPOILT
+        return Verdict.INVALID_REPLY
     return Verdict.ANSWER
 
 
--- a/rudderrock/platform/__init__.py
+++ b/rudderrock/platform/__init__.py
@@ -9,7 +9,7 @@
 from rudderrock.platform._decode import decode_upstream
 from rudderrock.platform._headers import NAMES
 from rudderrock.platform._settings_file import METRICS_PORT
-from rudderrock.platform._settings_file import read_boot
+from rudderrock.platform._settings_file import read_settings_file
 from rudderrock.platform._settings_file import SettingsFile
 from rudderrock.platform._store import StoreSource
 
@@ -20,5 +20,5 @@
     'StoreSource',
     'decode_table',
     'decode_upstream',
-    'read_boot',
+    'read_settings_file',
 ]
--- a/rudderrock/platform/_settings_file.py
+++ b/rudderrock/platform/_settings_file.py
@@ -27,7 +27,7 @@
     settings: gateway.GatewaySettings
 
 
-def read_boot(path: pathlib.Path) -> result.Result[SettingsFile, str]:
+def read_settings_file(path: pathlib.Path) -> result.Result[SettingsFile, str]:
     """Return the content of the file; unknown fields are ignored."""
     try:
         text = path.read_text(encoding='utf-8')
--- a/rudderrock/programs/gateway.py
+++ b/rudderrock/programs/gateway.py
@@ -35,7 +35,7 @@
     """
     path = config or pathlib.Path(os.environ.get(CONFIG_VARIABLE, ''))
     gateway.set_up_log(_STDOUT)
-    match platform.read_boot(path):
+    match platform.read_settings_file(path):
         case result.Err(message):
             exits.fail(message, exits.Exit.USAGE)
         case result.Ok(boot):
@@ -53,7 +53,7 @@
     )
 
     def reload() -> None:
-        match platform.read_boot(path):
+        match platform.read_settings_file(path):
             case result.Ok(_):
                 events.record(gateway.LogKind.RELOADED, problem='')
             case result.Err(message):
