--- a/rudderrock/gateway/__init__.py
+++ b/rudderrock/gateway/__init__.py
@@ -42,7 +42,7 @@
 from rudderrock.gateway.discovery._peers import PeerClient
 from rudderrock.gateway.discovery._peers import read_changes
 from rudderrock.gateway.discovery._peers import render_changes
-from rudderrock.gateway.discovery._position import NOWHERE
+from rudderrock.gateway.discovery._position import NEVER_READ
 from rudderrock.gateway.discovery._position import Position
 from rudderrock.gateway.discovery._quarantine import Quarantine
 from rudderrock.gateway.discovery._quarantine import QuarantineState
@@ -139,7 +139,7 @@
     'Link',
     'LoadEstimator',
     'LogKind',
-    'NOWHERE',
+    'NEVER_READ',
     'NO_VERSION',
     'Outcome',
     'PeerClient',
--- a/rudderrock/gateway/decisions/_canary.py
+++ b/rudderrock/gateway/decisions/_canary.py
@@ -29,7 +29,7 @@
 # canary to upstreams that may have restarted. A canary and the message about
 # its outcome take about 0.1 s. Two hosts that receive copies of a request at
 # the same time therefore rarely both send a canary, and four almost never do.
-TRIAL_SPREAD_S = 2.0
+CANARY_SPREAD_S = 2.0
 # Time in seconds after a crash before another copy of the request sends its
 # canary. Until then attempts of the first copy may still be in flight, and may
 # crash one of the two upstreams that a service seems to have. They finish
@@ -175,7 +175,8 @@
         if self.state is quarantine.QuarantineState.QUARANTINED:
             return self._quarantine.get_quarantine_left_s(self.digest)
         return (
-            self._quarantine.get_exclusion_left_s(self.digest) + TRIAL_SPREAD_S
+            self._quarantine.get_exclusion_left_s(self.digest)
+            + CANARY_SPREAD_S
         )
 
     def record_sent(self) -> None:
@@ -264,7 +265,9 @@
         """
         if not self._crashed or self.is_answered:
             return
-        has_reached_limit = len(self._crashed) >= quarantine.MOST_TRIALS
+        has_reached_limit = (
+            len(self._crashed) >= quarantine.QUARANTINE_THRESHOLD
+        )
         if self._is_round_open() and (
             self._is_reported or not has_reached_limit
         ):
--- a/rudderrock/gateway/decisions/_coordinators.py
+++ b/rudderrock/gateway/decisions/_coordinators.py
@@ -23,8 +23,8 @@
 # this zone costs one round trip, and five of them cost less than the queue of
 # one full host. A round trip to another region takes a seventh of the goal of
 # an urgent query (16 of 112 ms), so only two hosts are tried there.
-MOST_TURNS = 5
-MOST_FAR_TURNS = 2
+MAX_ATTEMPTS = 5
+MAX_REMOTE_ATTEMPTS = 2
 # Time in seconds for which a host is skipped after it has rejected or lost a
 # query. Each consecutive failure doubles it, up to MAX_SKIP_S.
 SKIP_S = 4.0
--- a/rudderrock/gateway/decisions/_shares.py
+++ b/rudderrock/gateway/decisions/_shares.py
@@ -16,7 +16,7 @@
 FAR_FRACTION = 0.32
 # Maximum number of connections of one host to an upstream. Further requests
 # wait at this host, which can still send them to another upstream.
-MOST_CONNECTIONS = 8
+MAX_CONNECTIONS = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
         connections = accepted * NEAR_FRACTION / max(1, near)
     else:
         connections = accepted * FAR_FRACTION / max(1, far)
-    cap = min(max(1, int(connections)), MOST_CONNECTIONS)
+    cap = min(max(1, int(connections)), MAX_CONNECTIONS)
     return ConnectionShare(cap, connections < 1.0)
 
 
--- a/rudderrock/gateway/discovery/_directory.py
+++ b/rudderrock/gateway/discovery/_directory.py
@@ -116,7 +116,7 @@
 
     def __init__(self, clock: core.Clock):
         self.stamp: ReadingStamp | None = None
-        self.position = position.NOWHERE
+        self.position = position.NEVER_READ
         self._clock = clock
         self._endpoints: dict[core.UpstreamId, Endpoint] = {}
         self._evacuated: frozenset[core.ZoneId] = frozenset()
@@ -269,7 +269,7 @@
         A restored source lacks upstreams that registered after the backup,
         however short its outage was.
         """
-        if self.position != position.NOWHERE:
+        if self.position != position.NEVER_READ:
             self.hold_for(REREGISTRATION_GRACE_S)
             self._restore.begin()
 
--- a/rudderrock/gateway/discovery/_era.py
+++ b/rudderrock/gateway/discovery/_era.py
@@ -19,7 +19,7 @@
     """
 
     def __init__(self, events: log.EventLog):
-        self.current = position.NOWHERE.era
+        self.current = position.NEVER_READ.era
         self.restore_count = 0
         self._events = events
 
@@ -34,7 +34,7 @@
         if read.era <= self.current:
             return False
         before, self.current = self.current, read.era
-        if before == position.NOWHERE.era:
+        if before == position.NEVER_READ.era:
             return False
         self.restore_count += 1
         self._events.record(
--- a/rudderrock/gateway/discovery/_evacuations.py
+++ b/rudderrock/gateway/discovery/_evacuations.py
@@ -17,7 +17,7 @@
 from rudderrock.gateway.discovery import _era as era
 from rudderrock.gateway.discovery import _position as position
 
-NOT_TOLD = -1
+UNKNOWN_REVISION = -1
 # Number of ended evacuations that are remembered.
 MAX_ENDED_EVACUATIONS = 256
 
@@ -27,7 +27,8 @@
     """The evacuated zones at a position of the source.
 
     `written` maps each zone to the revision at which an operator evacuated it,
-    or to `NOT_TOLD` if a peer of the previous version sent no revision.
+    or to `UNKNOWN_REVISION` if a peer of the previous version sent no
+    revision.
     """
 
     position: position.Position
@@ -59,11 +60,11 @@
         clock: core.Clock,
         events: log.EventLog,
     ):
-        self.current = Evacuations(position.NOWHERE, {})
+        self.current = Evacuations(position.NEVER_READ, {})
         self.zones: frozenset[core.ZoneId] = frozenset()
         # The position of the last snapshot that differed from the one before
         # it.
-        self.changed_at = position.NOWHERE
+        self.changed_at = position.NEVER_READ
         self._known_zones = frozenset(known_zones)
         self._clock = clock
         self._events = events
@@ -77,7 +78,7 @@
     @property
     def is_known(self) -> bool:
         """Return whether any snapshot has been received."""
-        return self.current.position != position.NOWHERE
+        return self.current.position != position.NEVER_READ
 
     def add_listener(self, call: Callable[[Evacuations], None]) -> None:
         """Register a callback for the first and each changed set of zones."""
@@ -139,7 +140,10 @@
             written = self.current.written
             in_force = Evacuations(
                 self.current.position,
-                {zone: written.get(zone, NOT_TOLD) for zone in self.zones},
+                {
+                    zone: written.get(zone, UNKNOWN_REVISION)
+                    for zone in self.zones
+                },
             )
             for call in self._listeners:
                 call(in_force)
--- a/rudderrock/gateway/discovery/_peers.py
+++ b/rudderrock/gateway/discovery/_peers.py
@@ -89,7 +89,7 @@
     table: int = -1
     table_version: int | None = None
     is_lost: bool = False
-    evacuations: int = position.NOWHERE.revision
+    evacuations: int = position.NEVER_READ.revision
     evacuations_era: int | None = None
     quarantine: int = 0
 
@@ -99,9 +99,9 @@
     """Versions and source positions in force at the polling host."""
 
     table_version: routing.TableVersion = routing.NO_VERSION
-    table: position.Position = position.NOWHERE
-    upstreams: position.Position = position.NOWHERE
-    evacuations: position.Position = position.NOWHERE
+    table: position.Position = position.NEVER_READ
+    upstreams: position.Position = position.NEVER_READ
+    evacuations: position.Position = position.NEVER_READ
 
 
 class Changes(msgspec.Struct, frozen=True, kw_only=True):
@@ -149,7 +149,7 @@
     table_era: int = 0
     evacuated: list[str] = []
     evacuated_at: list[int] = []
-    evacuations_revision: int = position.NOWHERE.revision
+    evacuations_revision: int = position.NEVER_READ.revision
     evacuations_era: int = 0
     suspects: list[quarantine.Record] = []
     quarantine_generation: int = 0
@@ -175,7 +175,7 @@
     def evacuations_written(self) -> dict[core.ZoneId, int]:
         """Return the evacuated zones with the revision of each evacuation."""
         revisions = itertools.chain(
-            self.evacuated_at, itertools.repeat(evacuations.NOT_TOLD)
+            self.evacuated_at, itertools.repeat(evacuations.UNKNOWN_REVISION)
         )
         zones = map(core.ZoneId, self.evacuated)
         return dict(zip(zones, revisions, strict=False))
@@ -442,7 +442,7 @@
         self.entry = entry
         self.known = Known()
         self._hosts: dict[core.HostId, fleet.HostEntry] = {}
-        self._received_table_revision = position.NOWHERE.revision
+        self._received_table_revision = position.NEVER_READ.revision
         self._received_table_version = routing.NO_VERSION
         self._client = http_client.HttpClient(
             core.split_address(entry.address)
--- a/rudderrock/gateway/discovery/_position.py
+++ b/rudderrock/gateway/discovery/_position.py
@@ -21,4 +21,4 @@
 
 
 # The position before the first reading.
-NOWHERE = Position(-1, -1)
+NEVER_READ = Position(-1, -1)
--- a/rudderrock/gateway/discovery/_quarantine.py
+++ b/rudderrock/gateway/discovery/_quarantine.py
@@ -28,12 +28,12 @@
 # quarantined. One can be an ordinary crash, which also affects unrelated
 # requests. Two can be the crash of a shard's last replicas. Users count the
 # upstreams that a request crashes from the third on.
-MOST_TRIALS = 3
-# The same for a request that has crashed `MOST_TRIALS` upstreams or more, of
-# one or several services. So many crashes in a first attempt are not an
-# ordinary crash, so one further failed attempt suffices. Of the later crashes,
-# users again count from the third upstream on, so two canaries that two hosts
-# send at the same moment are still within the limit.
+QUARANTINE_THRESHOLD = 3
+# The same for a request that has crashed `QUARANTINE_THRESHOLD` upstreams or
+# more, of one or several services. So many crashes in a first attempt are not
+# an ordinary crash, so one further failed attempt suffices. Of the later
+# crashes, users again count from the third upstream on, so two canaries that
+# two hosts send at the same moment are still within the limit.
 _SPREAD_QUARANTINE_THRESHOLD = 2
 # How long a request is suspect after its last crash, in seconds. A suspect
 # request is sent to a single upstream first, as a canary, so a copy crashes
@@ -60,7 +60,7 @@
 # How long a crashed upstream is assumed to be down, in seconds. Its
 # registration lapses after three missed heartbeats of 1.2 s, and hosts read
 # that a little later. An upstream that is registered after that is alive.
-GONE_S = 4.0
+CRASH_EXCLUSION_S = 4.0
 # Maximum number of crashed upstreams recorded for one request. Suffices for
 # all replicas of 170 shards.
 _MAX_ENDED_UPSTREAMS = 512
@@ -126,9 +126,9 @@
         return len(self.trials) >= self.get_threshold()
 
     def get_threshold(self) -> int:
-        if len(self.ended) >= MOST_TRIALS:
+        if len(self.ended) >= QUARANTINE_THRESHOLD:
             return _SPREAD_QUARANTINE_THRESHOLD
-        return MOST_TRIALS
+        return QUARANTINE_THRESHOLD
 
     def get_quarantine_duration_s(self) -> float:
         extra_trials = max(0, len(self.trials) - self.get_threshold())
@@ -223,9 +223,9 @@
     ) -> bool:
         """Return whether an upstream has crashed under any request recently.
 
-        That is within the last `GONE_S + lag_s` seconds.
+        That is within the last `CRASH_EXCLUSION_S + lag_s` seconds.
         """
-        oldest = self._clock.now() - GONE_S - lag_s
+        oldest = self._clock.now() - CRASH_EXCLUSION_S - lag_s
         return any(
             each.ended.get(incarnation, -math.inf) > oldest
             for each in self._histories.values()
@@ -243,7 +243,7 @@
 
     def get_exclusion_left_s(self, digest: str) -> float:
         """Return how long its crashed upstreams stay excluded, in seconds."""
-        return max(0.0, GONE_S - self.get_crash_age_s(digest))
+        return max(0.0, CRASH_EXCLUSION_S - self.get_crash_age_s(digest))
 
     def has_canary(self, digest: str) -> bool:
         """Return whether a canary of a request is in flight at this host."""
--- a/rudderrock/gateway/discovery/_sources.py
+++ b/rudderrock/gateway/discovery/_sources.py
@@ -133,7 +133,7 @@
     def __init__(self, clock: core.Clock, events: log.EventLog):
         self.current: routing.RoutingTable | None = None
         self.raw = b''
-        self.position = position.NOWHERE
+        self.position = position.NEVER_READ
         self._clock = clock
         self._events = events
         self._applied_at: float | None = None
--- a/rudderrock/gateway/forwarding/_delegate.py
+++ b/rudderrock/gateway/forwarding/_delegate.py
@@ -36,11 +36,11 @@
 UNRESPONSIVE_SKIP_S = 1.0
 # How long a host is skipped after it refused a query, usually because its
 # routing table differs. The tables converge within this time.
-REFUSAL_PAUSE_S = 0.3
+REFUSAL_SKIP_S = 0.3
 # How long a full host is skipped. Its queued work takes a tenth of a latency
 # goal, about 10 to 30 ms. It is asked again soon afterwards, so that the load
 # on other hosts ends with the burst.
-FULL_PAUSE_S = 0.1
+FULL_SKIP_S = 0.1
 # A host is skipped if its answer is this much later than the latency goal.
 SUSPECT_AFTER_S = 0.1
 # Headers of a delegated query: the table version of the delegating host, and
@@ -184,7 +184,7 @@
         if not has_room:
             tried = (*tried, own.host)
         candidate = self._pick_candidate(
-            own.zone, request_id, tried, coordinators.MOST_TURNS
+            own.zone, request_id, tried, coordinators.MAX_ATTEMPTS
         )
         return (
             None if candidate is None or candidate.entry == own else candidate
@@ -197,10 +197,10 @@
         tried: tuple[core.HostId, ...],
     ) -> Candidate | None:
         """Return the host of another zone to ask for a part, or None."""
-        if len(tried) >= coordinators.MOST_FAR_TURNS:
+        if len(tried) >= coordinators.MAX_REMOTE_ATTEMPTS:
             return None
         return self._pick_candidate(
-            zone, request_id, tried, coordinators.MOST_FAR_TURNS
+            zone, request_id, tried, coordinators.MAX_REMOTE_ATTEMPTS
         )
 
     def _pick_candidate(
@@ -403,8 +403,8 @@
             reason = 'no reason that is known'
         detail = f'did not take a query: {reason}'
         is_full = reason.startswith(RefusalReason.FULL.value)
-        pause_s = FULL_PAUSE_S if is_full else REFUSAL_PAUSE_S
-        self.coordinators.skip_for(entry, detail, pause_s)
+        skip_s = FULL_SKIP_S if is_full else REFUSAL_SKIP_S
+        self.coordinators.skip_for(entry, detail, skip_s)
         return result.Err(http_client.NoReply(False, detail))
 
     def close(self) -> None:
--- a/rudderrock/gateway/forwarding/_gateway.py
+++ b/rudderrock/gateway/forwarding/_gateway.py
@@ -106,7 +106,7 @@
             # A random delay keeps hosts from sending canaries at once.
             functools.partial(
                 dependencies.quarantine.has_crashed,
-                lag_s=dependencies.chance.uniform(0.0, canary.TRIAL_SPREAD_S),
+                lag_s=dependencies.chance.uniform(0.0, canary.CANARY_SPREAD_S),
             ),
         )
         self.counters = calls.Counters()
