--- a/rudderrock/gateway/__init__.py
+++ b/rudderrock/gateway/__init__.py
@@ -10,104 +10,105 @@
 from rudderrock.gateway._process import GatewayProcess
 from rudderrock.gateway._process import ProcessState
 from rudderrock.gateway._settings import GatewaySettings
-from rudderrock.gateway.decisions._budget import ExtraBudget
-from rudderrock.gateway.decisions._canary import Advice
+from rudderrock.gateway.decisions._budget import ExtraRequestBudget
 from rudderrock.gateway.decisions._canary import Canary
-from rudderrock.gateway.decisions._canary import Waiter
+from rudderrock.gateway.decisions._canary import SendDecision
+from rudderrock.gateway.decisions._canary import WaitingAttempt
 from rudderrock.gateway.decisions._cold import ColdLimits
+from rudderrock.gateway.decisions._host_load import LoadEstimator
+from rudderrock.gateway.decisions._host_load import QueryClass
 from rudderrock.gateway.decisions._replicas import Replica
-from rudderrock.gateway.decisions._replicas import ReplicaBook
-from rudderrock.gateway.decisions._shares import LinkShare
-from rudderrock.gateway.decisions._shares import share_links
-from rudderrock.gateway.decisions._work import Kind as WorkKind
-from rudderrock.gateway.decisions._work import WorkMeter
+from rudderrock.gateway.decisions._replicas import ReplicaSelector
+from rudderrock.gateway.decisions._shares import compute_connection_share
+from rudderrock.gateway.decisions._shares import ConnectionShare
+from rudderrock.gateway.discovery._broadcast import QuarantineBroadcaster
+from rudderrock.gateway.discovery._broadcast import read_records
+from rudderrock.gateway.discovery._broadcast import render_records
+from rudderrock.gateway.discovery._directory import Directory
+from rudderrock.gateway.discovery._directory import DirectoryChange
+from rudderrock.gateway.discovery._directory import Endpoint
+from rudderrock.gateway.discovery._directory import Phase
+from rudderrock.gateway.discovery._directory import ReadingStamp
+from rudderrock.gateway.discovery._era import SourceEra
+from rudderrock.gateway.discovery._evacuations import EvacuationHolder
+from rudderrock.gateway.discovery._evacuations import Evacuations
+from rudderrock.gateway.discovery._fleet import Fleet
+from rudderrock.gateway.discovery._fleet import HostEntry
+from rudderrock.gateway.discovery._initial_sync import InitialSync
+from rudderrock.gateway.discovery._peers import ChangeFeed
+from rudderrock.gateway.discovery._peers import Changes
+from rudderrock.gateway.discovery._peers import InForce
+from rudderrock.gateway.discovery._peers import Known
+from rudderrock.gateway.discovery._peers import PeerClient
+from rudderrock.gateway.discovery._peers import read_changes
+from rudderrock.gateway.discovery._peers import render_changes
+from rudderrock.gateway.discovery._position import NEVER_READ
+from rudderrock.gateway.discovery._position import Position
+from rudderrock.gateway.discovery._quarantine import Quarantine
+from rudderrock.gateway.discovery._quarantine import QuarantineState
+from rudderrock.gateway.discovery._quarantine import Record as QuarantineRecord
+from rudderrock.gateway.discovery._registration import Registration
+from rudderrock.gateway.discovery._routing import IntakeLimits
+from rudderrock.gateway.discovery._routing import NO_VERSION
+from rudderrock.gateway.discovery._routing import Repeat
+from rudderrock.gateway.discovery._routing import Route
+from rudderrock.gateway.discovery._routing import RouteName
+from rudderrock.gateway.discovery._routing import RoutingTable
+from rudderrock.gateway.discovery._routing import Scatter
+from rudderrock.gateway.discovery._routing import Service
+from rudderrock.gateway.discovery._routing import ServiceName
+from rudderrock.gateway.discovery._routing import Share
+from rudderrock.gateway.discovery._routing import Single
+from rudderrock.gateway.discovery._routing import Split
+from rudderrock.gateway.discovery._routing import TableVersion
+from rudderrock.gateway.discovery._routing import Target
+from rudderrock.gateway.discovery._sources import HistoryCompacted
+from rudderrock.gateway.discovery._sources import Lease
+from rudderrock.gateway.discovery._sources import LeaseEnded
+from rudderrock.gateway.discovery._sources import SourcePort
+from rudderrock.gateway.discovery._sources import SourceRestored
+from rudderrock.gateway.discovery._sources import TableHolder
+from rudderrock.gateway.discovery._sources import TableReading
+from rudderrock.gateway.discovery._sources import Unavailable
+from rudderrock.gateway.discovery._sources import UpstreamReading
+from rudderrock.gateway.discovery._synchronizer import Synchronizer
+from rudderrock.gateway.discovery._topology import Anywhere
+from rudderrock.gateway.discovery._topology import RegionId
+from rudderrock.gateway.discovery._topology import Residency
+from rudderrock.gateway.discovery._topology import Topology
+from rudderrock.gateway.discovery._topology import Within
 from rudderrock.gateway.forwarding._calls import Counters
 from rudderrock.gateway.forwarding._gateway import Gateway
-from rudderrock.gateway.forwarding._gateway import Parts
+from rudderrock.gateway.forwarding._gateway import GatewayDependencies
 from rudderrock.gateway.forwarding._records import merge_records
 from rudderrock.gateway.forwarding._results import Outcome
 from rudderrock.gateway.forwarding._results import Result
-from rudderrock.gateway.http._caller import HttpCaller
-from rudderrock.gateway.http._dialect import HeaderNames
 from rudderrock.gateway.http._digest import digest_request
-from rudderrock.gateway.http._intake import Intake
+from rudderrock.gateway.http._header_names import HeaderNames
+from rudderrock.gateway.http._http_client import HttpClient
+from rudderrock.gateway.http._link import ConnectionLost
 from rudderrock.gateway.http._link import Exchange
 from rudderrock.gateway.http._link import Link
-from rudderrock.gateway.http._link import Lost
-from rudderrock.gateway.http._messages import drop_connection_headers
+from rudderrock.gateway.http._listener import CallerListener
 from rudderrock.gateway.http._messages import Headers
+from rudderrock.gateway.http._messages import remove_hop_by_hop_headers
 from rudderrock.gateway.http._messages import render_reply
 from rudderrock.gateway.http._messages import render_request
 from rudderrock.gateway.http._messages import Reply
 from rudderrock.gateway.http._messages import Request
 from rudderrock.gateway.http._pool import Pool
-from rudderrock.gateway.http._verdicts import judge_outcome
+from rudderrock.gateway.http._verdicts import classify_outcome
 from rudderrock.gateway.http._verdicts import Verdict
-from rudderrock.gateway.knowledge._announcer import Announcer
-from rudderrock.gateway.knowledge._announcer import read_records
-from rudderrock.gateway.knowledge._announcer import render_records
-from rudderrock.gateway.knowledge._directory import Directory
-from rudderrock.gateway.knowledge._directory import DirectoryChange
-from rudderrock.gateway.knowledge._directory import Endpoint
-from rudderrock.gateway.knowledge._directory import Phase
-from rudderrock.gateway.knowledge._directory import ReadingStamp
-from rudderrock.gateway.knowledge._era import SourceEra
-from rudderrock.gateway.knowledge._evacuations import EvacuationHolder
-from rudderrock.gateway.knowledge._evacuations import Evacuations
-from rudderrock.gateway.knowledge._first import FirstKnowledge
-from rudderrock.gateway.knowledge._fleet import Fleet
-from rudderrock.gateway.knowledge._fleet import HostEntry
-from rudderrock.gateway.knowledge._follow import Follower
-from rudderrock.gateway.knowledge._peers import ChangeBook
-from rudderrock.gateway.knowledge._peers import Changes
-from rudderrock.gateway.knowledge._peers import InForce
-from rudderrock.gateway.knowledge._peers import Known
-from rudderrock.gateway.knowledge._peers import PeerClient
-from rudderrock.gateway.knowledge._peers import read_changes
-from rudderrock.gateway.knowledge._peers import render_changes
-from rudderrock.gateway.knowledge._place import Anywhere
-from rudderrock.gateway.knowledge._place import Place
-from rudderrock.gateway.knowledge._place import RegionId
-from rudderrock.gateway.knowledge._place import Residency
-from rudderrock.gateway.knowledge._place import Within
-from rudderrock.gateway.knowledge._position import NOWHERE
-from rudderrock.gateway.knowledge._position import Position
-from rudderrock.gateway.knowledge._quarantine import Quarantine
-from rudderrock.gateway.knowledge._quarantine import Record as QuarantineRecord
-from rudderrock.gateway.knowledge._quarantine import Standing
-from rudderrock.gateway.knowledge._registration import Registration
-from rudderrock.gateway.knowledge._routing import IntakeLimits
-from rudderrock.gateway.knowledge._routing import NO_VERSION
-from rudderrock.gateway.knowledge._routing import Repeat
-from rudderrock.gateway.knowledge._routing import Route
-from rudderrock.gateway.knowledge._routing import RouteName
-from rudderrock.gateway.knowledge._routing import RoutingTable
-from rudderrock.gateway.knowledge._routing import Scatter
-from rudderrock.gateway.knowledge._routing import Service
-from rudderrock.gateway.knowledge._routing import ServiceName
-from rudderrock.gateway.knowledge._routing import Share
-from rudderrock.gateway.knowledge._routing import Single
-from rudderrock.gateway.knowledge._routing import Split
-from rudderrock.gateway.knowledge._routing import TableVersion
-from rudderrock.gateway.knowledge._routing import Target
-from rudderrock.gateway.knowledge._sources import HistoryGone
-from rudderrock.gateway.knowledge._sources import Lease
-from rudderrock.gateway.knowledge._sources import LeaseEnded
-from rudderrock.gateway.knowledge._sources import SourcePort
-from rudderrock.gateway.knowledge._sources import SourceReturned
-from rudderrock.gateway.knowledge._sources import TableHolder
-from rudderrock.gateway.knowledge._sources import TableReading
-from rudderrock.gateway.knowledge._sources import Unavailable
-from rudderrock.gateway.knowledge._sources import UpstreamReading
 
 __all__ = [
-    'Advice',
-    'Announcer',
     'Anywhere',
+    'CallerListener',
     'Canary',
-    'ChangeBook',
+    'ChangeFeed',
     'Changes',
     'ColdLimits',
+    'ConnectionLost',
+    'ConnectionShare',
     'Counters',
     'Directory',
     'DirectoryChange',
@@ -116,49 +117,48 @@
     'Evacuations',
     'EventLog',
     'Exchange',
-    'ExtraBudget',
-    'FirstKnowledge',
+    'ExtraRequestBudget',
     'Fleet',
-    'Follower',
     'Gateway',
+    'GatewayDependencies',
     'GatewayMetrics',
     'GatewayProcess',
     'GatewaySettings',
     'HeaderNames',
     'Headers',
-    'HistoryGone',
+    'HistoryCompacted',
     'HostEntry',
-    'HttpCaller',
+    'HttpClient',
     'InForce',
-    'Intake',
+    'InitialSync',
     'IntakeLimits',
-    'Known',
     'KIND_INFO',
+    'Known',
     'Lease',
     'LeaseEnded',
     'Link',
-    'LinkShare',
+    'LoadEstimator',
     'LogKind',
-    'Lost',
-    'NOWHERE',
+    'NEVER_READ',
     'NO_VERSION',
     'Outcome',
-    'Parts',
     'PeerClient',
     'Phase',
     'PipeHandler',
-    'Place',
     'Pool',
     'Position',
     'ProcessState',
-    'RegionId',
-    'Registration',
     'Quarantine',
+    'QuarantineBroadcaster',
     'QuarantineRecord',
+    'QuarantineState',
+    'QueryClass',
     'ReadingStamp',
+    'RegionId',
+    'Registration',
     'Repeat',
     'Replica',
-    'ReplicaBook',
+    'ReplicaSelector',
     'Reply',
     'Request',
     'Residency',
@@ -167,37 +167,37 @@
     'RouteName',
     'RoutingTable',
     'Scatter',
+    'SendDecision',
     'Service',
     'ServiceName',
     'Share',
     'Single',
     'SourceEra',
     'SourcePort',
-    'SourceReturned',
-    'Standing',
+    'SourceRestored',
     'Split',
+    'Synchronizer',
     'TableHolder',
     'TableReading',
     'TableVersion',
     'Target',
+    'Topology',
     'Unavailable',
     'UpstreamReading',
     'Verdict',
-    'Waiter',
+    'WaitingAttempt',
     'Within',
-    'WorkKind',
-    'WorkMeter',
+    'classify_outcome',
+    'compute_connection_share',
     'digest_request',
-    'drop_connection_headers',
     'format_event_page',
-    'judge_outcome',
     'merge_records',
     'read_changes',
     'read_records',
+    'remove_hop_by_hop_headers',
     'render_changes',
     'render_records',
     'render_reply',
     'render_request',
     'set_up_log',
-    'share_links',
 ]
--- a/rudderrock/gateway/decisions/_budget.py
+++ b/rudderrock/gateway/decisions/_budget.py
@@ -17,7 +17,7 @@
 RATIO_MARGIN = 0.85
 
 
-class ExtraBudget:
+class ExtraRequestBudget:
     """Extra requests that this host may send to one service.
 
     Parameters: each request of the last `window_s` seconds earns `ratio`
@@ -35,7 +35,7 @@
         self._requests = 0
         self._extras = 0
 
-    def note_request(self) -> None:
+    def count_request(self) -> None:
         """Count the first request of a call."""
         self._get_slot()[1] += 1
         self._requests += 1
--- a/rudderrock/gateway/decisions/_canary.py
+++ b/rudderrock/gateway/decisions/_canary.py
@@ -23,13 +23,13 @@
 import enum
 
 from rudderrock import core
-from rudderrock.gateway.knowledge import _quarantine as quarantine
+from rudderrock.gateway.discovery import _quarantine as quarantine
 
 # Hosts wait for a random fraction of this time, in seconds, before they send a
 # canary to upstreams that may have restarted. A canary and the message about
 # its outcome take about 0.1 s. Two hosts that receive copies of a request at
 # the same time therefore rarely both send a canary, and four almost never do.
-TRIAL_SPREAD_S = 2.0
+CANARY_SPREAD_S = 2.0
 # Time in seconds after a crash before another copy of the request sends its
 # canary. Until then attempts of the first copy may still be in flight, and may
 # crash one of the two upstreams that a service seems to have. They finish
@@ -37,7 +37,7 @@
 CANARY_DELAY_S = 0.5
 
 
-class Advice(enum.Enum):
+class SendDecision(enum.Enum):
     """Whether an attempt is sent, held back or abandoned."""
 
     SEND = 'send'
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Waiter:
+class WaitingAttempt:
     """An attempt that is held back until the attempts in flight end.
 
     `resume` decides on the attempt again, `send` sends it as a canary, and
@@ -99,7 +99,7 @@
         self._is_canary_in_flight = False
         # No service had an upstream to which a canary could be sent.
         self._has_no_spare = False
-        self._waiting: list[Waiter] = []
+        self._waiting: list[WaitingAttempt] = []
 
     @property
     def digest(self) -> str:
@@ -109,18 +109,18 @@
         return self._digest
 
     @property
-    def standing(self) -> quarantine.Standing:
+    def state(self) -> quarantine.QuarantineState:
         """Return the quarantine state of the request."""
         if self._quarantine.is_empty:
-            return quarantine.Standing.CLEAR
-        return self._quarantine.get_standing(self.digest)
+            return quarantine.QuarantineState.CLEAR
+        return self._quarantine.get_state(self.digest)
 
     @property
     def is_suspect(self) -> bool:
         """Return whether attempts are sent one at a time."""
-        standing = self.standing
-        return standing is quarantine.Standing.SUSPECT or (
-            standing is quarantine.Standing.CLEAR
+        state = self.state
+        return state is quarantine.QuarantineState.SUSPECT or (
+            state is quarantine.QuarantineState.CLEAR
             and self._is_suspect_elsewhere
         )
 
@@ -129,41 +129,41 @@
         """Return whether attempts are held back until one is answered."""
         return not self.is_answered and (
             self._is_suspect_elsewhere
-            or self.standing is not quarantine.Standing.CLEAR
+            or self.state is not quarantine.QuarantineState.CLEAR
         )
 
-    def judge(self) -> Advice:
+    def decide(self) -> SendDecision:
         """Return whether an attempt is sent, held back or abandoned now."""
         if self.is_answered:
-            return Advice.SEND
-        if self.standing is quarantine.Standing.QUARANTINED:
-            return Advice.STOP
+            return SendDecision.SEND
+        if self.state is quarantine.QuarantineState.QUARANTINED:
+            return SendDecision.STOP
         if not (self.is_suspect or self._has_crashes()):
-            return Advice.SEND
+            return SendDecision.SEND
         if self._is_round_open():
-            return Advice.WAIT
+            return SendDecision.WAIT
         if self._is_part or self._has_no_spare:
-            return Advice.STOP
-        return Advice.WAIT
+            return SendDecision.STOP
+        return SendDecision.WAIT
 
-    def wait(self, waiter: Waiter) -> None:
+    def wait(self, attempt: WaitingAttempt) -> None:
         """Hold an attempt back until it may be sent or is abandoned.
 
         If no attempt is in flight, this is decided at once.
         """
-        self._waiting.append(waiter)
+        self._waiting.append(attempt)
         self._advance()
 
-    def list_ended(self) -> list[core.UpstreamLife]:
+    def list_crashed(self) -> list[core.UpstreamLife]:
         """Return the upstreams that crashed while running the request."""
         if self._quarantine.is_empty:
             return []
-        return self._quarantine.list_ended(self.digest)
+        return self._quarantine.list_crashed(self.digest)
 
     @property
     def is_stopped(self) -> bool:
         """Return whether no attempt may be sent to any upstream."""
-        is_quarantined = self.standing is quarantine.Standing.QUARANTINED
+        is_quarantined = self.state is quarantine.QuarantineState.QUARANTINED
         return not self.is_answered and (self._has_no_spare or is_quarantined)
 
     def get_retry_after_s(self) -> float:
@@ -172,11 +172,14 @@
         This is when the quarantine ends or, without one, when crashed
         upstreams may have restarted.
         """
-        if self.standing is quarantine.Standing.QUARANTINED:
-            return self._quarantine.get_left_s(self.digest)
-        return self._quarantine.get_gone_s(self.digest) + TRIAL_SPREAD_S
+        if self.state is quarantine.QuarantineState.QUARANTINED:
+            return self._quarantine.get_quarantine_left_s(self.digest)
+        return (
+            self._quarantine.get_exclusion_left_s(self.digest)
+            + CANARY_SPREAD_S
+        )
 
-    def note_sent(self) -> None:
+    def record_sent(self) -> None:
         """Record that an attempt is sent."""
         if not self._is_round_open():
             self._round_started_at = self._clock.now()
@@ -184,46 +187,48 @@
         self._in_flight += 1
         self._has_sent = True
 
-    def note_over(self) -> None:
+    def record_inconclusive(self) -> None:
         """Record that an attempt ended with neither crash nor answer."""
         self._in_flight -= 1
         self._advance()
 
-    def note_answered(self) -> None:
+    def record_answer(self) -> None:
         """Record that an upstream has answered an attempt."""
         self._in_flight -= 1
-        self.note_survived()
+        self.record_survival()
 
-    def note_survived(self) -> None:
+    def record_survival(self) -> None:
         """Record that an upstream has answered this or another host."""
         if not self.is_answered:
             self.is_answered = True
             if not self._quarantine.is_empty:
-                self._quarantine.note_answered(self.digest)
+                self._quarantine.record_answer(self.digest)
         self._advance()
 
-    def note_lost(self) -> None:
+    def record_lost(self) -> None:
         """Record a lost connection whose upstream is being checked."""
         self._in_flight -= 1
         self._pending_checks += 1
 
-    def note_checked(self, life: core.UpstreamLife, crashed: bool) -> None:
+    def record_checked(
+        self, incarnation: core.UpstreamLife, crashed: bool
+    ) -> None:
         """Record whether the upstream of a lost connection has crashed."""
         self._pending_checks -= 1
         if crashed:
-            self._crashed.add(life)
+            self._crashed.add(incarnation)
         self._advance()
 
-    def warn(self, crashed: Iterable[core.UpstreamLife]) -> None:
+    def mark_suspected(self, crashed: Iterable[core.UpstreamLife]) -> None:
         """Record that another host suspects the request.
 
         Upstreams that crashed there count as part of the first round.
         """
         self._is_suspect_elsewhere = True
-        lives = tuple(crashed)
-        if lives and not self.is_answered:
-            self._quarantine.note_trial(
-                self.digest, self._round_started_at, False, lives
+        incarnations = tuple(crashed)
+        if incarnations and not self.is_answered:
+            self._quarantine.record_crash(
+                self.digest, self._round_started_at, False, incarnations
             )
 
     def finish(self) -> None:
@@ -244,7 +249,7 @@
         self._end_finished_canary()
         if not self._waiting:
             return
-        if self.judge() is Advice.WAIT:
+        if self.decide() is SendDecision.WAIT:
             self._send_canary()
         else:
             self._resume_all()
@@ -260,14 +265,16 @@
         """
         if not self._crashed or self.is_answered:
             return
-        has_reached_limit = len(self._crashed) >= quarantine.MOST_TRIALS
+        has_reached_limit = (
+            len(self._crashed) >= quarantine.QUARANTINE_THRESHOLD
+        )
         if self._is_round_open() and (
             self._is_reported or not has_reached_limit
         ):
             return
         self._is_reported = self._is_round_open()
         crashed, self._crashed = self._crashed, set()
-        self._quarantine.note_trial(
+        self._quarantine.record_crash(
             self.digest, self._round_started_at, self._was_suspect, crashed
         )
 
@@ -293,11 +300,11 @@
 
     def _may_send_canary(self, live: int) -> bool:
         """Return whether a service with `live` upstreams may get a canary."""
-        if not self._quarantine.has_spread(self.digest):
+        if not self._quarantine.has_multiple_crashes(self.digest):
             return True
         if self._quarantine.has_canary(self.digest):
             return False
-        since_s = self._quarantine.get_since_s(self.digest)
+        since_s = self._quarantine.get_crash_age_s(self.digest)
         return live > 1 and (self._has_sent or since_s >= CANARY_DELAY_S)
 
     def _resume_all(self) -> None:
--- a/rudderrock/gateway/decisions/_cold.py
+++ b/rudderrock/gateway/decisions/_cold.py
@@ -15,9 +15,9 @@
 import math
 
 from rudderrock import core
-from rudderrock.gateway.knowledge import _directory as directory
-from rudderrock.gateway.knowledge import _fleet as fleet
-from rudderrock.gateway.knowledge import _routing as routing
+from rudderrock.gateway.discovery import _directory as directory
+from rudderrock.gateway.discovery import _fleet as fleet
+from rudderrock.gateway.discovery import _routing as routing
 
 # Fraction of the allowed rate that the sender uses. While hosts join and
 # leave, two hosts that know different hosts may both act as the sender.
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        listing: directory.Directory,
+        upstream_directory: directory.Directory,
         clock: core.Clock,
         own: core.HostId,
         overage: float,
@@ -50,7 +50,7 @@
     ):
         self.sent = 0
         self.held_back = 0
-        self._listing = listing
+        self._directory = upstream_directory
         self._clock = clock
         self._own = own
         self._overage = overage
@@ -61,7 +61,7 @@
 
     def admits(self, endpoint: directory.Endpoint) -> bool:
         """Return whether another request may be sent to an upstream now."""
-        if self._listing.get_cold_s(endpoint.upstream) <= 0.0:
+        if self._directory.get_cold_s(endpoint.upstream) <= 0.0:
             self._sent_at.pop(endpoint.upstream, None)
             return True
         max_rate = self._get_max_rate(endpoint)
@@ -74,9 +74,9 @@
         self.held_back += not admitted
         return admitted
 
-    def note_sent(self, endpoint: directory.Endpoint) -> None:
+    def record_sent(self, endpoint: directory.Endpoint) -> None:
         """Record that a request is sent."""
-        if self._listing.get_cold_s(endpoint.upstream) <= 0.0:
+        if self._directory.get_cold_s(endpoint.upstream) <= 0.0:
             return
         self.sent += 1
         sent_times = self._sent_at.setdefault(
--- a/rudderrock/gateway/decisions/_replicas.py
+++ b/rudderrock/gateway/decisions/_replicas.py
@@ -8,12 +8,12 @@
 from rudderrock import core
 from rudderrock.gateway.decisions import _cold as cold
 from rudderrock.gateway.decisions import _shares as shares
-from rudderrock.gateway.http import _dialect as dialect
+from rudderrock.gateway.discovery import _directory as directory
+from rudderrock.gateway.discovery import _fleet as fleet
+from rudderrock.gateway.discovery import _routing as routing
+from rudderrock.gateway.discovery import _topology as topology
+from rudderrock.gateway.http import _header_names as header_names
 from rudderrock.gateway.http import _pool as pool
-from rudderrock.gateway.knowledge import _directory as directory
-from rudderrock.gateway.knowledge import _fleet as fleet
-from rudderrock.gateway.knowledge import _place as place
-from rudderrock.gateway.knowledge import _routing as routing
 
 # Time in seconds during which an upstream is avoided after a late or failed
 # answer. Each consecutive one doubles it, up to MAX_AVOID_S. A pause of an
@@ -47,7 +47,7 @@
         self.endpoint = endpoint
         self.links = links
         self.distance = distance
-        self.strikes = 0
+        self.consecutive_failures = 0
         self._clock = clock
         self._avoid_until = 0.0
         self._excluded_until = 0.0
@@ -56,7 +56,7 @@
         """Return whether another upstream recently answered at its address."""
         return now < self._excluded_until
 
-    def note_gone(self) -> None:
+    def record_misdirected(self) -> None:
         """Record that another upstream answers at its address."""
         self._excluded_until = self._clock.now() + MISDIRECTED_EXCLUSION_S
 
@@ -70,12 +70,12 @@
             return True
         return self.links.get_oldest_age(now) > late_s
 
-    def note_good(self) -> None:
+    def record_success(self) -> None:
         """Record an answer in time."""
-        self.strikes = 0
+        self.consecutive_failures = 0
         self._avoid_until = 0.0
 
-    def note_bad(self, base_s: float = INITIAL_AVOID_S) -> None:
+    def record_failure(self, base_s: float = INITIAL_AVOID_S) -> None:
         """Record a late, failed, lost or rejected request.
 
         Each consecutive one doubles the avoidance time, which starts at
@@ -84,52 +84,58 @@
         now = self._clock.now()
         if now < self._avoid_until:
             return
-        wait_s = min(base_s * 2**self.strikes, MAX_AVOID_S)
-        self.strikes = min(self.strikes + 1, _MAX_BACKOFF_EXPONENT)
+        wait_s = min(base_s * 2**self.consecutive_failures, MAX_AVOID_S)
+        self.consecutive_failures = min(
+            self.consecutive_failures + 1, _MAX_BACKOFF_EXPONENT
+        )
         self._avoid_until = now + wait_s
 
 
 class ConnectionPolicy(Protocol):
     """Policy that decides which connections a host opens."""
 
-    def get_share(self, endpoint: directory.Endpoint) -> shares.LinkShare:
+    def get_connection_limit(
+        self, endpoint: directory.Endpoint
+    ) -> shares.ConnectionShare:
         """Return how many connections to an upstream this host may open."""
 
-    def list_wanted(self, book: 'ReplicaBook') -> set[routing.ServiceName]:
+    def list_required_services(
+        self, selector: 'ReplicaSelector'
+    ) -> set[routing.ServiceName]:
         """Return the services that this host sends requests to itself."""
 
 
-class ReplicaBook:
+class ReplicaSelector:
     """The replicas that this host uses, updated from the directory."""
 
     def __init__(
         self,
-        listing: directory.Directory,
-        place: place.Place,
-        names: dialect.HeaderNames,
+        upstream_directory: directory.Directory,
+        topology: topology.Topology,
+        names: header_names.HeaderNames,
         clock: core.Clock,
         rng: random.Random,
         policy: ConnectionPolicy,
         cold_limits: cold.ColdLimits,
         own: core.HostId,
-        has_ended: Callable[[core.UpstreamLife], bool],
+        has_crashed: Callable[[core.UpstreamLife], bool],
     ):
-        self.dials = 0
-        self._has_ended = has_ended
+        self.connections_opened = 0
+        self._has_crashed = has_crashed
         self._cold = cold_limits
         self._own = own
-        self._listing = listing
-        self._place = place
+        self._directory = upstream_directory
+        self._topology = topology
         self._names = names
         self._clock = clock
         self._rng = rng
         self._policy = policy
         self._replicas: dict[core.UpstreamId, Replica] = {}
         self._retired: list[Replica] = []
-        listing.add_listener(self._on_change)
+        upstream_directory.add_listener(self._on_change)
 
     def list_ready(
-        self, service: routing.ServiceName, residency: place.Residency
+        self, service: routing.ServiceName, residency: topology.Residency
     ) -> list[Replica]:
         """Return the replicas of a service that may be sent a request.
 
@@ -137,12 +143,12 @@
         """
         return [
             self._get_replica(endpoint)
-            for endpoint in self._listing.list_ready(service)
-            if self._place.allows(residency, endpoint.zone)
+            for endpoint in self._directory.list_ready(service)
+            if self._topology.allows(residency, endpoint.zone)
         ]
 
     def count_live(
-        self, service: routing.ServiceName, residency: place.Residency
+        self, service: routing.ServiceName, residency: topology.Residency
     ) -> int:
         """Return how many replicas of a service are not known to have ended.
 
@@ -152,23 +158,23 @@
         now = self._clock.now()
         return sum(
             not each.is_excluded(now)
-            and not self._has_ended(each.endpoint.life)
+            and not self._has_crashed(each.endpoint.incarnation)
             for each in self.list_ready(service, residency)
         )
 
     def has_ready(
-        self, service: routing.ServiceName, residency: place.Residency
+        self, service: routing.ServiceName, residency: topology.Residency
     ) -> bool:
         """Return whether a service has an upstream in the allowed zones."""
         return any(
-            self._place.allows(residency, endpoint.zone)
-            for endpoint in self._listing.list_ready(service)
+            self._topology.allows(residency, endpoint.zone)
+            for endpoint in self._directory.list_ready(service)
         )
 
     def choose(
         self,
         service: routing.ServiceName,
-        residency: place.Residency,
+        residency: topology.Residency,
         late_s: float,
         tried: tuple[core.UpstreamId, ...] = (),
     ) -> Replica | None:
@@ -196,7 +202,7 @@
             suspect = replica.is_suspect(now, late_s)
             key = (
                 suspect,
-                replica.strikes if suspect else 0,
+                replica.consecutive_failures if suspect else 0,
                 replica.links.is_full,
                 replica.distance,
                 replica.distance > 0 and not replica.links.is_idle,
@@ -210,7 +216,7 @@
     def list_nearest(
         self,
         service: routing.ServiceName,
-        residency: place.Residency,
+        residency: topology.Residency,
         late_s: float,
     ) -> list[Replica]:
         """Return the nearest of the healthy replicas that have room."""
@@ -227,13 +233,13 @@
 
     def get_distance(self, zone: core.ZoneId) -> int:
         """Return 0 for this zone, 1 for the same region, else 2."""
-        return self._place.get_distance(zone)
+        return self._topology.get_distance(zone)
 
     def has_nearest(self, service: routing.ServiceName) -> bool:
         """Return whether a replica of a service is in this host's zone."""
         return any(
-            self._place.get_distance(endpoint.zone) == 0
-            for endpoint in self._listing.list_ready(service)
+            self._topology.get_distance(endpoint.zone) == 0
+            for endpoint in self._directory.list_ready(service)
         )
 
     def warm(self, service: routing.ServiceName) -> None:
@@ -242,12 +248,15 @@
         Replicas are left out if this host's share of their connections is
         less than one.
         """
-        found = self.list_ready(service, place.Anywhere())
+        found = self.list_ready(service, topology.Anywhere())
         if not found:
             return
         nearest = min(replica.distance for replica in found)
         for replica in found:
-            if replica.distance == nearest and not replica.links.is_spare:
+            if (
+                replica.distance == nearest
+                and not replica.links.is_unallocated
+            ):
                 replica.links.warm()
 
     def warm_hedge(self, service: routing.ServiceName) -> None:
@@ -261,12 +270,12 @@
         connections were opened, and the fraction of requests in time rose
         from 0.89 to 0.91 (one day under heavy load, 60 hosts).
         """
-        found = self.list_ready(service, place.Anywhere())
+        found = self.list_ready(service, topology.Anywhere())
         nearest = min((each.distance for each in found), default=0)
         others = [
             each
             for each in found
-            if each.distance > nearest and not each.links.is_spare
+            if each.distance > nearest and not each.links.is_unallocated
         ]
         if not others or any(each.links.is_open for each in others):
             return
@@ -291,9 +300,9 @@
         for replica in self._replicas.values():
             replica.links.drop_idle()
 
-    def note_sent(self, endpoint: directory.Endpoint) -> None:
+    def record_sent(self, endpoint: directory.Endpoint) -> None:
         """Record that a request is sent to an upstream."""
-        self._cold.note_sent(endpoint)
+        self._cold.record_sent(endpoint)
 
     def set_caps(self) -> None:
         """Apply the current connection limits to all pools."""
@@ -312,9 +321,9 @@
                 endpoint,
                 asyncio.get_running_loop(),
                 self._names,
-                self._count_dial,
+                self._count_opened,
             )
-            distance = self._place.get_distance(endpoint.zone)
+            distance = self._topology.get_distance(endpoint.zone)
             replica = Replica(endpoint, links, distance, self._clock)
             self._apply_share(replica)
             self._replicas[endpoint.upstream] = replica
@@ -322,21 +331,21 @@
 
     def _apply_shares(self, upstream: core.UpstreamId) -> None:
         """Recompute the connection limits of all replicas of a service."""
-        endpoint = self._listing.get_endpoint(upstream)
+        endpoint = self._directory.get_endpoint(upstream)
         if endpoint is None:
             return
-        for each in self._listing.list_ready(endpoint.service):
+        for each in self._directory.list_ready(endpoint.service):
             replica = self._replicas.get(each.upstream)
             if replica is not None:
                 self._apply_share(replica)
 
     def _apply_share(self, replica: Replica) -> None:
-        share = self._policy.get_share(replica.endpoint)
+        share = self._policy.get_connection_limit(replica.endpoint)
         replica.links.cap = share.cap
-        replica.links.is_spare = share.is_spare
+        replica.links.is_unallocated = share.is_unallocated
 
-    def _count_dial(self) -> None:
-        self.dials += 1
+    def _count_opened(self) -> None:
+        self.connections_opened += 1
 
     def _on_change(self, change: directory.DirectoryChange) -> None:
         for upstream in change.left:
@@ -344,10 +353,10 @@
             if replica is not None:
                 replica.links.retire()
                 self._retired.append(replica)
-        wanted = self._policy.list_wanted(self)
+        required = self._policy.list_required_services(self)
         for upstream in change.added:
             self._apply_shares(upstream)
         for upstream in change.added:
-            endpoint = self._listing.get_endpoint(upstream)
-            if endpoint is not None and endpoint.service in wanted:
+            endpoint = self._directory.get_endpoint(upstream)
+            if endpoint is not None and endpoint.service in required:
                 self.warm(endpoint.service)
--- a/rudderrock/gateway/decisions/_shares.py
+++ b/rudderrock/gateway/decisions/_shares.py
@@ -4,8 +4,8 @@
 import dataclasses
 
 from rudderrock import core
-from rudderrock.gateway.knowledge import _directory as directory
-from rudderrock.gateway.knowledge import _place as place_module
+from rudderrock.gateway.discovery import _directory as directory
+from rudderrock.gateway.discovery import _topology as topology_module
 
 # Fraction of an upstream's connections for the hosts that have it among the
 # nearest of its service, and fraction for all other hosts, which need it for
@@ -16,28 +16,28 @@
 FAR_FRACTION = 0.32
 # Maximum number of connections of one host to an upstream. Further requests
 # wait at this host, which can still send them to another upstream.
-MOST_CONNECTIONS = 8
+MAX_CONNECTIONS = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LinkShare:
+class ConnectionShare:
     """Number of connections that one host may open to one upstream.
 
-    `is_spare` is set if the host's share is less than one connection. One may
-    then be opened when needed, and is closed soon after.
+    `is_unallocated` is set if the host's share is less than one connection.
+    One may then be opened when needed, and is closed soon after.
     """
 
     cap: int
-    is_spare: bool
+    is_unallocated: bool
 
 
-def share_links(
+def compute_connection_share(
     endpoint: directory.Endpoint,
     siblings: tuple[directory.Endpoint, ...],
     accepted: int,
     counts: Mapping[core.ZoneId, int],
-    place: place_module.Place,
-) -> LinkShare:
+    topology: topology_module.Topology,
+) -> ConnectionShare:
     """Return this host's share of an upstream's connections.
 
     Parameters: `siblings` are the upstreams of the service, `accepted` is the
@@ -47,25 +47,25 @@
     near = 0
     far = 0
     for zone, count in counts.items():
-        if _is_nearest(zone, endpoint, siblings, place):
+        if _is_nearest(zone, endpoint, siblings, topology):
             near += count
         else:
             far += count
-    if _is_nearest(place.zone, endpoint, siblings, place):
+    if _is_nearest(topology.zone, endpoint, siblings, topology):
         connections = accepted * NEAR_FRACTION / max(1, near)
     else:
         connections = accepted * FAR_FRACTION / max(1, far)
-    cap = min(max(1, int(connections)), MOST_CONNECTIONS)
-    return LinkShare(cap, connections < 1.0)
+    cap = min(max(1, int(connections)), MAX_CONNECTIONS)
+    return ConnectionShare(cap, connections < 1.0)
 
 
 def _is_nearest(
     zone: core.ZoneId,
     endpoint: directory.Endpoint,
     siblings: tuple[directory.Endpoint, ...],
-    place: place_module.Place,
+    topology: topology_module.Topology,
 ) -> bool:
-    own = place.compare_zones(zone, endpoint.zone)
+    own = topology.compare_zones(zone, endpoint.zone)
     return all(
-        own <= place.compare_zones(zone, each.zone) for each in siblings
+        own <= topology.compare_zones(zone, each.zone) for each in siblings
     )
--- a/rudderrock/gateway/knowledge/_announcer.py
+++ b/rudderrock/gateway/discovery/_broadcast.py
@@ -18,10 +18,10 @@
 import result
 
 from rudderrock import core
-from rudderrock.gateway.http import _caller as caller
+from rudderrock.gateway.discovery import _fleet as fleet
+from rudderrock.gateway.discovery import _quarantine as quarantine
+from rudderrock.gateway.http import _http_client as http_client
 from rudderrock.gateway.http import _messages as messages
-from rudderrock.gateway.knowledge import _fleet as fleet
-from rudderrock.gateway.knowledge import _quarantine as quarantine
 
 PATH = b'/v1/quarantine'
 # Timeout of one call, in seconds. Allows for a new connection to another
@@ -45,7 +45,7 @@
 _DECODER = msgspec.json.Decoder(quarantine.Record)
 
 
-class Announcer:
+class QuarantineBroadcaster:
     """Exchanges quarantine records with the other hosts.
 
     Parameters: `has_no_peer` returns whether this host polls no peer, so that
@@ -73,13 +73,13 @@
             self._has_unsent.clear()
             await self._send_to_all()
 
-    async def ask(self) -> None:
+    async def pull(self) -> None:
         """Pull records from one host after another until cancelled.
 
         Does nothing while this host polls a peer.
         """
-        for pull in itertools.count():
-            is_starting = pull < _STARTUP_PULLS
+        for number in itertools.count():
+            is_starting = number < _STARTUP_PULLS
             await asyncio.sleep(
                 STARTUP_PULL_INTERVAL_S if is_starting else PULL_INTERVAL_S
             )
@@ -87,7 +87,7 @@
                 continue
             others = self._rank_others()
             if others:
-                await self._pull_from(others[pull % len(others)].address)
+                await self._pull_from(others[number % len(others)].address)
 
     def _rank_others(self) -> list[fleet.HostEntry]:
         """Return the other hosts in an order specific to this host."""
@@ -158,15 +158,15 @@
 
     async def _call(
         self, address: str, method: bytes, body: bytes
-    ) -> result.Result[messages.Reply, caller.NoReply]:
+    ) -> result.Result[messages.Reply, http_client.NoReply]:
         async with self._call_slots:
-            client = caller.HttpCaller(core.split_address(address), 1)
+            client = http_client.HttpClient(core.split_address(address), 1)
             try:
                 return await client.call(method, PATH, body, CALL_TIMEOUT_S)
             finally:
                 client.close()
 
-    def take(self, request: messages.Request) -> messages.Reply:
+    def handle(self, request: messages.Request) -> messages.Reply:
         """Handle a request of another host.
 
         GET returns all records. POST merges the records that are sent and
--- a/rudderrock/gateway/knowledge/_era.py
+++ b/rudderrock/gateway/discovery/_era.py
@@ -2,7 +2,7 @@
 
 from rudderrock.gateway import _events as events
 from rudderrock.gateway import _log as log
-from rudderrock.gateway.knowledge import _position as position
+from rudderrock.gateway.discovery import _position as position
 
 # For this long after a restore, in seconds, the source may list entries that
 # have left and lack entries that exist. In that time operators and upstreams
@@ -14,15 +14,16 @@
 class SourceEra:
     """The latest known era of the source.
 
-    `returns` counts the restores of the source that this host has observed.
+    `restore_count` counts the restores of the source that this host has
+    observed.
     """
 
     def __init__(self, events: log.EventLog):
-        self.current = position.NOWHERE.era
-        self.returns = 0
+        self.current = position.NEVER_READ.era
+        self.restore_count = 0
         self._events = events
 
-    def note(
+    def record_position(
         self, read: position.Position, known: position.Position, origin: str
     ) -> bool:
         """Record the position of a reading, made here or by a peer.
@@ -33,9 +34,9 @@
         if read.era <= self.current:
             return False
         before, self.current = self.current, read.era
-        if before == position.NOWHERE.era:
+        if before == position.NEVER_READ.era:
             return False
-        self.returns += 1
+        self.restore_count += 1
         self._events.record(
             events.LogKind.SOURCE_RETURNED,
             era=read.era,
--- a/rudderrock/gateway/knowledge/_peers.py
+++ b/rudderrock/gateway/discovery/_peers.py
@@ -16,16 +16,16 @@
 import result
 
 from rudderrock import core
-from rudderrock.gateway.http import _caller as caller
+from rudderrock.gateway.discovery import _directory as directory
+from rudderrock.gateway.discovery import _evacuations as evacuations
+from rudderrock.gateway.discovery import _fleet as fleet
+from rudderrock.gateway.discovery import _initial_sync as initial_sync_module
+from rudderrock.gateway.discovery import _position as position
+from rudderrock.gateway.discovery import _quarantine as quarantine
+from rudderrock.gateway.discovery import _routing as routing
+from rudderrock.gateway.discovery import _sources as sources
+from rudderrock.gateway.http import _http_client as http_client
 from rudderrock.gateway.http import _messages as messages
-from rudderrock.gateway.knowledge import _directory as directory
-from rudderrock.gateway.knowledge import _evacuations as evacuations
-from rudderrock.gateway.knowledge import _first as first
-from rudderrock.gateway.knowledge import _fleet as fleet
-from rudderrock.gateway.knowledge import _position as position
-from rudderrock.gateway.knowledge import _quarantine as quarantine
-from rudderrock.gateway.knowledge import _routing as routing
-from rudderrock.gateway.knowledge import _sources as sources
 
 PATH = '/v1/changes'
 # How long a peer holds a poll while nothing changes, and how much longer the
@@ -89,7 +89,7 @@
     table: int = -1
     table_version: int | None = None
     is_lost: bool = False
-    evacuations: int = position.NOWHERE.revision
+    evacuations: int = position.NEVER_READ.revision
     evacuations_era: int | None = None
     quarantine: int = 0
 
@@ -99,9 +99,9 @@
     """Versions and source positions in force at the polling host."""
 
     table_version: routing.TableVersion = routing.NO_VERSION
-    table: position.Position = position.NOWHERE
-    upstreams: position.Position = position.NOWHERE
-    evacuations: position.Position = position.NOWHERE
+    table: position.Position = position.NEVER_READ
+    upstreams: position.Position = position.NEVER_READ
+    evacuations: position.Position = position.NEVER_READ
 
 
 class Changes(msgspec.Struct, frozen=True, kw_only=True):
@@ -149,7 +149,7 @@
     table_era: int = 0
     evacuated: list[str] = []
     evacuated_at: list[int] = []
-    evacuations_revision: int = position.NOWHERE.revision
+    evacuations_revision: int = position.NEVER_READ.revision
     evacuations_era: int = 0
     suspects: list[quarantine.Record] = []
     quarantine_generation: int = 0
@@ -175,7 +175,7 @@
     def evacuations_written(self) -> dict[core.ZoneId, int]:
         """Return the evacuated zones with the revision of each evacuation."""
         revisions = itertools.chain(
-            self.evacuated_at, itertools.repeat(evacuations.NOT_TOLD)
+            self.evacuated_at, itertools.repeat(evacuations.UNKNOWN_REVISION)
         )
         zones = map(core.ZoneId, self.evacuated)
         return dict(zip(zones, revisions, strict=False))
@@ -191,7 +191,7 @@
         return _are_recent(self.age_ms / 1000, self.table_age_ms / 1000)
 
 
-class ChangeBook:
+class ChangeFeed:
     """Keeps recent changes of this host's state and answers polls of peers.
 
     Parameters: `process` identifies this incarnation of the process, since
@@ -201,21 +201,21 @@
     def __init__(
         self,
         process: str,
-        listing: directory.Directory,
+        upstream_directory: directory.Directory,
         hosts: fleet.Fleet,
         tables: sources.TableHolder,
         evacuated: evacuations.EvacuationHolder,
-        first_knowledge: first.FirstKnowledge,
+        initial_sync: initial_sync_module.InitialSync,
         known_quarantine: quarantine.Quarantine,
         clock: core.Clock,
     ):
         self.generation = 0
         self._evacuated = evacuated
         self.process = process
-        self._listing = listing
+        self._directory = upstream_directory
         self._hosts = hosts
         self._tables = tables
-        self._first = first_knowledge
+        self._initial_sync = initial_sync
         self._quarantine = known_quarantine
         self._clock = clock
         self._cached_reply: _CachedReply | None = None
@@ -230,10 +230,10 @@
         )
         self._hosts_by_id: dict[core.HostId, fleet.HostEntry] = {}
         self._changed = asyncio.Event()
-        listing.add_listener(self._on_upstreams)
+        upstream_directory.add_listener(self._on_upstreams)
         hosts.add_listener(self._on_hosts)
         tables.add_listener(lambda table: self.wake())
-        listing.add_reader(self.wake)
+        upstream_directory.add_reading_listener(self.wake)
         evacuated.add_listener(lambda found: self.wake())
         known_quarantine.add_listener(self.wake)
 
@@ -251,9 +251,9 @@
             )
         except msgspec.ValidationError as error:
             return messages.Reply(400, [], str(error).encode())
-        if not self._first.is_complete:
+        if not self._initial_sync.is_complete:
             # This host has just started and has no data to send yet.
-            await self._first.wait_for(STARTUP_HOLD_S)
+            await self._initial_sync.wait_for(STARTUP_HOLD_S)
         elif not self._has_changes(known) and self._is_acceptable(known):
             await self._wait_for_change()
         if known.process != self.process:
@@ -268,7 +268,9 @@
             reply = render_changes(self.list_changes(known))
             cached = _CachedReply(known, now, reply)
             # Incomplete replies of a starting host are not cached.
-            self._cached_reply = cached if self._first.is_complete else None
+            self._cached_reply = (
+                cached if self._initial_sync.is_complete else None
+            )
         cache_age_ms = _to_ms(now - cached.created_at)
         headers = [
             *cached.reply.headers,
@@ -280,9 +282,9 @@
         """Return the changes that a peer lacks."""
         has_baseline = known.process == self.process
         upstreams, left, whole = self._list_upstreams(known, has_baseline)
-        listing = self._listing
+        upstream_directory = self._directory
         tables = self._tables
-        stamp = listing.stamp
+        stamp = upstream_directory.stamp
         evacuated = self._evacuated.current
         hosts, hosts_left, hosts_whole = self._list_hosts(known, has_baseline)
         return Changes(
@@ -291,14 +293,14 @@
             whole=whole,
             upstreams=upstreams,
             left=left,
-            revision=listing.position.revision,
-            era=listing.position.era,
+            revision=upstream_directory.position.revision,
+            era=upstream_directory.position.era,
             origin=stamp.origin if stamp is not None else '',
             number=stamp.number if stamp is not None else 0,
             hops=stamp.hops if stamp is not None else 0,
-            age_ms=_to_ms(listing.age_s),
+            age_ms=_to_ms(upstream_directory.age_s),
             table_age_ms=_to_ms(tables.confirmed_s),
-            hold_ms=_to_ms(listing.hold_s),
+            hold_ms=_to_ms(upstream_directory.hold_s),
             hosts_generation=self._hosts.generation,
             hosts=hosts,
             hosts_left=hosts_left,
@@ -321,15 +323,15 @@
         self, known: Known, has_baseline: bool
     ) -> tuple[list[directory.Endpoint], list[str], bool]:
         oldest = self._changes[0][0] if self._changes else self.generation
-        is_same_era = known.era in (None, self._listing.position.era)
+        is_same_era = known.era in (None, self._directory.position.era)
         has_baseline = has_baseline and is_same_era
         if not has_baseline or known.upstreams < oldest - 1:
-            return list(self._listing.list_all()), [], True
-        touched: set[core.UpstreamId] = set()
+            return list(self._directory.list_all()), [], True
+        changed: set[core.UpstreamId] = set()
         for generation, change in self._changes:
             if generation > known.upstreams:
-                touched.update(change.touched)
-        found = {each: self._listing.get_endpoint(each) for each in touched}
+                changed.update(change.changed)
+        found = {each: self._directory.get_endpoint(each) for each in changed}
         upstreams = [each for each in found.values() if each is not None]
         left = [name for name, each in found.items() if each is None]
         return upstreams, left, False
@@ -347,13 +349,13 @@
         oldest = self._host_changes[0][0] if self._host_changes else newest
         if not has_baseline or known.hosts < oldest - 1:
             return self._hosts.list_hosts(), [], True
-        touched: set[core.HostId] = set()
+        changed: set[core.HostId] = set()
         for generation, names in self._host_changes:
             if generation > known.hosts:
-                touched |= names
+                changed |= names
         by_id = self._hosts_by_id
-        hosts = [by_id[name] for name in sorted(touched & by_id.keys())]
-        return hosts, sorted(touched - by_id.keys()), False
+        hosts = [by_id[name] for name in sorted(changed & by_id.keys())]
+        return hosts, sorted(changed - by_id.keys()), False
 
     def _has_changes(self, known: Known) -> bool:
         return (
@@ -391,9 +393,9 @@
         If it isn't, the poll is not held, so that the peer can switch to
         another host.
         """
-        if not _are_recent(self._listing.age_s, self._tables.confirmed_s):
+        if not _are_recent(self._directory.age_s, self._tables.confirmed_s):
             return False
-        return known.is_lost or self._listing.stamp.hops <= MAX_HOPS
+        return known.is_lost or self._directory.stamp.hops <= MAX_HOPS
 
     async def _wait_for_change(self) -> None:
         await core.wait_for_event(self._changed, POLL_HOLD_S)
@@ -406,12 +408,12 @@
     def _on_hosts(self) -> None:
         now = {each.host: each for each in self._hosts.list_hosts()}
         before, self._hosts_by_id = self._hosts_by_id, now
-        touched = {
+        changed = {
             name
             for name in before.keys() | now.keys()
             if before.get(name) != now.get(name)
         }
-        self._host_changes.append((self._hosts.generation, touched))
+        self._host_changes.append((self._hosts.generation, changed))
         self.wake()
 
     def wake(self) -> None:
@@ -440,9 +442,11 @@
         self.entry = entry
         self.known = Known()
         self._hosts: dict[core.HostId, fleet.HostEntry] = {}
-        self._received_table_revision = position.NOWHERE.revision
+        self._received_table_revision = position.NEVER_READ.revision
         self._received_table_version = routing.NO_VERSION
-        self._caller = caller.HttpCaller(core.split_address(entry.address))
+        self._client = http_client.HttpClient(
+            core.split_address(entry.address)
+        )
 
     async def ask(
         self,
@@ -469,7 +473,7 @@
         fields = msgspec.to_builtins(known)
         fields['is_lost'] = int(is_lost)
         query = urllib.parse.urlencode(fields)
-        answer = await self._caller.call(
+        answer = await self._client.call(
             b'GET', f'{PATH}?{query}'.encode(), b'', timeout_s
         )
         match answer:
@@ -489,7 +493,7 @@
         return result.Ok(changes)
 
     @property
-    def is_in_step(self) -> bool:
+    def is_incremental(self) -> bool:
         """Return whether the next poll requests only changes."""
         return self.known.process != ''
 
@@ -502,7 +506,7 @@
         self._hosts.update({each.host: each for each in changes.hosts})
         return list(self._hosts.values())
 
-    def note_applied(self, changes: Changes | None) -> None:
+    def acknowledge(self, changes: Changes | None) -> None:
         """Record which changes were applied; None requests the full state."""
         if changes is None:
             self.known = Known()
@@ -516,16 +520,16 @@
 
     def close(self) -> None:
         """Close the connections to the peer."""
-        self._caller.close()
+        self._client.close()
 
 
 def render_changes(changes: Changes) -> messages.Reply:
     """Return a reply with changes, compressed if it is large."""
     body = msgspec.json.encode(changes)
     if len(body) < COMPRESSION_THRESHOLD_BYTES:
-        return messages.Reply(200, [caller.JSON], body)
+        return messages.Reply(200, [http_client.JSON], body)
     return messages.Reply(
-        200, [caller.JSON, DEFLATE_HEADER], zlib.compress(body)
+        200, [http_client.JSON, DEFLATE_HEADER], zlib.compress(body)
     )
 
 
--- a/rudderrock/gateway/knowledge/_quarantine.py
+++ b/rudderrock/gateway/discovery/_quarantine.py
@@ -28,12 +28,12 @@
 # quarantined. One can be an ordinary crash, which also affects unrelated
 # requests. Two can be the crash of a shard's last replicas. Users count the
 # upstreams that a request crashes from the third on.
-MOST_TRIALS = 3
-# The same for a request that has crashed `MOST_TRIALS` upstreams or more, of
-# one or several services. So many crashes in a first attempt are not an
-# ordinary crash, so one further failed attempt suffices. Of the later crashes,
-# users again count from the third upstream on, so two canaries that two hosts
-# send at the same moment are still within the limit.
+QUARANTINE_THRESHOLD = 3
+# The same for a request that has crashed `QUARANTINE_THRESHOLD` upstreams or
+# more, of one or several services. So many crashes in a first attempt are not
+# an ordinary crash, so one further failed attempt suffices. Of the later
+# crashes, users again count from the third upstream on, so two canaries that
+# two hosts send at the same moment are still within the limit.
 _SPREAD_QUARANTINE_THRESHOLD = 2
 # How long a request is suspect after its last crash, in seconds. A suspect
 # request is sent to a single upstream first, as a canary, so a copy crashes
@@ -60,7 +60,7 @@
 # How long a crashed upstream is assumed to be down, in seconds. Its
 # registration lapses after three missed heartbeats of 1.2 s, and hosts read
 # that a little later. An upstream that is registered after that is alive.
-GONE_S = 4.0
+CRASH_EXCLUSION_S = 4.0
 # Maximum number of crashed upstreams recorded for one request. Suffices for
 # all replicas of 170 shards.
 _MAX_ENDED_UPSTREAMS = 512
@@ -73,7 +73,7 @@
 _INITIAL_TRIAL = 'first'
 
 
-class Standing(enum.Enum):
+class QuarantineState(enum.Enum):
     """Whether a request is sent normally, as a canary first, or not at all."""
 
     CLEAR = 'clear'
@@ -112,23 +112,23 @@
         self.last_crash_at = -math.inf
         self.generation = 0
 
-    def get_standing(self, now: float) -> Standing:
+    def get_state(self, now: float) -> QuarantineState:
         if self.answered:
-            return Standing.CLEAR
+            return QuarantineState.CLEAR
         if not self.has_reached_threshold():
-            return Standing.SUSPECT
+            return QuarantineState.SUSPECT
         if now - self.last_crash_at < self.get_quarantine_duration_s():
-            return Standing.QUARANTINED
-        return Standing.SUSPECT
+            return QuarantineState.QUARANTINED
+        return QuarantineState.SUSPECT
 
     def has_reached_threshold(self) -> bool:
         """Return whether it has the failed attempts for a quarantine."""
         return len(self.trials) >= self.get_threshold()
 
     def get_threshold(self) -> int:
-        if len(self.ended) >= MOST_TRIALS:
+        if len(self.ended) >= QUARANTINE_THRESHOLD:
             return _SPREAD_QUARANTINE_THRESHOLD
-        return MOST_TRIALS
+        return QUARANTINE_THRESHOLD
 
     def get_quarantine_duration_s(self) -> float:
         extra_trials = max(0, len(self.trials) - self.get_threshold())
@@ -178,11 +178,11 @@
         """Return the number of requests in quarantine."""
         now = self._clock.now()
         return sum(
-            each.get_standing(now) is Standing.QUARANTINED
+            each.get_state(now) is QuarantineState.QUARANTINED
             for each in self._histories.values()
         )
 
-    def get_standing(self, digest: str) -> Standing:
+    def get_state(self, digest: str) -> QuarantineState:
         """Return the state of a request, `CLEAR` if there is no record."""
         history = self._histories.get(digest)
         now = self._clock.now()
@@ -190,10 +190,10 @@
             history is None
             or now - history.last_crash_at >= history.get_retention_s()
         ):
-            return Standing.CLEAR
-        return history.get_standing(now)
+            return QuarantineState.CLEAR
+        return history.get_state(now)
 
-    def get_left_s(self, digest: str) -> float:
+    def get_quarantine_left_s(self, digest: str) -> float:
         """Return the remaining time of a quarantine, in seconds."""
         history = self._histories.get(digest)
         if history is None:
@@ -201,7 +201,7 @@
         end = history.last_crash_at + history.get_quarantine_duration_s()
         return max(0.0, end - self._clock.now())
 
-    def has_spread(self, digest: str) -> bool:
+    def has_multiple_crashes(self, digest: str) -> bool:
         """Return whether a request has crashed more than one upstream.
 
         A single crash can be an ordinary one that affects unrelated requests,
@@ -213,25 +213,25 @@
             and max(len(history.ended), len(history.trials)) > 1
         )
 
-    def list_ended(self, digest: str) -> list[core.UpstreamLife]:
+    def list_crashed(self, digest: str) -> list[core.UpstreamLife]:
         """Return the upstreams that a request has crashed."""
         history = self._histories.get(digest)
         return sorted(history.ended) if history is not None else []
 
-    def has_ended(
+    def has_crashed(
         self, incarnation: core.UpstreamLife, lag_s: float = 0.0
     ) -> bool:
         """Return whether an upstream has crashed under any request recently.
 
-        That is within the last `GONE_S + lag_s` seconds.
+        That is within the last `CRASH_EXCLUSION_S + lag_s` seconds.
         """
-        oldest = self._clock.now() - GONE_S - lag_s
+        oldest = self._clock.now() - CRASH_EXCLUSION_S - lag_s
         return any(
             each.ended.get(incarnation, -math.inf) > oldest
             for each in self._histories.values()
         )
 
-    def get_since_s(self, digest: str) -> float:
+    def get_crash_age_s(self, digest: str) -> float:
         """Return the time since the last crash, in seconds.
 
         It is infinite if there is no record.
@@ -241,9 +241,9 @@
             return math.inf
         return self._clock.now() - history.last_crash_at
 
-    def get_gone_s(self, digest: str) -> float:
+    def get_exclusion_left_s(self, digest: str) -> float:
         """Return how long its crashed upstreams stay excluded, in seconds."""
-        return max(0.0, GONE_S - self.get_since_s(digest))
+        return max(0.0, CRASH_EXCLUSION_S - self.get_crash_age_s(digest))
 
     def has_canary(self, digest: str) -> bool:
         """Return whether a canary of a request is in flight at this host."""
@@ -263,7 +263,7 @@
         if not self._canary_counts[digest]:
             del self._canary_counts[digest]
 
-    def note_trial(
+    def record_crash(
         self,
         digest: str,
         began: float,
@@ -293,7 +293,7 @@
         for call in self._local_listeners:
             call()
 
-    def note_answered(self, digest: str) -> None:
+    def record_answer(self, digest: str) -> None:
         """Record that an upstream has answered, which clears the request."""
         history = self._histories.get(digest)
         if history is None or history.answered:
@@ -364,7 +364,7 @@
             # Nothing new. Repeated reports of a crash differ in age only.
             return
         before = (
-            history.get_standing(now) if history.trials else Standing.CLEAR
+            history.get_state(now) if history.trials else QuarantineState.CLEAR
         )
         history.trials = merged_trials
         history.ended = merged_ended
@@ -384,7 +384,7 @@
         self,
         digest: str,
         history: _RequestHistory,
-        before: Standing,
+        before: QuarantineState,
         now: float,
         origin: str,
     ) -> None:
@@ -392,7 +392,7 @@
             events.LogKind.QUARANTINE_CHANGED,
             digest=digest,
             before=before.value,
-            standing=history.get_standing(now).value,
+            standing=history.get_state(now).value,
             trials=len(history.trials),
             origin=origin,
         )
--- a/rudderrock/gateway/knowledge/_follow.py
+++ b/rudderrock/gateway/discovery/_synchronizer.py
@@ -19,15 +19,15 @@
 from rudderrock import core
 from rudderrock.gateway import _events as events
 from rudderrock.gateway import _log as log
-from rudderrock.gateway.knowledge import _directory as directory
-from rudderrock.gateway.knowledge import _era as era
-from rudderrock.gateway.knowledge import _evacuations as evacuations
-from rudderrock.gateway.knowledge import _first as first
-from rudderrock.gateway.knowledge import _fleet as fleet
-from rudderrock.gateway.knowledge import _operators as operators
-from rudderrock.gateway.knowledge import _peers as peers
-from rudderrock.gateway.knowledge import _quarantine as quarantine
-from rudderrock.gateway.knowledge import _sources as sources
+from rudderrock.gateway.discovery import _directory as directory
+from rudderrock.gateway.discovery import _era as era
+from rudderrock.gateway.discovery import _evacuations as evacuations
+from rudderrock.gateway.discovery import _fleet as fleet
+from rudderrock.gateway.discovery import _initial_sync as initial_sync_module
+from rudderrock.gateway.discovery import _operators as operators
+from rudderrock.gateway.discovery import _peers as peers
+from rudderrock.gateway.discovery import _quarantine as quarantine
+from rudderrock.gateway.discovery import _sources as sources
 
 # Interval between readings of the upstreams, in seconds. A draining upstream
 # must stop getting new work within a few seconds of announcing the drain, but
@@ -76,7 +76,7 @@
 AFTER_ANSWER_PAUSE_S = 0.02
 
 
-class Follower:
+class Synchronizer:
     """Synchronizes with peers or the source, and logs which one is used."""
 
     def __init__(
@@ -84,10 +84,10 @@
         source: sources.SourcePort,
         tables: sources.TableHolder,
         evacuated: evacuations.EvacuationHolder,
-        listing: directory.Directory,
+        upstream_directory: directory.Directory,
         hosts: fleet.Fleet,
-        first_knowledge: first.FirstKnowledge,
-        changes: peers.ChangeBook,
+        initial_sync: initial_sync_module.InitialSync,
+        changes: peers.ChangeFeed,
         known_quarantine: quarantine.Quarantine,
         source_era: era.SourceEra,
         clock: core.Clock,
@@ -100,9 +100,9 @@
         self._source = source
         self._tables = tables
         self._evacuated = evacuated
-        self._listing = listing
+        self._directory = upstream_directory
         self._hosts = hosts
-        self._first = first_knowledge
+        self._initial_sync = initial_sync
         self._changes = changes
         self._quarantine = known_quarantine
         self._era = source_era
@@ -143,7 +143,7 @@
         if self._is_seed or not self._seeds:
             return False
         asking = asyncio.create_task(self._ask_seeds())
-        waiter = asyncio.create_task(self._first.wait_for_waiter())
+        waiter = asyncio.create_task(self._initial_sync.wait_for_waiter())
         async with contextlib.AsyncExitStack() as stack:
             stack.push_async_callback(core.end_task, asking)
             stack.push_async_callback(core.end_task, waiter)
@@ -177,7 +177,7 @@
             return False
         changes = answer.ok_value
         self._apply_changes(client, changes)
-        return changes.is_fresh and self._first.is_complete
+        return changes.is_fresh and self._initial_sync.is_complete
 
     async def _synchronize_once(self) -> None:
         """Update once from peers or from the source."""
@@ -238,7 +238,7 @@
             # incomplete, because others have started at the same time; their
             # order of hosts differs.
             candidates = [self._seed_peer, *candidates]
-        if not (candidates or self._listing.differs_from_reading):
+        if not (candidates or self._directory.differs_from_reading):
             # While upstreams are kept, only full listings show when to drop
             # them, and those are too large to send between zones.
             candidates = self._hosts.list_earlier_readers()
@@ -268,11 +268,11 @@
             match answer:
                 case result.Ok(changes):
                     self._apply_changes(client, changes)
-                    if self._is_good(changes):
-                        is_in_step = client.is_in_step
+                    if self._is_sufficient(changes):
+                        is_incremental = client.is_incremental
                         await self._pause(
                             AFTER_ANSWER_PAUSE_S
-                            if is_in_step
+                            if is_incremental
                             else RETRY_INTERVAL_S
                         )
                         return True
@@ -292,11 +292,11 @@
         return peers.InForce(
             table_version=self._tables.version,
             table=self._tables.position,
-            upstreams=self._listing.position,
+            upstreams=self._directory.position,
             evacuations=self._evacuated.current.position,
         )
 
-    def _is_good(self, changes: peers.Changes) -> bool:
+    def _is_sufficient(self, changes: peers.Changes) -> bool:
         """Return whether the changes of a peer replace an own reading.
 
         Each relay adds up to one polling period to the age. Data that was
@@ -305,7 +305,7 @@
         """
         if not changes.is_fresh:
             return False
-        if changes.era < self._listing.position.era:
+        if changes.era < self._directory.position.era:
             # Readings from an earlier era are ignored here, so the changes
             # would add nothing. A peer of the previous version sends no era.
             return False
@@ -381,8 +381,8 @@
                 self._apply_hosts(found, origin)
         if changes.age_ms < 0:
             return
-        self._era.note(
-            changes.upstreams_position, self._listing.position, origin
+        self._era.record_position(
+            changes.upstreams_position, self._directory.position, origin
         )
         stamp = directory.ReadingStamp(
             changes.origin,
@@ -391,28 +391,28 @@
             changes.hops + 1,
         )
         if changes.hold_ms > 0:
-            self._listing.hold_for(changes.hold_ms / 1000)
-        is_older = changes.upstreams_position < self._listing.position
+            self._directory.hold_for(changes.hold_ms / 1000)
+        is_older = changes.upstreams_position < self._directory.position
         if changes.whole:
-            change = self._listing.apply_reading(
+            change = self._directory.apply_reading(
                 changes.upstreams, changes.upstreams_position, stamp
             )
         else:
-            change = self._listing.apply_changes(
+            change = self._directory.apply_changes(
                 changes.upstreams,
                 changes.left,
                 changes.upstreams_position,
                 stamp,
             )
         self._log_change(change, origin)
-        if self._listing.differs_from_reading or is_older:
+        if self._directory.differs_from_reading or is_older:
             # Request a full listing next time. Only a full listing shows when
             # to drop these upstreams, and what the peer knew when its data was
             # ignored: it may have a newer entry for an upstream than the
             # restored source.
-            client.note_applied(None)
+            client.acknowledge(None)
         else:
-            client.note_applied(changes)
+            client.acknowledge(changes)
 
     async def _read_source(self) -> bool:
         """Read what is due from the source; return whether it answered."""
@@ -458,7 +458,9 @@
 
     def _apply_upstreams(self, reading: sources.UpstreamReading) -> None:
         self._log_new_problems(reading.problems)
-        if self._era.note(reading.position, self._listing.position, 'source'):
+        if self._era.record_position(
+            reading.position, self._directory.position, 'source'
+        ):
             # The watch may continue from a revision that was assigned again.
             self._operators.stop()
             self._hosts_read_at = -HOSTS_INTERVAL_S
@@ -466,7 +468,7 @@
         stamp = directory.ReadingStamp(
             self._changes.process, self._reading_count, self._clock.now()
         )
-        change = self._listing.apply_reading(
+        change = self._directory.apply_reading(
             reading.endpoints, reading.position, stamp
         )
         self._log_change(change, 'source')
@@ -485,8 +487,8 @@
             return
         self._events.record(
             events.LogKind.UPSTREAMS_CHANGED,
-            era=self._listing.position.era,
-            revision=self._listing.position.revision,
+            era=self._directory.position.era,
+            revision=self._directory.position.revision,
             added=change.added,
             left=change.left,
             held=change.held,
@@ -510,8 +512,8 @@
             return
         away_s = self._clock.now() - self.lost_at
         self.lost_at = None
-        if self._listing.age_s > directory.MAX_HARMLESS_OUTAGE_S:
-            self._listing.hold_for(directory.REREGISTRATION_GRACE_S)
+        if self._directory.age_s > directory.MAX_HARMLESS_OUTAGE_S:
+            self._directory.hold_for(directory.REREGISTRATION_GRACE_S)
         # The watch may have been disconnected without an error.
         self._operators.stop()
         self._events.record(
--- a/rudderrock/gateway/forwarding/_calls.py
+++ b/rudderrock/gateway/forwarding/_calls.py
@@ -8,23 +8,23 @@
 from rudderrock.gateway.decisions import _budget as budget
 from rudderrock.gateway.decisions import _canary as canary
 from rudderrock.gateway.decisions import _replicas as replicas
-from rudderrock.gateway.http import _dialect as dialect
+from rudderrock.gateway.discovery import _routing as routing
+from rudderrock.gateway.http import _header_names as header_names
 from rudderrock.gateway.http import _messages as messages
 from rudderrock.gateway.http import _reach as reach
-from rudderrock.gateway.knowledge import _routing as routing
 
 
 @dataclasses.dataclass(slots=True)
 class Counters:
     """Counts of the attempts that this host has sent to upstreams.
 
-    `denied` counts extra attempts that the budget did not allow.
+    `extras_denied` counts extra attempts that the budget did not allow.
     """
 
-    firsts: int = 0
+    first_attempts: int = 0
     hedges: int = 0
     retries: int = 0
-    denied: int = 0
+    extras_denied: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -32,9 +32,9 @@
     """Objects that all service calls of one host share."""
 
     loop: asyncio.AbstractEventLoop
-    names: dialect.HeaderNames
-    book: replicas.ReplicaBook
-    get_budget: Callable[[routing.ServiceName], budget.ExtraBudget]
+    names: header_names.HeaderNames
+    selector: replicas.ReplicaSelector
+    get_budget: Callable[[routing.ServiceName], budget.ExtraRequestBudget]
     counters: Counters
     checker: reach.ReachChecker
 
@@ -69,7 +69,7 @@
     def render(
         self,
         upstream: core.UpstreamId,
-        names: dialect.HeaderNames,
+        names: header_names.HeaderNames,
         now: float,
     ) -> bytes:
         """Return the request to one upstream, with the remaining time."""
--- a/rudderrock/gateway/forwarding/_connections.py
+++ b/rudderrock/gateway/forwarding/_connections.py
@@ -3,12 +3,12 @@
 from rudderrock import core
 from rudderrock.gateway.decisions import _replicas as replicas
 from rudderrock.gateway.decisions import _shares as shares
+from rudderrock.gateway.discovery import _directory as directory
+from rudderrock.gateway.discovery import _fleet as fleet
+from rudderrock.gateway.discovery import _routing as routing
+from rudderrock.gateway.discovery import _sources as sources
+from rudderrock.gateway.discovery import _topology as topology
 from rudderrock.gateway.forwarding import _delegate as delegate
-from rudderrock.gateway.knowledge import _directory as directory
-from rudderrock.gateway.knowledge import _fleet as fleet
-from rudderrock.gateway.knowledge import _place as place
-from rudderrock.gateway.knowledge import _routing as routing
-from rudderrock.gateway.knowledge import _sources as sources
 
 # How the slack of extra requests is divided for services that only wide
 # queries use: one fraction for the coordinators, one for all other hosts,
@@ -26,31 +26,31 @@
     def __init__(
         self,
         tables: sources.TableHolder,
-        listing: directory.Directory,
+        upstream_directory: directory.Directory,
         hosts: fleet.Fleet,
-        place: place.Place,
+        topology: topology.Topology,
         delegation: delegate.Delegation,
     ):
         self._tables = tables
-        self._listing = listing
+        self._directory = upstream_directory
         self._hosts = hosts
-        self._place = place
+        self._topology = topology
         self._delegation = delegation
         # Services that only wide queries use.
         self._wide_services: frozenset[routing.ServiceName] = frozenset()
 
     def update_table(self, table: routing.RoutingTable) -> None:
         """Update the services that only wide queries use."""
-        self._wide_services = table.list_wide_only(delegate.WIDE_SHARDS)
+        self._wide_services = table.list_wide_services(delegate.WIDE_SHARDS)
 
-    def warm(self, book: replicas.ReplicaBook) -> None:
+    def warm(self, selector: replicas.ReplicaSelector) -> None:
         """Open the connections that this host will need.
 
         Connections to hosts that are no longer registered are closed.
         """
         self._delegation.close_unlisted()
-        for service in self.list_wanted(book):
-            book.warm(service)
+        for service in self.list_required_services(selector):
+            selector.warm(service)
         table = self._tables.current
         if table is None or not self._hosts.is_listed:
             return
@@ -88,8 +88,8 @@
         others = max(1, self._hosts.count() - hosts)
         return OTHER_HOST_SLACK_FRACTION * slack / others
 
-    def list_wanted(
-        self, book: replicas.ReplicaBook
+    def list_required_services(
+        self, selector: replicas.ReplicaSelector
     ) -> set[routing.ServiceName]:
         """Return the services to which this host itself sends requests."""
         table = self._tables.current
@@ -101,7 +101,7 @@
             if len(services) < delegate.WIDE_SHARDS:
                 required.update(services)
             elif self.runs_locally(services):
-                required.update(filter(book.has_nearest, services))
+                required.update(filter(selector.has_nearest, services))
         return required
 
     def find_service(
@@ -125,7 +125,9 @@
             senders = self._hosts.rank_zone(zone)
         return [each.host for each in senders or self._hosts.list_hosts()]
 
-    def get_share(self, endpoint: directory.Endpoint) -> shares.LinkShare:
+    def get_connection_limit(
+        self, endpoint: directory.Endpoint
+    ) -> shares.ConnectionShare:
         """Return how many connections this host may open to an upstream."""
         service = endpoint.service
         entry = self.find_service(service)
@@ -134,15 +136,15 @@
         counts = self._hosts.count_by_zone()
         if is_wide:
             counts = coordinators.count_by_zone()
-        share = shares.share_links(
+        share = shares.compute_connection_share(
             endpoint,
-            self._listing.list_ready(service),
+            self._directory.list_ready(service),
             entry.max_connections if entry is not None else 1,
             counts,
-            self._place,
+            self._topology,
         )
         if is_wide and not coordinators.has_own():
             # This host sends to the upstream only while the coordinators are
             # full or gone, so its connections are closed soon after use.
-            return shares.LinkShare(1, True)
+            return shares.ConnectionShare(1, True)
         return share
--- a/rudderrock/gateway/forwarding/_delegate.py
+++ b/rudderrock/gateway/forwarding/_delegate.py
@@ -21,13 +21,13 @@
 from rudderrock import core
 from rudderrock.gateway import _log as log
 from rudderrock.gateway.decisions import _coordinators as coordinators
+from rudderrock.gateway.discovery import _fleet as fleet
+from rudderrock.gateway.discovery import _routing as routing
 from rudderrock.gateway.forwarding import _calls as calls
 from rudderrock.gateway.forwarding import _results as results
-from rudderrock.gateway.http import _caller as caller
-from rudderrock.gateway.http import _dialect as dialect
+from rudderrock.gateway.http import _header_names as header_names
+from rudderrock.gateway.http import _http_client as http_client
 from rudderrock.gateway.http import _messages as messages
-from rudderrock.gateway.knowledge import _fleet as fleet
-from rudderrock.gateway.knowledge import _routing as routing
 
 # Minimum number of shards of a wide query.
 WIDE_SHARDS = 48
@@ -36,11 +36,11 @@
 UNRESPONSIVE_SKIP_S = 1.0
 # How long a host is skipped after it refused a query, usually because its
 # routing table differs. The tables converge within this time.
-REFUSAL_PAUSE_S = 0.3
+REFUSAL_SKIP_S = 0.3
 # How long a full host is skipped. Its queued work takes a tenth of a latency
 # goal, about 10 to 30 ms. It is asked again soon afterwards, so that the load
 # on other hosts ends with the burst.
-FULL_PAUSE_S = 0.1
+FULL_SKIP_S = 0.1
 # A host is skipped if its answer is this much later than the latency goal.
 SUSPECT_AFTER_S = 0.1
 # Headers of a delegated query: the table version of the delegating host, and
@@ -155,7 +155,7 @@
     def __init__(
         self,
         hosts: fleet.Fleet,
-        names: dialect.HeaderNames,
+        names: header_names.HeaderNames,
         clock: core.Clock,
         events: log.EventLog,
         get_version: Callable[[], int],
@@ -165,7 +165,7 @@
         self._names = names
         self._clock = clock
         self._get_version = get_version
-        self._callers: dict[str, caller.HttpCaller] = {}
+        self._clients: dict[str, http_client.HttpClient] = {}
 
     def choose(
         self,
@@ -184,7 +184,7 @@
         if not has_room:
             tried = (*tried, own.host)
         candidate = self._pick_candidate(
-            own.zone, request_id, tried, coordinators.MOST_TURNS
+            own.zone, request_id, tried, coordinators.MAX_ATTEMPTS
         )
         return (
             None if candidate is None or candidate.entry == own else candidate
@@ -197,10 +197,10 @@
         tried: tuple[core.HostId, ...],
     ) -> Candidate | None:
         """Return the host of another zone to ask for a part, or None."""
-        if len(tried) >= coordinators.MOST_FAR_TURNS:
+        if len(tried) >= coordinators.MAX_REMOTE_ATTEMPTS:
             return None
         return self._pick_candidate(
-            zone, request_id, tried, coordinators.MOST_FAR_TURNS
+            zone, request_id, tried, coordinators.MAX_REMOTE_ATTEMPTS
         )
 
     def _pick_candidate(
@@ -223,7 +223,7 @@
             if zone == own:
                 continue
             for entry in self.coordinators.list_regular(zone):
-                self._get_caller(entry).warm(_WARM_CONNECTIONS)
+                self._get_client(entry).warm(_WARM_CONNECTIONS)
 
     def has_time_to_hedge(self, zone: core.ZoneId, call: calls.Call) -> bool:
         """Return whether every host of a zone can hedge and meet the goal.
@@ -231,7 +231,7 @@
         A hedge, sent after a late first attempt, may need another round trip
         of the same length. Round trips that are too long are measured again.
         """
-        available = self.coordinators.list_open(zone)
+        available = self.coordinators.list_available(zone)
         if not available:
             return False
         left_s = call.goal_at - self._clock.now()
@@ -240,25 +240,25 @@
         ) / 2
         has_time = True
         for entry in available:
-            peer = self._get_caller(entry)
+            peer = self._get_client(entry)
             if (
                 peer.round_trip_s or DEFAULT_ROUND_TRIP_S
             ) > time_per_attempt_s:
                 has_time = False
-                peer.measure()
+                peer.measure_round_trip()
         return has_time
 
-    def list_callers(self) -> list[caller.HttpCaller]:
+    def list_clients(self) -> list[http_client.HttpClient]:
         """Return the HTTP clients of the hosts contacted so far."""
-        return list(self._callers.values())
+        return list(self._clients.values())
 
     def close_unlisted(self) -> None:
         """Close idle clients of hosts that are no longer registered."""
         known = {each.address for each in self._hosts.list_hosts()}
-        for address, peer in list(self._callers.items()):
+        for address, peer in list(self._clients.items()):
             if address not in known and not peer.is_busy:
                 peer.close()
-                del self._callers[address]
+                del self._clients[address]
 
     async def ask_part(
         self,
@@ -266,7 +266,7 @@
         call: calls.Call,
         shards: tuple[routing.ServiceName, ...],
         min_answers: int,
-    ) -> result.Result[PartAnswer, caller.NoReply]:
+    ) -> result.Result[PartAnswer, http_client.NoReply]:
         """Ask a host to query some shards and to merge their answers.
 
         Once the latency goal is reached, `min_answers` answers are enough.
@@ -283,7 +283,7 @@
 
     def _parse_part(
         self, shards: tuple[routing.ServiceName, ...], reply: messages.Reply
-    ) -> result.Result[PartAnswer, caller.NoReply]:
+    ) -> result.Result[PartAnswer, http_client.NoReply]:
         """Return the answer for a part in a reply.
 
         An error is returned if the number of stamps and missing shards is not
@@ -291,13 +291,17 @@
         """
         missing_header = reply.get_header(MISSING_SHARDS)
         if reply.status != 200 or missing_header is None:
-            return result.Err(caller.NoReply(True, f'status {reply.status}'))
+            return result.Err(
+                http_client.NoReply(True, f'status {reply.status}')
+            )
         signed = reply.get_header(self._names.part_stamps) or b''
         stamps = [each.strip() for each in signed.split(b',') if each]
         missing = frozenset(parse_service_names(missing_header))
         if len(stamps) + len(missing) != len(shards):
             return result.Err(
-                caller.NoReply(True, 'stamps and missing shards do not match')
+                http_client.NoReply(
+                    True, 'stamps and missing shards do not match'
+                )
             )
         return result.Ok(
             PartAnswer(
@@ -313,7 +317,9 @@
         match answer:
             case result.Ok(reply):
                 return self._parse_result(candidate.entry, reply)
-            case result.Err(caller.NoReply(signed=False) as problem):
+            case result.Err(
+                http_client.NoReply(had_interim_reply=False) as problem
+            ):
                 return NotStarted(problem.sent)
             case result.Err(problem):
                 return results.fail(
@@ -328,7 +334,7 @@
         candidate: Candidate,
         call: calls.Call,
         extra_headers: messages.Headers,
-    ) -> result.Result[messages.Reply, caller.NoReply]:
+    ) -> result.Result[messages.Reply, http_client.NoReply]:
         """Send a query to a host, and skip the host if it takes too long.
 
         A refusal is returned as if the query had not been sent.
@@ -337,7 +343,7 @@
         entry = candidate.entry
         if candidate.is_last:
             extra_headers = [*extra_headers, (MUST_RUN, b'1')]
-        peer = self._get_caller(entry)
+        peer = self._get_client(entry)
         round_trip_s = peer.round_trip_s or DEFAULT_ROUND_TRIP_S
         version = self._get_version()
 
@@ -369,20 +375,20 @@
                 call.expires_at - loop.time(),
                 make_headers,
                 call.request_id,
-                sign_s=round_trip_s + INTERIM_REPLY_TIMEOUT_S,
+                interim_timeout_s=round_trip_s + INTERIM_REPLY_TIMEOUT_S,
             )
         finally:
             suspect.cancel()
         match answer:
             case result.Ok(reply) if reply.get_header(REFUSAL_REASON) is None:
-                self.coordinators.note_good(entry)
+                self.coordinators.record_success(entry)
                 return answer
             case result.Ok(reply):
                 return self._handle_refusal(entry, reply)
             case result.Err(problem):
                 skip_s = (
                     coordinators.SKIP_S
-                    if problem.signed
+                    if problem.had_interim_reply
                     else UNRESPONSIVE_SKIP_S
                 )
                 self.coordinators.skip(entry, problem.detail, skip_s)
@@ -390,26 +396,26 @@
 
     def _handle_refusal(
         self, entry: fleet.HostEntry, reply: messages.Reply
-    ) -> result.Err[caller.NoReply]:
+    ) -> result.Err[http_client.NoReply]:
         """Skip a host that refused a query, for a time set by its reason."""
         reason = (reply.get_header(REFUSAL_REASON) or b'').decode('latin-1')
         if not _REASON_PATTERN.fullmatch(reason):
             reason = 'no reason that is known'
         detail = f'did not take a query: {reason}'
         is_full = reason.startswith(RefusalReason.FULL.value)
-        pause_s = FULL_PAUSE_S if is_full else REFUSAL_PAUSE_S
-        self.coordinators.pause(entry, detail, pause_s)
-        return result.Err(caller.NoReply(False, detail))
+        skip_s = FULL_SKIP_S if is_full else REFUSAL_SKIP_S
+        self.coordinators.skip_for(entry, detail, skip_s)
+        return result.Err(http_client.NoReply(False, detail))
 
     def close(self) -> None:
         """Close all connections to other hosts."""
-        for each in self._callers.values():
+        for each in self._clients.values():
             each.close()
 
     def _parse_result(
         self, entry: fleet.HostEntry, reply: messages.Reply
     ) -> results.Result:
-        forwardable = messages.pass_on(reply)
+        forwardable = messages.make_forwardable(reply)
         detail = f'by {entry.host}'
         if reply.status != 200:
             outcome = _OUTCOME_BY_STATUS.get(
@@ -430,17 +436,17 @@
             answered=answered,
         )
 
-    def _get_caller(self, entry: fleet.HostEntry) -> caller.HttpCaller:
-        http_caller = self._callers.get(entry.address)
-        if http_caller is None:
-            http_caller = caller.HttpCaller(
+    def _get_client(self, entry: fleet.HostEntry) -> http_client.HttpClient:
+        client = self._clients.get(entry.address)
+        if client is None:
+            client = http_client.HttpClient(
                 core.split_address(entry.address),
                 _MAX_CONNECTIONS,
                 self._names,
                 PEER_IDLE_S,
             )
-            self._callers[entry.address] = http_caller
-        return http_caller
+            self._clients[entry.address] = client
+        return client
 
 
 def make_missing_header(
@@ -479,7 +485,7 @@
 
 
 def make_refusal(
-    names: dialect.HeaderNames, reason: RefusalReason, detail: str = ''
+    names: header_names.HeaderNames, reason: RefusalReason, detail: str = ''
 ) -> messages.Reply:
     """Return the reply that refuses a delegated query."""
     said = f'{reason.value} {detail}'.strip().encode('latin-1')
--- a/rudderrock/gateway/forwarding/_forward.py
+++ b/rudderrock/gateway/forwarding/_forward.py
@@ -4,14 +4,14 @@
 import dataclasses
 
 from rudderrock import core
+from rudderrock.gateway.discovery import _routing as routing
+from rudderrock.gateway.discovery import _topology as topology
 from rudderrock.gateway.forwarding import _calls as calls
 from rudderrock.gateway.forwarding import _delegate as delegate
 from rudderrock.gateway.forwarding import _parts as parts
 from rudderrock.gateway.forwarding import _results as results
 from rudderrock.gateway.forwarding import _service_call as service_call
 from rudderrock.gateway.http import _messages as messages
-from rudderrock.gateway.knowledge import _place as place
-from rudderrock.gateway.knowledge import _routing as routing
 
 # Target fraction of first attempts that are late and therefore hedged. It
 # keeps hedges well within the budget of extra requests.
@@ -164,7 +164,7 @@
         # would send it to another one.
         if self._delegation is not None and not self._call.canary.is_suspect:
             self.parts = parts.plan_parts(
-                self._context.book,
+                self._context.selector,
                 self._call,
                 self.service_calls,
                 self._delegation,
@@ -195,11 +195,11 @@
         Shortly after an outage of the registry, upstreams may still be
         missing. Sending requests that must be cancelled would waste work.
         """
-        book = self._context.book
+        selector = self._context.selector
         without_upstream = [
             each
             for each in self.service_calls
-            if not book.has_ready(each.service, self._call.route.residency)
+            if not selector.has_ready(each.service, self._call.route.residency)
         ]
         if self._can_still_succeed(len(without_upstream)):
             return False
@@ -325,7 +325,7 @@
     settled_call = forwarder.service_calls[0]
     late = int(settled_call.is_late)
     if settled_call.answer is not None:
-        reply = messages.pass_on(settled_call.answer)
+        reply = messages.make_forwardable(settled_call.answer)
         return results.Result(
             reply,
             results.Outcome.ANSWERED,
@@ -335,7 +335,7 @@
             far=count_cross_region([settled_call]),
         )
     if settled_call.failure is not None:
-        reply = messages.pass_on(settled_call.failure)
+        reply = messages.make_forwardable(settled_call.failure)
         return results.Result(
             reply,
             results.Outcome.UPSTREAM_FAILED,
@@ -365,6 +365,6 @@
 def count_cross_region(service_calls: list[service_call.ServiceCall]) -> int:
     """Return the number of answers that came from another region."""
     return sum(
-        each.winner is not None and each.winner.distance == place.FARTHEST
+        each.winner is not None and each.winner.distance == topology.FARTHEST
         for each in service_calls
     )
--- a/rudderrock/gateway/forwarding/_parts.py
+++ b/rudderrock/gateway/forwarding/_parts.py
@@ -12,12 +12,12 @@
 
 from rudderrock import core
 from rudderrock.gateway.decisions import _replicas as replicas
+from rudderrock.gateway.discovery import _fleet as fleet
+from rudderrock.gateway.discovery import _topology as topology
 from rudderrock.gateway.forwarding import _calls as calls
 from rudderrock.gateway.forwarding import _delegate as delegate
 from rudderrock.gateway.forwarding import _service_call as service_call
-from rudderrock.gateway.http import _caller as caller
-from rudderrock.gateway.knowledge import _fleet as fleet
-from rudderrock.gateway.knowledge import _place as place
+from rudderrock.gateway.http import _http_client as http_client
 
 # Minimum number of shards of a part. For fewer shards, a message to another
 # zone is not worth its cost. The limit is lower for another region, because
@@ -27,7 +27,7 @@
 
 # The host that was asked for a part, and its answer.
 _PartOutcome = tuple[
-    core.HostId, result.Result[delegate.PartAnswer, caller.NoReply]
+    core.HostId, result.Result[delegate.PartAnswer, http_client.NoReply]
 ]
 
 
@@ -89,7 +89,7 @@
                 candidate, call, shards, min_answers
             )
             match answer:
-                case result.Err(caller.NoReply(sent=False)):
+                case result.Err(http_client.NoReply(sent=False)):
                     tried = (*tried, host)
                 case _:
                     return host, answer
@@ -115,7 +115,7 @@
                 each.settle_from_part()
         if part_answer.crashed_upstreams is not None:
             part_failure = service_call.PartFailure.HELD_BACK
-            call.canary.warn(part_answer.crashed_upstreams)
+            call.canary.mark_suspected(part_answer.crashed_upstreams)
         # Missing shards come last: an answer clears the request of suspicion,
         # so their retries may be sent at once.
         for each in self._members:
@@ -132,7 +132,7 @@
 
 
 def plan_parts(
-    book: replicas.ReplicaBook,
+    selector: replicas.ReplicaSelector,
     call: calls.Call,
     service_calls: list[service_call.ServiceCall],
     delegation: delegate.Delegation,
@@ -142,7 +142,7 @@
     Zones are taken in descending order of the number of shards whose nearest
     upstreams they have. A hash of the request id breaks ties.
     """
-    nearest = _find_nearest(book, call, service_calls, delegation)
+    nearest = _find_nearest(selector, call, service_calls, delegation)
     parts = []
     while nearest:
         counts = collections.Counter(
@@ -151,7 +151,7 @@
         zones = [
             zone
             for zone, count in counts.items()
-            if count >= _get_min_shards(book.get_distance(zone))
+            if count >= _get_min_shards(selector.get_distance(zone))
         ]
         if not zones:
             break
@@ -174,7 +174,7 @@
 
 
 def _find_nearest(
-    book: replicas.ReplicaBook,
+    selector: replicas.ReplicaSelector,
     call: calls.Call,
     service_calls: list[service_call.ServiceCall],
     delegation: delegate.Delegation,
@@ -186,7 +186,7 @@
     nearest = {}
     has_time_by_zone: dict[core.ZoneId, bool] = {}
     for each in service_calls:
-        nearest_replicas = book.list_nearest(
+        nearest_replicas = selector.list_nearest(
             each.service, call.route.residency, call.late_after_s
         )
         if not nearest_replicas or nearest_replicas[0].distance == 0:
@@ -209,6 +209,6 @@
     """Return the minimum number of shards of a part at a distance."""
     return (
         MIN_SHARDS_OTHER_REGION
-        if distance == place.FARTHEST
+        if distance == topology.FARTHEST
         else MIN_SHARDS_SAME_REGION
     )
--- a/rudderrock/gateway/forwarding/_zones.py
+++ b/rudderrock/gateway/forwarding/_zones.py
@@ -4,10 +4,10 @@
 
 from rudderrock.gateway import _events as events
 from rudderrock.gateway import _log as log
-from rudderrock.gateway.knowledge import _directory as directory
-from rudderrock.gateway.knowledge import _evacuations as evacuations
-from rudderrock.gateway.knowledge import _place as place_module
-from rudderrock.gateway.knowledge import _routing as routing
+from rudderrock.gateway.discovery import _directory as directory
+from rudderrock.gateway.discovery import _evacuations as evacuations
+from rudderrock.gateway.discovery import _routing as routing
+from rudderrock.gateway.discovery import _topology as topology_module
 
 
 class ZonePolicy:
@@ -19,13 +19,13 @@
 
     def __init__(
         self,
-        listing: directory.Directory,
-        place: place_module.Place,
+        upstream_directory: directory.Directory,
+        topology: topology_module.Topology,
         find_service: Callable[[routing.ServiceName], routing.Service | None],
         events: log.EventLog,
     ):
-        self._listing = listing
-        self._place = place
+        self._directory = upstream_directory
+        self._topology = topology
         self._find_service = find_service
         self._events = events
 
@@ -35,20 +35,20 @@
         Upstreams of a restored zone are treated as cold: they may have become
         cold recently, and their directory entries may not show it yet.
         """
-        change = self._listing.set_evacuated(current.zones)
+        change = self._directory.set_evacuated(current.zones)
         if change is None:
             return
         for upstream in change.added:
-            entry = self._listing.get_endpoint(upstream)
+            entry = self._directory.get_endpoint(upstream)
             service = self._find_service(entry.service)
             if service is not None and service.warmup_per_s > 0.0:
-                self._listing.note_cold(upstream, service.warmup_s)
+                self._directory.mark_cold(upstream, service.warmup_s)
 
     def check_table(self, table: routing.RoutingTable) -> None:
         """Log each region that routes use but the settings don't define."""
-        unknown: dict[place_module.RegionId, list[routing.RouteName]] = {}
+        unknown: dict[topology_module.RegionId, list[routing.RouteName]] = {}
         for route in table.routes.values():
-            for region in self._place.list_unknown(route.residency):
+            for region in self._topology.list_unknown(route.residency):
                 unknown.setdefault(region, []).append(route.name)
         for region, routes in unknown.items():
             self._events.record(
--- a/rudderrock/gateway/http/_verdicts.py
+++ b/rudderrock/gateway/http/_verdicts.py
@@ -2,24 +2,24 @@
 
 import enum
 
-from rudderrock.gateway.http import _dialect as dialect
+from rudderrock.gateway.http import _header_names as header_names
 from rudderrock.gateway.http import _link as link
 
 
 class Verdict(enum.Enum):
     """The class of an attempt's outcome.
 
-    ANSWER is a valid reply; FAILURE an error reply from the upstream;
-    REJECTED a rejection that states that the request was not run;
-    MISDIRECTED status 421; SPOILT an invalid reply; LOST no complete reply
-    to a request that may have arrived; UNSENT a request that was not sent.
+    ANSWER is a valid reply; FAILURE an error reply from the upstream; REJECTED
+    a rejection that states that the request was not run; MISDIRECTED status
+    421; INVALID_REPLY an invalid reply; LOST no complete reply to a request
+    that may have arrived; UNSENT a request that was not sent.
     """
 
     ANSWER = 'answer'
     FAILURE = 'failure'
     REJECTED = 'rejected'
     MISDIRECTED = 'misdirected'
-    SPOILT = 'spoilt'
+    INVALID_REPLY = 'spoilt'
     LOST = 'lost'
     UNSENT = 'unsent'
 
@@ -28,8 +28,8 @@
 NOT_RUN = frozenset({Verdict.UNSENT, Verdict.REJECTED, Verdict.MISDIRECTED})
 
 
-def judge_outcome(
-    outcome: link.Outcome, names: dialect.HeaderNames
+def classify_outcome(
+    outcome: link.Outcome, names: header_names.HeaderNames
 ) -> Verdict:
     """Return the verdict on an outcome.
 
@@ -38,26 +38,26 @@
     they have a content encoding, or a status below 300 and no signature.
     """
     match outcome:
-        case link.Lost(sent=False):
+        case link.ConnectionLost(sent=False):
             return Verdict.UNSENT
-        case link.Lost():
+        case link.ConnectionLost():
             return Verdict.LOST
     if outcome.status == 421:
         return Verdict.MISDIRECTED
     if outcome.get_header(names.not_run):
         return Verdict.REJECTED
     if outcome.get_header(b'content-encoding') is not None:
-        return Verdict.SPOILT
+        return Verdict.INVALID_REPLY
     if outcome.status >= 300:
         return Verdict.FAILURE
     if outcome.get_header(names.stamp) is None:
-        return Verdict.SPOILT
+        return Verdict.INVALID_REPLY
     return Verdict.ANSWER
 
 
 def describe_outcome(verdict: Verdict, outcome: link.Outcome) -> str:
     """Return a short description of an outcome for logs."""
     match outcome:
-        case link.Lost(detail=detail):
+        case link.ConnectionLost(detail=detail):
             return f'{verdict.value}: {detail}'
     return f'{verdict.value}: status {outcome.status}'
--- a/rudderrock/programs/gateway.py
+++ b/rudderrock/programs/gateway.py
@@ -35,14 +35,14 @@
     """
     path = config or pathlib.Path(os.environ.get(CONFIG_VARIABLE, ''))
     gateway.set_up_log(_STDOUT)
-    match platform.read_boot(path):
+    match platform.read_settings_file(path):
         case result.Err(message):
             exits.fail(message, exits.Exit.USAGE)
         case result.Ok(boot):
             core.run_loop(_serve(boot, path))
 
 
-async def _serve(boot: platform.Boot, path: pathlib.Path) -> None:
+async def _serve(boot: platform.SettingsFile, path: pathlib.Path) -> None:
     loop = asyncio.get_running_loop()
     clock = runtime.make_system_clock()
     source = platform.StoreSource(boot.store)
@@ -53,7 +53,7 @@
     )
 
     def reload() -> None:
-        match platform.read_boot(path):
+        match platform.read_settings_file(path):
             case result.Ok(_):
                 events.record(gateway.LogKind.RELOADED, problem='')
             case result.Err(message):
