--- a/rudderrock/coordination/_admission.py
+++ b/rudderrock/coordination/_admission.py
@@ -1,9 +1,9 @@
-"""What is refused at once, before any of it runs.
+"""Admission control: refuses requests before any part of them runs.
 
-Cost is counted in shard requests, so a wide query weighs what it costs.
-A query that is admitted is never refused later: it is answered with what
-coverage it got. So all that would fail is refused here, with the time
-after which it is worth coming back.
+Cost is counted in shard requests, so a query over many shards costs more than
+one over few. An admitted query is not refused later: it is answered with the
+coverage that it reached. Every check that can refuse a request is therefore
+made here, and each refusal carries the time after which a retry is worthwhile.
 """
 
 import dataclasses
@@ -22,14 +22,14 @@
 
 @dataclasses.dataclass(slots=True)
 class _Gate:
-    """One team's use of this host."""
+    """Use of this host by one team."""
 
     rate: budgets.RateLimit
     in_flight: int = 0
 
 
 class Admission:
-    """Decides on each request of a team against its row and the load."""
+    """Admits or refuses requests by the limits of teams and of this host."""
 
     def __init__(
         self,
@@ -48,10 +48,10 @@
     def admit(
         self, row: state.TeamRow, cost: int, deadline: float
     ) -> result.Result[None, protocol.Refused]:
-        """Admit work of `cost` shard requests, or say why not.
+        """Admit work of `cost` shard requests, or return why it is refused.
 
-        `deadline` is in loop time. Admitted work must be given to
-        `release` when it ends, however it ends.
+        `deadline` is in loop time. For admitted work, the caller must call
+        `release` when the work ends, whatever its outcome.
         """
         team = state.TeamId(row.team)
         self._book.note(team, cost)
@@ -71,17 +71,17 @@
         return result.Ok(None)
 
     def release(self, row: state.TeamRow, cost: int) -> None:
-        """Note that admitted work has ended."""
+        """Release the capacity used by admitted work that has ended."""
         self._gates[state.TeamId(row.team)].in_flight -= cost
         self._in_flight -= cost
 
     @property
     def in_flight(self) -> int:
-        """Return the shard requests admitted and not ended."""
+        """Return the number of admitted shard requests still in flight."""
         return self._in_flight
 
     def forget_teams(self, rows: dict[state.TeamId, state.TeamRow]) -> None:
-        """Drop what is kept of teams that are no longer in the table."""
+        """Remove the state of idle teams that are not in the table."""
         for team, gate in list(self._gates.items()):
             if team not in rows and not gate.in_flight:
                 del self._gates[team]
@@ -101,7 +101,8 @@
     def _check_concurrency(
         self, limit: float, gate: _Gate, cost: int
     ) -> protocol.Refused | None:
-        # One query must pass however wide it is, or it never could.
+        # A query that costs more than the limit is admitted when its team has
+        # nothing in flight; otherwise it could never run.
         if gate.in_flight == 0 or gate.in_flight + cost <= limit:
             return None
         return protocol.Refused(
@@ -133,7 +134,11 @@
     def _check_queues(
         self, row: state.TeamRow, deadline: float
     ) -> protocol.Refused | None:
-        """Refuse what would still wait for slots at its deadline."""
+        """Refuse a request that would wait too long for a slot.
+
+        A request may wait for `queue_fraction` of the time to its deadline.
+        All services with queued requests are checked.
+        """
         if not self._settings.refuse_late:
             return None
         left_s = deadline - self._clock.now()
--- a/rudderrock/coordination/_attempt.py
+++ b/rudderrock/coordination/_attempt.py
@@ -1,4 +1,4 @@
-"""One request to one upstream, and the mailbox its reply goes to."""
+"""Attempts, each a single request to an upstream, and their replies."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class AttemptKind(enum.Enum):
-    """Why an attempt is made."""
+    """Reason for which an attempt is made."""
 
     FIRST = 'first'
     HEDGE = 'hedge'
@@ -19,10 +19,10 @@
 
 
 class Mailbox:
-    """Replies on their way to one query's task.
+    """Queue of the replies to the attempts of one query.
 
-    One task waits for many replies; this costs one future for each wait
-    instead of one task for each shard.
+    The task of the query awaits one future for all outstanding replies, which
+    is cheaper than one task for each shard.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop):
@@ -31,14 +31,17 @@
         self._waiter: asyncio.Future | None = None
 
     def put(self, attempt: 'Attempt', reply: protocol.ShardReply) -> None:
-        """Deliver a reply and wake the task."""
+        """Add a reply and wake the waiting task."""
         self._items.append((attempt, reply))
         self._wake()
 
     async def take(
         self, until: float
     ) -> list[tuple['Attempt', protocol.ShardReply]]:
-        """Return what has come, waiting at most up to loop time `until`."""
+        """Return the replies received since the last call.
+
+        If there are none, wait for the first until loop time `until`.
+        """
         if not self._items and until > self._loop.time():
             self._waiter = self._loop.create_future()
             timer = self._loop.call_at(until, self._wake)
@@ -59,11 +62,13 @@
 class Attempt:
     """One shard request on its way through a service's queue to a lane.
 
-    `deadline` is in loop time. `sent_at` is the loop time at which a lane
-    took it, None while it waits; an attempt that was given up before that
-    has certainly not run. `base_s` is the least latency of the upstream it
-    went to, in seconds: distance and bare work, without chance.
-    `note_late` tells that upstream's link whether the attempt was late.
+    `deadline` is in loop time. `grace_s` is how long after it the reply is
+    still read, in seconds. `sent_at` is the loop time at which a lane took the
+    attempt, or None while the attempt is queued; an attempt abandoned while
+    queued is certain not to have run. `base_s` is the least latency of the
+    upstream in seconds: network and processing time without random delays.
+    `note_late` records at the link to the upstream whether the attempt was
+    late.
     """
 
     request: protocol.ShardRequest
@@ -82,30 +87,36 @@
 
     @property
     def until(self) -> float:
-        """Return the loop time at which reading the reply ends."""
+        """Return the loop time until which the reply is read."""
         return self.deadline + self.grace_s
 
     def arm(self, abort: transport.Abort) -> None:
-        """Take the means to give up the exchange that now begins."""
+        """Set the handle that aborts the exchange, which is about to start.
+
+        The exchange is aborted at once if the attempt is already abandoned.
+        """
         self.abort = abort
         if self.given_up:
             abort.reschedule(0.0)
 
     def detach(self) -> None:
-        """Lose interest in the reply, but let the exchange end by itself.
+        """Ignore the reply, but let the exchange run to its end.
 
-        The upstream knows the deadline and stops by it; closing all the
-        connections of a slow upstream at once would only add to its load.
+        The upstream knows the deadline and stops at it. Closing all
+        connections to a slow upstream at once would add to its load.
         """
         self.given_up = True
 
     def cancel(self) -> None:
-        """Give up now: the connection is closed, which tells the upstream."""
+        """Abort the exchange by closing its connection.
+
+        The closed connection lets the upstream stop its work.
+        """
         self.given_up = True
         if self.abort is not None:
             self.abort.reschedule(0.0)
 
     def deliver(self, reply: protocol.ShardReply) -> None:
-        """Hand the reply over unless nobody waits for it any more."""
+        """Put the reply into the mailbox unless the attempt is abandoned."""
         if not self.given_up:
             self.mailbox.put(self, reply)
--- a/rudderrock/coordination/_budget.py
+++ b/rudderrock/coordination/_budget.py
@@ -1,14 +1,16 @@
-"""Token buckets: limits on a rate, and budgets that grow with the work."""
+"""Token buckets: rate limits, and budgets earned by requests."""
 
 from rudderrock import state
 
 
 class RateLimit:
-    """A token bucket that refills with time.
+    """A token bucket that refills over time.
 
-    Parameters: `rate` in tokens a second, `burst` the tokens it holds.
-    A cost above the burst passes once the bucket is full and leaves it in
-    debt, so a wide query is delayed but never impossible.
+    Parameters: `rate` is in tokens per second; `burst` is the capacity in
+    tokens.
+
+    A cost above the burst is allowed once the bucket is full and makes its
+    balance negative, so a wide query is delayed but never blocked for good.
     """
 
     def __init__(self, clock: state.Clock, rate: float, burst: float):
@@ -19,20 +21,20 @@
         self._filled = clock.now()
 
     def set_rate(self, rate: float, burst: float) -> None:
-        """Change the limit; tokens already held stay, up to the burst."""
+        """Change the limit; tokens above the new burst are discarded."""
         self._refill()
         self._rate = rate
         self._burst = burst
         self._tokens = min(self._tokens, burst)
 
     def get_wait_s(self, cost: float) -> float:
-        """Return in how many seconds this cost may be taken, 0 if now."""
+        """Return the seconds until this cost may be taken, 0 if now."""
         self._refill()
         missing = min(cost, self._burst) - self._tokens
         return max(0.0, missing / self._rate)
 
     def take(self, cost: float) -> None:
-        """Take tokens; `get_wait_s` must have returned 0."""
+        """Take tokens; `get_wait_s` must have returned 0 for this cost."""
         self._tokens -= cost
 
     def _refill(self) -> None:
@@ -43,13 +45,13 @@
 
 
 class Budget:
-    """Tokens earned by first requests and spent on extra ones.
+    """A token bucket filled by first requests and spent on extra ones.
 
-    Extra load can thus never exceed the given part of the work, as in
-    Finagle's retry budgets.
+    Apart from the burst, extra requests cannot exceed the given fraction of
+    first requests, as with the retry budgets of Finagle.
 
-    Parameters: `ratio` tokens are earned for each first request, at most
-    `burst` are kept.
+    Parameters: `ratio` is the number of tokens earned by each first request;
+    `burst` is the capacity in tokens.
     """
 
     def __init__(self, ratio: float, burst: float):
@@ -58,20 +60,23 @@
         self._tokens = burst
 
     def earn(self, count: int = 1) -> None:
-        """Note first requests."""
+        """Add the tokens earned by `count` first requests."""
         self._tokens = min(self._burst, self._tokens + self._ratio * count)
 
     def can_spend(self) -> bool:
-        """Tell whether one extra request is allowed."""
+        """Return whether one extra request is allowed."""
         return self._tokens >= 1.0
 
     def spend(self) -> None:
-        """Pay for one extra request."""
+        """Take the token for one extra request."""
         self._tokens -= 1.0
 
 
 def spend_all(budgets: tuple[Budget, ...]) -> bool:
-    """Pay for one extra request from every budget, or from none."""
+    """Take one token from every budget, or from none if any is exhausted.
+
+    Return whether the tokens were taken.
+    """
     if not all(budget.can_spend() for budget in budgets):
         return False
     for budget in budgets:
--- a/rudderrock/coordination/_claims.py
+++ b/rudderrock/coordination/_claims.py
@@ -1,9 +1,10 @@
-"""Claims: who may run a non-idempotent request, kept by the platform.
+"""Claims on non-idempotent requests, kept in the key-value service.
 
-A claim is made by compare-and-swap before the first byte of a request
-leaves, so of all hosts that get the same idempotency key only one runs it.
-Claims are grouped: each partition of keys is one value, written by one
-task, and all that waits while a write is under way goes with the next.
+A host claims the idempotency key by compare-and-swap before it sends the first
+byte of a request, so only one of the hosts that receive a key runs the
+request. Keys are divided into partitions. The claims of a partition are one
+stored value, and each host has one writer task for it. Changes submitted
+during a write are batched into the next write.
 """
 
 import asyncio
@@ -27,13 +28,13 @@
 _FIRST_PAUSE_S = 0.01
 _LONGEST_PAUSE_S = 0.5
 _MOST_IDLE = 64
-# Writes that a host may make at once after a quiet time.
+# Writes that a host may make in a burst after an idle period.
 _PACE_BURST = 4.0
 _SHORTEST_WAIT_S = 0.001
 
 
 class ClaimState(enum.Enum):
-    """How far a claimed request is known to have come."""
+    """Recorded progress of a claimed request."""
 
     CLAIMED = 'claimed'
     DONE = 'done'
@@ -41,11 +42,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Claim:
-    """One claimed key.
+    """The claim on one idempotency key.
 
-    `nonce` tells one call's claim from another's, also at the same host.
-    `fingerprint` is of the request, so a key cannot serve two different
-    ones. `expires` is the request's deadline in Unix seconds.
+    `nonce` distinguishes the call that made the claim from all others,
+    including calls at the same host. `fingerprint` is a hash of the request,
+    by which reuse of the key for a different request is detected. `expires` is
+    the deadline of the request in Unix seconds.
     """
 
     nonce: str
@@ -61,28 +63,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Won:
-    """The claim is ours."""
+    """This call claimed the key."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Taken:
-    """The key was claimed before."""
+    """Another call had already claimed the key."""
 
     claim: Claim
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotCommitted:
-    """The service did not confirm the change in time."""
+    """The key-value service did not confirm the change in time."""
 
     detail: str
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Operation:
-    """One change to a partition that waits to be written.
+    """A change to the claim on one key that waits to be written.
 
-    `claim` is None to release the key, if `nonce` is still what claimed it.
+    If `claim` is None, the key is released, provided that it is still claimed
+    with `nonce`.
     """
 
     key: str
@@ -91,7 +94,7 @@
     done: asyncio.Future[Won | Taken]
 
     def apply(self, claims: Claims) -> Taken | None:
-        """Change the map; return who stands in the way, if any."""
+        """Apply the change; return the conflicting claim, if any."""
         current = claims.get(self.key)
         if current is not None and current.nonce != self.nonce:
             return Taken(current)
@@ -103,7 +106,7 @@
 
 
 class _Partition:
-    """The one writer of one value of claims at this host."""
+    """The only writer at this host of the claims of one partition."""
 
     def __init__(
         self,
@@ -122,10 +125,10 @@
         self._urgent = asyncio.Event()
 
     def submit(self, operation: _Operation, urgent: bool) -> None:
-        """Add a change; the writer starts if it is idle.
+        """Queue a change and start the writer if it is idle.
 
-        One that is not urgent waits for an urgent one to go with, up to
-        the time that the settings allow.
+        A change that is not urgent is written with the next urgent one, or
+        after `record_delay_s` at the latest.
         """
         self._waiting.append(operation)
         if urgent:
@@ -134,7 +137,7 @@
             self._task = asyncio.create_task(self._write_all())
 
     async def read(self) -> result.Result[Claims, transport.KvUnavailable]:
-        """Read the value as the service has it now."""
+        """Return the claims that the service holds now."""
         entry = await self._kv.get(self._key)
         match entry:
             case result.Ok(current):
@@ -143,11 +146,11 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether nothing waits or is under way."""
+        """Return whether no change is queued or being written."""
         return self._task is None or self._task.done()
 
     async def close(self) -> None:
-        """Give up what still waits."""
+        """Stop the writer and discard the queued changes."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -162,16 +165,20 @@
             if await self._write_group(group):
                 pause_s = _FIRST_PAUSE_S
                 continue
-            # Not known whether the write took effect. Trying the same
-            # again settles it: either it succeeds, or the conflict shows
-            # our own nonces.
+            # The write may have taken effect. Writing the same changes again
+            # resolves this: either the write succeeds, or the conflicting
+            # value already holds the claims with the nonces of this batch.
             self._waiting = group + self._waiting
             self._urgent.set()
             await asyncio.sleep(pause_s)
             pause_s = min(pause_s * 2, _LONGEST_PAUSE_S)
 
     async def _wait_for_turn(self) -> None:
-        """Let a group gather: until one is urgent, and for the pace."""
+        """Delay the next write to batch changes and to keep to the rate limit.
+
+        Wait for an urgent change, for `record_delay_s` at most, then for
+        `group_delay_s`, then for the rate limit.
+        """
         delay_s = self._settings.record_delay_s
         await core.wait_for_event(self._urgent, delay_s)
         await asyncio.sleep(self._settings.group_delay_s)
@@ -180,9 +187,13 @@
         self._pace.take(1.0)
 
     async def _write_group(self, group: list[_Operation]) -> bool:
-        """Write a group by one swap; False if the service is silent."""
-        # Another host may have written meanwhile. A reading is cheaper
-        # than a write that fails, and far more of them are allowed.
+        """Write a batch of changes by compare-and-swap.
+
+        Return False if the service did not confirm the write.
+        """
+        # Another host may have written since the last read. A read costs less
+        # than a failed write, and the service allows many more reads than
+        # writes.
         self._entry = None
         while group:
             if self._entry is None:
@@ -220,10 +231,11 @@
 
 
 class ClaimStore:
-    """Claims keys for this host.
+    """Claims idempotency keys for this host.
 
-    Parameters: `kv` is the key-value service, `settings` give retention,
-    partitions and pace; `count_hosts` tells how many hosts share the pace.
+    Parameters: `kv` is the key-value service; `settings` give the retention,
+    the partitions and the write rate; `count_hosts` returns how many hosts
+    share the write rate.
     """
 
     def __init__(
@@ -243,10 +255,10 @@
         self._partitions: dict[str, _Partition] = {}
 
     def check_key(self, key: str) -> result.Result[None, protocol.Refused]:
-        """Refuse a key that is malformed, too old or from the future.
+        """Refuse a key that is malformed, expired or dated in the future.
 
-        A key starts with the Unix time at which it was made. That is how a
-        key whose claim has been cleaned away is told from a new one.
+        A key starts with the Unix time at which it was created. The time
+        distinguishes a new key from one whose claim has been deleted.
         """
         match = _KEY_PATTERN.match(key)
         if match is None:
@@ -273,7 +285,7 @@
     async def claim(
         self, key: str, claim: Claim, until: float
     ) -> Won | Taken | NotCommitted:
-        """Claim a key, waiting up to loop time `until`."""
+        """Claim a key, waiting until loop time `until` at most."""
         done = self._submit(key, claim.nonce, claim, urgent=True)
         try:
             async with asyncio.timeout_at(until):
@@ -282,36 +294,38 @@
             return NotCommitted('no word from the key-value service in time')
 
     def finish(self, key: str, claim: Claim) -> None:
-        """Record the outcome of a claimed key, with the next claims.
+        """Record the outcome of a claimed key with the next batch of claims.
 
-        Should the host be lost before that, a repeat is told "unknown".
+        If the host is lost before the write, a repeated call is answered with
+        the outcome "unknown".
         """
         self._submit(key, claim.nonce, claim, urgent=False)
 
     def release(self, key: str, claim: Claim) -> None:
-        """Take a claim back, whenever the service can be reached again.
+        """Release a claim as soon as the service can be reached.
 
-        Only for a request that certainly did not run.
+        Use this only for a request that is certain not to have run.
         """
         self._submit(key, claim.nonce, None, urgent=False)
 
     async def read(
         self, key: str
     ) -> result.Result[Claim | None, transport.KvUnavailable]:
-        """Read the claim of a key as the service has it now."""
+        """Return the claim on a key that the service holds now."""
         claims = await self._find_partition(key).read()
         return claims.map(lambda known: known.get(key))
 
     async def clean(self, index: int, hosts: int) -> None:
-        """Delete claims whose keys are refused by now.
+        """Delete claims whose keys are past their retention.
 
-        The partitions are divided between hosts: this is the one at
-        `index` of `hosts`. Doing it twice, or by two hosts, is harmless.
+        The partitions are divided among the hosts; this is the host at `index`
+        of `hosts`. Deleting a partition twice, or from two hosts, is harmless.
         """
         settings = self._settings
         kept_s = settings.retention_s + settings.max_skew_s
         last = int((self._clock.wall() - kept_s) // settings.epoch_s) - 1
-        # Twice the time since the last cleaning, in case that was missed.
+        # Covers twice the cleaning period, in case the last cleaning was
+        # missed.
         count = math.ceil(2 * settings.clean_period_s / settings.epoch_s)
         for epoch in range(last, last - count, -1):
             for number in range(settings.partitions):
@@ -319,7 +333,7 @@
                     await self._delete(f'{_PREFIX}/{epoch}/{number}')
 
     async def close(self) -> None:
-        """Give up what is not yet written."""
+        """Discard the changes that are not yet written."""
         for partition in self._partitions.values():
             await partition.close()
 
@@ -356,7 +370,7 @@
         return partition
 
     def _forget_idle(self) -> None:
-        """Drop writers that have nothing to do; each reads anew anyway."""
+        """Remove idle writers; a new writer reads its partition again."""
         if len(self._partitions) < _MOST_IDLE:
             return
         self._partitions = {
@@ -367,7 +381,7 @@
 
 
 def make_fingerprint(command: protocol.Command) -> str:
-    """Return a hash of what a command asks for."""
+    """Return a hash of a command's collection, routing key and body."""
     parts = (
         command.collection.encode(),
         command.routing_key.encode(),
--- a/rudderrock/coordination/_commands.py
+++ b/rudderrock/coordination/_commands.py
@@ -1,10 +1,9 @@
-"""Non-idempotent requests, each run at most once.
+"""Execution of non-idempotent requests, each at most once.
 
-The order is claim, send, record. Nothing is sent without a claim, nothing
-is sent a second time once its bytes may have left, and nothing is hedged.
-Where it is certain that the request did not run, the claim is released and
-the refusal says "not run"; where it is not certain, the outcome is
-"unknown" and stays so.
+A command is claimed, then sent, and then its outcome is recorded. A command is
+never sent without a claim, never sent again once its bytes may have left, and
+never hedged. If it is certain not to have run, the claim is released and the
+refusal says "not run". Otherwise the outcome is "unknown" and remains so.
 """
 
 import asyncio
@@ -24,9 +23,9 @@
 _RETRY_AFTER_S = 0.2
 _KV_RETRY_AFTER_S = 1.0
 _FIRST_POLL_S = 0.05
-# Of a result larger than this only that it ran is recorded.
+# For a larger result, only the fact that the command ran is recorded.
 _MAX_RECORDED_BYTES = 2048
-# Part of the time to the deadline that claiming may use.
+# Fraction of the time to the deadline that claiming may take.
 _CLAIM_TIME_FRACTION = 0.5
 
 
@@ -42,13 +41,13 @@
 
     @property
     def claim_key(self) -> str:
-        """Return the key under which it is claimed, apart for each team."""
+        """Return the key to claim, prefixed with the team."""
         return f'{self.row.team}/{self.key}'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _NotRun:
-    """The upstreams proved that the request did not run."""
+    """The command is certain not to have run."""
 
     detail: str
 
@@ -77,7 +76,7 @@
     async def run(
         self, ticket: CommandTicket, collection: state.Collection
     ) -> protocol.Outcome:
-        """Run a command, or tell the outcome of its first run."""
+        """Run a command, or return the outcome of its first run."""
         checked = self._store.check_key(ticket.key)
         if checked.is_err():
             return checked.unwrap_err()
@@ -89,19 +88,19 @@
             case claims.Taken(earlier):
                 return await self._repeat(ticket, claim, earlier)
             case claims.NotCommitted(detail):
-                # Nothing was sent, and if the claim did take effect after
-                # all it is released, so the key can be used again.
+                # Nothing was sent. The claim may have taken effect all the
+                # same, so it is released to make the key usable again.
                 self._store.release(ticket.claim_key, claim)
                 return _refuse_without_kv(ticket, detail)
             case claims.Won():
                 return await self._run_claimed(ticket, collection, claim)
 
     async def clean(self, index: int, hosts: int) -> None:
-        """Delete this host's part of the claims that are too old to use."""
+        """Delete this host's part of the expired claims."""
         await self._store.clean(index, hosts)
 
     async def close(self) -> None:
-        """Give up what is not yet written."""
+        """Discard the claims and outcomes that are not yet written."""
         await self._store.close()
 
     def _make_claim(self, ticket: CommandTicket) -> claims.Claim:
@@ -119,7 +118,7 @@
         claim: claims.Claim,
         earlier: claims.Claim,
     ) -> protocol.Outcome:
-        """Tell the outcome of the first call, waiting for it if need be."""
+        """Return the outcome of the first call, waiting for it if needed."""
         if earlier.fingerprint != claim.fingerprint:
             return protocol.Refused(
                 reason=protocol.RefusalReason.KEY_REUSED,
@@ -170,8 +169,8 @@
         try:
             ran = await self._send(ticket, collection)
         except asyncio.CancelledError:
-            # Cut by an impatient operator or a caller that went away. The
-            # claim stays, so nobody runs it again.
+            # Cancelled by an operator, or because the caller disconnected. The
+            # claim is kept, so that no host runs the command again.
             asyncio.current_task().uncancel()
             return protocol.Unknown(
                 query=ticket.query_id, detail='cut while under way'
@@ -205,7 +204,8 @@
     ) -> None:
         kept = hits
         if len(protocol.encode(hits)) > _MAX_RECORDED_BYTES:
-            # That it ran is what must last; a value holds 1 MB in all.
+            # Only the fact that the command ran must be kept: the stored value
+            # of a partition is limited to 1 MB.
             kept = []
         done = dataclasses.replace(
             claim, state=claims.ClaimState.DONE, hits=kept
@@ -215,7 +215,11 @@
     async def _send(
         self, ticket: CommandTicket, collection: state.Collection
     ) -> protocol.ShardReply | _NotRun:
-        """Send to one replica; to another only if it provably did not run."""
+        """Send a command to one replica and return its reply.
+
+        Another replica is tried only if the reply proves that the command did
+        not run.
+        """
         placement = collection.placements[-1]
         shards = sorted(placement.shards)
         index = xxhash.xxh64_intdigest(ticket.command.routing_key.encode())
--- a/rudderrock/coordination/_dispatch.py
+++ b/rudderrock/coordination/_dispatch.py
@@ -1,9 +1,9 @@
-"""Which replica gets a shard request, and who waits when none is free.
+"""Choice of a replica for each shard request, and queueing for one.
 
-Each shard's replicas form a service. A request goes to the better of two
-replicas that are free; when none is, it waits in the service's fair queue,
-so waiting happens where teams can be weighed against each other and not in
-an upstream's own queue.
+The replicas of a shard form a service. A request is sent to the better of two
+free replicas. If none is free, the request waits in the fair queue of the
+service rather than in the queue of an upstream, because only here can the
+weights of teams be applied.
 """
 
 import asyncio
@@ -19,15 +19,15 @@
 from rudderrock.coordination import _link as links
 
 _ZONE_PENALTY = 1.1
-# Weight of one answer in the moving mean of a service's exchanges.
+# Weight of one answer in the moving mean of the exchange time.
 _WORK_WEIGHT = 0.1
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
 class Service:
-    """One shard's replicas, queue and budgets.
+    """The replicas, the queue and the budgets of one shard.
 
-    `work_s` is the moving mean of an exchange in seconds.
+    `work_s` is the moving mean of the time of an exchange in seconds.
     """
 
     shard: state.ShardId
@@ -38,16 +38,16 @@
     work_s: float = 0.0
 
     def note_answer(self, elapsed: float) -> None:
-        """Take note of the time to an answer, in seconds."""
+        """Update the mean with the time to an answer in seconds."""
         self.work_s += _WORK_WEIGHT * (elapsed - self.work_s)
 
     def can_hedge(
         self, avoid: frozenset[state.UpstreamId], pause_above: float
     ) -> bool:
-        """Tell whether some other replica is not late itself.
+        """Return whether some other replica is answering in time.
 
-        Where all are, the service as a whole is slow, and more requests
-        would only make it slower.
+        If all of them are late, the service as a whole is slow, and more
+        requests would slow it further.
         """
         return any(
             link.is_reachable and link.health.late <= pause_above
@@ -56,7 +56,10 @@
         )
 
     def can_serve(self, version: state.IndexVersion, now: float) -> bool:
-        """Tell whether some replica can be expected to have a version."""
+        """Return whether some reachable replica may hold a version.
+
+        Only replicas that recently rejected the version are ruled out.
+        """
         return any(
             link.is_reachable
             and not link.health.lacks(self.shard, version, now)
@@ -65,7 +68,7 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Tell whether any replica can take work before long."""
+        """Return whether any replica is expected to take work soon."""
         return any(link.is_reachable for link in self.links)
 
     @property
@@ -74,7 +77,11 @@
         return sum(link.capacity for link in self.links if link.is_reachable)
 
     def estimate_wait_s(self, row: state.TeamRow) -> float:
-        """Return how long one more request of a team would wait, seconds."""
+        """Return the expected wait of one more request of a team in seconds.
+
+        It is the time to serve all requests that the team has queued with the
+        share of the slots that its weight gives it.
+        """
         if not len(self.queue):
             return 0.0
         ahead = self.queue.count(row.team) + 1
@@ -84,10 +91,11 @@
 
 
 class Dispatcher:
-    """All services and links of one host.
+    """The services of one host and its links to all upstreams.
 
-    Parameters: `zone` is the host's own availability zone; `port` makes
-    connections to upstreams; the settings give the policies.
+    Parameters: `zone` is the availability zone of this host; `port` opens
+    connections to upstreams; `settings` give the policies; `source` draws the
+    replicas to compare; `ring` receives the events of the links.
     """
 
     def __init__(
@@ -113,7 +121,7 @@
         self._closing: set[asyncio.Task] = set()
 
     def apply_layout(self, layout: state.Layout) -> None:
-        """Bring links and services into the shape of a layout."""
+        """Update links and services to match a layout."""
         old, self._layout = self._layout, layout
         for upstream, described in layout.upstreams.items():
             if old.upstreams.get(upstream) != described:
@@ -126,7 +134,7 @@
         self._rebuild_services()
 
     def set_host_count(self, hosts: int) -> None:
-        """Share each upstream's connections between this many hosts."""
+        """Divide each upstream's connections among this many hosts."""
         if hosts == self._hosts:
             return
         self._hosts = hosts
@@ -136,7 +144,7 @@
     def find_collection(
         self, collection: state.CollectionId
     ) -> state.Collection | None:
-        """Return a collection as the layout in force has it."""
+        """Return a collection of the layout in force, or None."""
         return self._layout.collections.get(collection)
 
     def find_service(self, shard: state.ShardId) -> Service:
@@ -148,13 +156,17 @@
         return list(self._links.values())
 
     def list_waiting(self) -> list[Service]:
-        """Return the services at which requests wait."""
+        """Return the services that have queued requests."""
         return [each for each in self._services.values() if len(each.queue)]
 
     def seems_to_serve(
         self, shard: state.ShardId, version: state.IndexVersion
     ) -> bool:
-        """Tell whether some replica has a version by all signs."""
+        """Return whether some reachable replica probably holds a version.
+
+        Besides recent rejections, this considers the versions that replicas
+        last reported to hold.
+        """
         now = self._clock.now()
         return any(
             link.is_reachable
@@ -163,7 +175,7 @@
         )
 
     def submit(self, service: Service, attempt: attempts.Attempt) -> None:
-        """Send an attempt to a free replica, or let it wait its turn."""
+        """Send an attempt to a free replica, or queue it."""
         link = self._choose(service, attempt)
         if link is not None and not len(service.queue):
             link.send(attempt)
@@ -171,7 +183,10 @@
             service.queue.push(attempt.row, attempt)
 
     def try_now(self, service: Service, attempt: attempts.Attempt) -> bool:
-        """Send an attempt only if a replica is free for it now."""
+        """Send an attempt if a replica is free for it now.
+
+        Return whether it was sent. Queued requests take precedence.
+        """
         if len(service.queue):
             return False
         link = self._choose(service, attempt)
@@ -189,11 +204,12 @@
     def _choose(
         self, service: Service, attempt: attempts.Attempt
     ) -> links.UpstreamLink | None:
-        """Take the better of two free replicas drawn at random.
+        """Return the better of two free replicas drawn at random, or None.
 
-        Power of two choices (Mitzenmacher, 2001). What speaks against a
-        replica for the moment is set aside when it speaks against all of
-        them, so it can never leave a shard without replicas.
+        This is the power of two choices (Mitzenmacher, 2001). Ejected or
+        shedding replicas, and those that probably lack the version, are
+        considered only if there are no others, so these temporary conditions
+        never leave a shard without replicas.
         """
         now = self._clock.now()
         request = attempt.request
@@ -228,27 +244,31 @@
         return cost
 
     def _on_free(self, link: links.UpstreamLink) -> None:
-        """Give a lane that became idle to who waits for it."""
+        """Send queued attempts to a link with a free lane."""
         for service in self._by_link.get(link.upstream.upstream, ()):
             while link.is_free and len(service.queue):
                 if not self._serve_next(service):
                     break
 
     def _serve_next(self, service: Service) -> bool:
-        """Send the next waiting attempt; False if it cannot be sent now."""
+        """Take the next queued attempt and send it if possible.
+
+        Return False if it cannot be sent now and is queued again.
+        """
         attempt = service.queue.pop()
         if attempt.given_up:
             return True
         link = self._choose(service, attempt)
         if link is None:
-            # The free lane is of a replica that it has to avoid.
+            # The only free replica is one that the attempt should avoid.
             attempt.avoid = frozenset()
             link = self._choose(service, attempt)
         if link is not None:
             link.send(attempt)
             return True
         if not service.can_serve(attempt.request.version, self._clock.now()):
-            # While it waited, the last replica has given up its version.
+            # The last replica with this version dropped it while the attempt
+            # was queued.
             attempt.deliver(
                 protocol.ShardRejected(
                     request_id=attempt.request.request_id,
@@ -280,7 +300,7 @@
             task.add_done_callback(self._closing.discard)
 
     def _count_lanes(self, upstream: state.Upstream) -> int:
-        """Return this host's part of the connections of an upstream."""
+        """Return this host's share of the connections of an upstream."""
         reserve = self._settings.routing.connection_reserve
         allowed = upstream.connections * (1.0 - reserve) / self._hosts
         return max(1, min(int(allowed), self._settings.routing.max_lanes))
@@ -305,7 +325,10 @@
     def _keep_service(
         self, shard: state.ShardId, upstreams: list[state.UpstreamId]
     ) -> Service:
-        """Return the service as it was, with its replicas of now."""
+        """Return the service of a shard with its current replicas.
+
+        An existing service keeps its queue and its budgets.
+        """
         replicas = [self._links[upstream] for upstream in upstreams]
         service = self._services.get(shard)
         if service is None:
@@ -323,7 +346,7 @@
 
 
 def is_not_run(reply: protocol.ShardReply) -> bool:
-    """Tell whether a reply proves that its request did not run."""
+    """Return whether a reply proves that its request did not run."""
     match reply:
         case protocol.ShardRejected():
             return True
--- a/rudderrock/coordination/_extra.py
+++ b/rudderrock/coordination/_extra.py
@@ -1,4 +1,4 @@
-"""What a host may send beyond one request a shard, and what it has sent."""
+"""Budgets for hedges and retries, and counts of requests sent."""
 
 import dataclasses
 
@@ -6,17 +6,19 @@
 from rudderrock.coordination import _budget as budgets
 from rudderrock.coordination import _dispatch as dispatch
 
-# What is not yet late while nothing is known, and the longest there can be.
+# Hedge delay while the least latency of an upstream is unknown, and the
+# highest hedge threshold.
 UNKNOWN_PATIENCE_S = 0.05
 _LONGEST_PATIENCE_S = 10.0
 
 
 @dataclasses.dataclass(slots=True)
 class QueryCounters:
-    """Counts over the life of a host, for its metrics.
+    """Totals since the start of the host, for its metrics.
 
-    `first`, `hedges` and `retries` are requests sent to upstreams;
-    `shards` is what was asked for. Extra load is what was sent beyond it.
+    `first`, `hedges` and `retries` count requests sent to upstreams; `shards`
+    counts the shards that queries asked for. Extra load is what was sent
+    beyond one request per shard.
     """
 
     shards: int = 0
@@ -31,15 +33,16 @@
 
     @property
     def extra_load(self) -> float:
-        """Return extra requests as a part of those asked for."""
+        """Return the ratio of extra requests to requested shards."""
         return (self.hedges + self.retries) / max(1, self.shards)
 
 
 class ExtraRequests:
-    """Budgets of hedges and retries, and when a request is late.
+    """Budgets for hedges and retries, and the hedge thresholds.
 
-    Hedges are paid for by the host and the service, retries by the team
-    and the service, so none of them can spend what is another's.
+    A hedge takes a token from the budgets of the host and of the service; a
+    retry from those of the team and of the service. No team or service can
+    therefore use up the budget of another.
     """
 
     def __init__(self, settings: state.Settings):
@@ -53,7 +56,7 @@
         self._late_points: dict[state.CollectionId, state.LatePoint] = {}
 
     def earn(self, service: dispatch.Service, team: state.TeamId) -> None:
-        """Note the first request for a shard, which earns for extra ones."""
+        """Count the first request for a shard, which fills the budgets."""
         self.counters.shards += 1
         self._hedges.earn()
         service.hedges.earn()
@@ -61,32 +64,34 @@
         self._find_team(team).earn()
 
     def can_hedge(self, service: dispatch.Service) -> bool:
-        """Tell whether there is budget for a hedge."""
+        """Return whether the budgets allow a hedge."""
         return service.hedges.can_spend() and self._hedges.can_spend()
 
     def pay_hedge(self, service: dispatch.Service) -> None:
-        """Pay for a hedge that has been sent."""
+        """Count a hedge that was sent, and charge its budgets."""
         budgets.spend_all((service.hedges, self._hedges))
         self.counters.hedges += 1
 
     def can_retry(self, service: dispatch.Service, team: state.TeamId) -> bool:
-        """Tell whether there is budget for a retry."""
+        """Return whether the budgets allow a retry."""
         budget = self._find_team(team)
         return service.retries.can_spend() and budget.can_spend()
 
     def pay_retry(self, service: dispatch.Service, team: state.TeamId) -> None:
-        """Pay for a retry that has been sent."""
+        """Count a retry that was sent, and charge its budgets."""
         budgets.spend_all((service.retries, self._find_team(team)))
         self.counters.retries += 1
 
     def find_late_point(
         self, collection: state.CollectionId
     ) -> state.LatePoint:
-        """Return what latency above the least makes a request late.
+        """Return the hedge threshold of a collection.
 
-        One point for all services of a collection, because one service
-        alone gives a host few requests, while what makes them late is
-        alike for all. The least latency is each upstream's own.
+        A request is late if it exceeds the least latency of its upstream by
+        more than the threshold. All services of a collection share one
+        threshold: a host sends few requests to a single service, and the
+        causes of lateness are the same for all of them. The least latency is
+        kept for each upstream.
         """
         late_point = self._late_points.get(collection)
         if late_point is None:
--- a/rudderrock/coordination/_fair_queue.py
+++ b/rudderrock/coordination/_fair_queue.py
@@ -1,10 +1,10 @@
-"""A weighted fair queue between teams, for one service's slots.
+"""A weighted fair queue between teams for the slots of one service.
 
-Start-time fair queueing (Goyal, Vin and Cheng, SIGCOMM 1996) gives each
-team that waits its weight's share. Priorities are taken from borrowed
-virtual time (Duda and Cheriton, SOSP 1999): a team of higher priority is
-served earlier by a bounded lead, which it pays back, so over any longer
-time no team's share changes.
+Start-time fair queueing (Goyal, Vin and Cheng, SIGCOMM 1996) gives each team
+with queued requests a share proportional to its weight. Priorities use
+borrowed virtual time (Duda and Cheriton, SOSP 1999): a team of higher priority
+is served earlier by a bounded amount of virtual time, which it pays back. The
+long-term share of each team is unchanged.
 """
 
 import collections
@@ -16,7 +16,8 @@
 
 T = TypeVar('T')
 
-# Lead of each step of priority, in requests of a team of weight 1.
+# Virtual time by which one step of priority brings a team forward, in requests
+# of a team of weight 1.
 _LEAD_PER_STEP = 1.0
 _LOWEST_PRIORITY = 9
 _ONE_LINE = state.TeamId('')
@@ -24,7 +25,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Lane(Generic[T]):
-    """One team's waiting requests and its virtual time."""
+    """Queued requests and virtual start time of one team."""
 
     weight: float
     priority: int
@@ -40,12 +41,12 @@
 
 
 class FairQueue(Generic[T]):
-    """Requests waiting for one service, served by weight.
+    """Queue of the requests for one service, served by weight of teams.
 
-    Each request counts as one unit of cost, since each takes one slot.
+    Each request has a cost of 1, since each takes one slot.
 
-    Parameters: with `order` `FIFO` all teams share one line, as a
-    baseline to compare with.
+    Parameters: with `order` `FIFO`, all teams share one first-in, first-out
+    queue, which serves as a baseline for comparisons.
     """
 
     def __init__(self, order: state.QueueOrder = state.QueueOrder.FAIR):
@@ -64,7 +65,7 @@
         if lane is None:
             lane = _Lane(row.weight, row.priority, self._virtual)
             self._lanes[team] = lane
-        # The row may have been edited since the team's last request.
+        # The row may have changed since the team's last request.
         lane.weight = row.weight
         lane.priority = row.priority
         if not lane.items:
@@ -73,7 +74,7 @@
         self._length += 1
 
     def pop(self) -> T | None:
-        """Take the request that is next, or None if none waits."""
+        """Remove and return the next request, or None if there is none."""
         waiting = [lane for lane in self._lanes.values() if lane.items]
         if not waiting:
             return None
@@ -87,12 +88,12 @@
         return item
 
     def count(self, team: state.TeamId) -> int:
-        """Return how many requests of a team wait."""
+        """Return how many requests of a team are queued."""
         lane = self._lanes.get(self._get_line(team))
         return len(lane.items) if lane else 0
 
     def get_share(self, row: state.TeamRow) -> float:
-        """Return the part of the slots a team gets while others wait."""
+        """Return a team's fraction of the slots while others are queued."""
         others = sum(
             lane.weight
             for team, lane in self._lanes.items()
@@ -104,7 +105,10 @@
         return team if self._order is state.QueueOrder.FAIR else _ONE_LINE
 
     def _forget_idle(self) -> None:
-        """Drop teams that owe nothing, so idle teams take no memory."""
+        """Remove teams whose virtual time does not lie ahead.
+
+        Teams without requests then take no memory.
+        """
         self._lanes = {
             team: lane
             for team, lane in self._lanes.items()
--- a/rudderrock/coordination/_gather.py
+++ b/rudderrock/coordination/_gather.py
@@ -1,8 +1,8 @@
-"""One pass of one query over all shards of one index version.
+"""One pass of a query over all shards of one index version.
 
-One task sees it through: it sends a request for every shard, hedges those
-that are late, retries what failed safely, and counts coverage from the
-answers it accepted.
+A single task sends one request to each shard, hedges late requests, retries
+failed ones where that is safe, and computes coverage from the accepted
+answers.
 """
 
 import asyncio
@@ -19,13 +19,13 @@
 from rudderrock.coordination import _shard_call as calls
 from rudderrock.coordination import _ticket as tickets
 
-# A late request whose other replicas are all busy is looked at again.
+# Delay before another hedge when all other replicas are busy.
 _HEDGE_AGAIN_S = 0.002
-# A look that comes so much later than planned, in seconds, says that this
-# process stood still: a loop that has room is late by less than 1 ms.
+# A check that runs this much later than planned, in seconds, shows that the
+# process stalled: an event loop with spare capacity is less than 1 ms late.
 _STALL_S = 0.005
-# A request this many times later than late is paid for as a retry if the
-# hedge budget is spent.
+# A request still unanswered after this many hedge delays is hedged from the
+# retry budget if the hedge budget is exhausted.
 _LOST_AFTER = 10.0
 _EVENTS = {
     attempts.AttemptKind.HEDGE: state.EventKind.HEDGE,
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class GatherParts:
-    """The parts of a host that every query uses."""
+    """Dependencies that all queries of a host share."""
 
     dispatcher: dispatch.Dispatcher
     extra: extras.ExtraRequests
@@ -77,7 +77,11 @@
         )
 
     async def run(self, may_restart: bool) -> bool:
-        """Gather until done; tell whether the version turned out gone."""
+        """Gather answers until all shards are closed or the time is up.
+
+        With `may_restart`, stop and return True as soon as some shard can no
+        longer serve the version. Return False otherwise.
+        """
         try:
             self._start()
             while self._open and not (self._gone and may_restart):
@@ -98,7 +102,7 @@
         return False
 
     def make_answer(self) -> protocol.Answered:
-        """Merge what was accepted, and count coverage from just that."""
+        """Return the answer merged from the accepted answers of shards."""
         return merge.make_answer(
             self._ticket.query_id,
             self._placement.version,
@@ -125,7 +129,7 @@
             self._look_later(call, self._patience_s)
 
     def _get_end(self) -> float:
-        """Return the time at which the answer is given with what there is."""
+        """Return the loop time at which gathering ends, complete or not."""
         row = self._ticket.row
         if row.coverage_policy is state.CoveragePolicy.WAIT:
             return self._ticket.deadline
@@ -180,24 +184,25 @@
                 self._consider_hedge(due.call)
 
     def _has_stood_still(self, due: calls.Due) -> bool:
-        """Tell whether this process, not the upstream, may be what is late.
-
-        Its answer may be there and not read yet, and a hedge would load the
-        other replica for nothing: on a machine with 26 busy processes on 8
-        cores three were sent 2 ms before three answers were read, in 25 of
-        150 queries. So the shard is given its patience once more, and once
-        only, since a host that is always behind is to hedge too.
+        """Return whether this process, rather than the upstream, may be late.
+
+        If the process stalled, the answer may have arrived without having been
+        read, and a hedge would load another replica for nothing. With 26 busy
+        processes on 8 cores, three hedges were sent 2 ms before the three
+        answers were read, in 25 of 150 queries. The shard therefore gets the
+        hedge delay a second time, but only once, so that a host that is always
+        behind still hedges.
         """
         late_s = self._clock.now() - due.when
         return late_s > _STALL_S and not due.call.excused
 
     def _consider_hedge(self, call: calls.ShardCall) -> None:
-        """Send a second request if the first is late and it may help."""
+        """Hedge the first attempt if it is late, else check again later."""
         if len(call.in_flight) != 1:
             return
         first = call.in_flight[0]
         if first.sent_at is None:
-            # It waits for a slot; a second request would only wait too.
+            # The attempt is still queued; a second one would be queued too.
             self._look_later(call, self._patience_s)
             return
         patience_s = self._patience_s
@@ -233,7 +238,7 @@
         self._look_later(call, self._patience_s)
 
     def _is_as_good_as_lost(self, first: attempts.Attempt) -> bool:
-        """Tell whether it has been silent for too long for a straggler."""
+        """Return whether the attempt is too late to be only a straggler."""
         patience_s = _LOST_AFTER * self._patience_s
         lost_at = first.sent_at + first.base_s + patience_s
         return self._clock.has_reached(lost_at)
@@ -244,7 +249,10 @@
         kind: attempts.AttemptKind,
         avoid: frozenset[state.UpstreamId],
     ) -> bool:
-        """Send one more attempt if a lane is free, else look again soon."""
+        """Send one more attempt if a lane is free, else check again soon.
+
+        Return whether it was sent.
+        """
         attempt = self._make_attempt(call, kind, avoid)
         if self._dispatcher.try_now(call.service, attempt):
             self._record(attempt)
@@ -256,10 +264,10 @@
         return False
 
     def _note_late(self, attempt: attempts.Attempt, late: bool) -> None:
-        """Take note of whether a first attempt was late.
+        """Record whether a first attempt was late.
 
-        Not where nothing is known of the upstream yet: what looks late is
-        then only its distance.
+        Nothing is recorded while the least latency of the upstream is unknown,
+        because a long network distance would then count as lateness.
         """
         if attempt.base_s > 0.0:
             self._late_point.note(late)
@@ -330,7 +338,11 @@
         reason: protocol.MissReason,
         retry_after_s: float = 0.0,
     ) -> None:
-        """Try another replica now, or the same ones after a pause."""
+        """Retry a shard unless another attempt for it is in flight.
+
+        Another replica is tried at once. If none is left, the same replicas
+        are tried again after a pause.
+        """
         if call.in_flight:
             return
         if call.has_untried():
@@ -347,7 +359,10 @@
         self._look_later(call, pause_s, reason)
 
     def _get_backoff_s(self, call: calls.ShardCall) -> float:
-        """Return a pause that doubles with each try, with full jitter."""
+        """Return a pause in seconds with jitter; it doubles per attempt.
+
+        The pause is drawn uniformly from the upper half of the backoff.
+        """
         longest = self._settings.retries.backoff_s * 2**call.tries
         return self._parts.source.uniform(0.5, 1.0) * longest
 
@@ -372,7 +387,7 @@
         self._record(attempt, reason.value)
 
     def _record(self, attempt: attempts.Attempt, detail: str = '') -> None:
-        """Put a hedge or a retry on the time line."""
+        """Record the event of a hedge or a retry."""
         self._parts.ring.record(
             _EVENTS[attempt.kind],
             team=self._team,
@@ -382,7 +397,10 @@
         )
 
     def _miss_if_unservable(self, call: calls.ShardCall) -> bool:
-        """Give a shard up at once if no replica can serve the version."""
+        """Close a shard as missing if no replica can serve the version.
+
+        Return whether it was closed.
+        """
         if not call.service.is_reachable:
             self._miss(call, protocol.MissReason.LOST)
             return True
@@ -406,13 +424,13 @@
         call.in_flight.clear()
 
     def _cancel_all(self) -> None:
-        """Give up all that is under way, and tell the upstreams."""
+        """Abort all attempts in flight by closing their connections."""
         for call in self._calls.values():
             for attempt in call.in_flight:
                 attempt.cancel()
 
     def _finish(self) -> None:
-        """Give up what is still open, with its reason."""
+        """Mark the shards that are still open as missing."""
         at_deadline = self._clock.has_reached(self._ticket.deadline)
         for call in self._calls.values():
             if call.is_over:
--- a/rudderrock/coordination/_merge.py
+++ b/rudderrock/coordination/_merge.py
@@ -1,4 +1,4 @@
-"""The answer to a query, made from the shards' answers."""
+"""Merges the answers of shards into the answer to a query."""
 
 import heapq
 import itertools
@@ -14,10 +14,10 @@
     calls: dict[state.ShardId, shard_calls.ShardCall],
     limit: int,
 ) -> protocol.Answered:
-    """Merge the accepted answers, and count coverage from just those.
+    """Return the merged hits, with coverage of accepted answers only.
 
-    The best `limit` hits are kept, the higher score first and the smaller
-    id among equals, so the same answers always give the same result.
+    The `limit` best hits are kept, ordered by descending score and then by
+    ascending id, so the same answers always give the same result.
     """
     accepted = [call.answer for call in calls.values() if call.answer]
     missing = {
--- a/rudderrock/coordination/_query.py
+++ b/rudderrock/coordination/_query.py
@@ -1,4 +1,4 @@
-"""One query from its pinned index version to its answer."""
+"""Execution of a query, from the choice of a version to the answer."""
 
 from rudderrock import protocol
 from rudderrock import state
@@ -8,7 +8,8 @@
 from rudderrock.coordination import _versions as versions
 
 _MAX_RESTARTS = 2
-# No restart at another version with less than this part of the time left.
+# A query restarts with another version only if at least this fraction of its
+# time is left.
 _RESTART_TIME_FRACTION = 0.2
 
 
@@ -22,16 +23,17 @@
 
     @property
     def counters(self) -> extras.QueryCounters:
-        """Return what has been sent so far."""
+        """Return the counts of requests sent so far."""
         return self._parts.extra.counters
 
     async def run(
         self, ticket: tickets.QueryTicket, collection: state.Collection
     ) -> protocol.Answered:
-        """Ask every shard and return the result with its true coverage.
+        """Query every shard and return the result with its actual coverage.
 
-        When the pinned version turns out to be gone from a shard and
-        another one is served, the query starts again there, from nothing.
+        If some shard can no longer serve the chosen version and another
+        version is available, the query starts again from the beginning with
+        that one.
         """
         given_up: set[state.IndexVersion] = set()
         placement = self._versions.choose_placement(collection, given_up)
@@ -41,7 +43,7 @@
             if not gone:
                 return gathering.make_answer()
             given_up.add(placement.version)
-            # The layout may have moved on while the query ran.
+            # The layout may have changed while the query ran.
             current = self._parts.dispatcher.find_collection(
                 collection.collection
             )
--- a/rudderrock/coordination/_shard_call.py
+++ b/rudderrock/coordination/_shard_call.py
@@ -1,4 +1,4 @@
-"""One shard within one query, and when to look at it again."""
+"""State of one shard within a query, and the schedule of its checks."""
 
 import dataclasses
 import heapq
@@ -15,10 +15,10 @@
 class ShardCall:
     """The state of one shard within one query.
 
-    It is over when it has an answer or a reason why there is none.
-    `failed` are replicas that failed since the last pause, `lacking` those
-    that said they have not the version. It is `excused` once it has been given
-    more time since this process stood still.
+    It is closed once it has an answer or a reason for having none. `failed`
+    holds the replicas that failed since the last pause; `lacking` holds those
+    that rejected the version. `excused` is set once its hedge check has been
+    postponed because this process stalled.
     """
 
     service: dispatch.Service
@@ -33,16 +33,16 @@
 
     @property
     def is_over(self) -> bool:
-        """Tell whether nothing more is to come."""
+        """Return whether the shard has an answer or is missing."""
         return self.answer is not None or self.miss is not None
 
     @property
     def tried(self) -> frozenset[state.UpstreamId]:
-        """Return the replicas that are of no use just now."""
+        """Return the replicas to exclude from the next attempt."""
         return frozenset(self.failed | self.lacking)
 
     def has_untried(self) -> bool:
-        """Tell whether some replica that can be reached is left to try."""
+        """Return whether some reachable replica is not excluded."""
         return any(
             link.is_reachable and link.upstream.upstream not in self.tried
             for link in self.service.links
@@ -50,10 +50,11 @@
 
 
 class Due(typing.NamedTuple):
-    """A time at which a shard wants to be looked at again.
+    """A scheduled check of a shard.
 
-    `retry` is the reason of the last failure if it is to be tried again
-    then, None if it may be late.
+    `when` is in loop time; `order` breaks ties. `retry` is the reason of the
+    last failure if the check is to retry the shard, or None if the check is
+    for lateness.
     """
 
     when: float
@@ -63,7 +64,7 @@
 
 
 class Agenda:
-    """What a query has to look at again, the earliest first."""
+    """Scheduled checks of one query, ordered by time."""
 
     def __init__(self, clock: state.Clock):
         self._clock = clock
@@ -76,15 +77,15 @@
         when: float,
         retry: protocol.MissReason | None = None,
     ) -> None:
-        """Look at a shard again at loop time `when`."""
+        """Schedule a check of a shard at loop time `when`."""
         heapq.heappush(self._due, Due(when, next(self._order), call, retry))
 
     def get_next_time(self, end: float) -> float:
-        """Return the loop time to wait for, `end` at the latest."""
+        """Return the loop time of the next check, at most `end`."""
         return min(end, self._due[0].when) if self._due else end
 
     def take_due(self) -> typing.Iterator[Due]:
-        """Yield, and forget, what is due now and not yet over."""
+        """Remove and yield the due checks of shards that are not closed."""
         while self._due and self._clock.has_reached(self._due[0].when):
             due = heapq.heappop(self._due)
             if not due.call.is_over:
--- a/rudderrock/coordination/_ticket.py
+++ b/rudderrock/coordination/_ticket.py
@@ -1,4 +1,4 @@
-"""An admitted query on its way through a host."""
+"""An admitted query."""
 
 import dataclasses
 
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class QueryTicket:
-    """An admitted query: who asks, what, and until when.
+    """An admitted query with the row of its team.
 
     `deadline` and `soft_deadline` are in loop time.
     """
--- a/rudderrock/coordination/_versions.py
+++ b/rudderrock/coordination/_versions.py
@@ -1,14 +1,15 @@
-"""Which index version a query pins."""
+"""Choice of the index version for a query."""
 
 from rudderrock import state
 from rudderrock.coordination import _dispatch as dispatch
 
-# Counting what can be served takes a look at every replica of every shard.
+# Results are cached because computing them checks every replica of every
+# shard.
 _SERVABLE_MEMORY_S = 0.05
 
 
 class VersionChooser:
-    """Chooses the version that most shards can serve, by all signs."""
+    """Chooses the version that the most shards can probably serve."""
 
     def __init__(self, dispatcher: dispatch.Dispatcher, clock: state.Clock):
         self._dispatcher = dispatcher
@@ -16,7 +17,7 @@
         self._servable: dict[state.CollectionId, tuple[float, dict]] = {}
 
     def forget(self) -> None:
-        """Count anew, since something has turned out otherwise."""
+        """Discard the cached fractions, after they proved wrong."""
         self._servable.clear()
 
     def choose_placement(
@@ -24,7 +25,11 @@
         collection: state.Collection,
         given_up: set[state.IndexVersion],
     ) -> state.Placement | None:
-        """Return the version that most shards can serve, newest of equals."""
+        """Return the placement that the most shards can probably serve.
+
+        Among equals, the newest version is returned. Versions in `given_up`
+        are excluded; None is returned if no other is left.
+        """
         servable = self._count_servable(collection)
         candidates = [
             placement
@@ -41,7 +46,7 @@
     def _count_servable(
         self, collection: state.Collection
     ) -> dict[state.IndexVersion, float]:
-        """Return the part of the shards that can serve each version."""
+        """Return the fraction of shards that can serve each version."""
         now = self._clock.now()
         known = self._servable.get(collection.collection)
         if known is not None and known[0] > now:
