--- a/rudderrock/coordination/_commands.py
+++ b/rudderrock/coordination/_commands.py
@@ -173,7 +173,7 @@
             # claim is kept, so that no host runs the command again.
             asyncio.current_task().uncancel()
             return protocol.Unknown(
-                query=ticket.query_id, detail='cut while under way'
+                query=ticket.query_id, detail='cancelled while in flight'
             )
         match ran:
             case _NotRun(detail):
@@ -193,7 +193,7 @@
                     repeat=False,
                 )
         return protocol.Unknown(
-            query=ticket.query_id, detail='the upstream gave no answer'
+            query=ticket.query_id, detail='the upstream did not answer'
         )
 
     def _record(
@@ -228,7 +228,7 @@
         reply: protocol.ShardReply = protocol.ShardLost(False, 'not tried')
         for number in range(_MAX_TRIES):
             if self._clock.now() >= ticket.deadline:
-                return _NotRun('the deadline came before it could be sent')
+                return _NotRun('the deadline passed before it could be sent')
             if not service.is_reachable:
                 return _NotRun(f'no replica of {service.shard} is reachable')
             attempt = self._make_attempt(
@@ -239,7 +239,9 @@
                 return reply
             if attempt.upstream is not None:
                 avoid.add(attempt.upstream)
-        return _NotRun(f'refused by {len(avoid)} replicas, last: {reply}')
+        return _NotRun(
+            f'refused by {len(avoid)} replicas, last reply: {reply}'
+        )
 
     def _make_attempt(
         self,
@@ -284,7 +286,7 @@
 def _refuse_without_kv(ticket: CommandTicket, detail: str) -> protocol.Refused:
     return protocol.Refused(
         reason=protocol.RefusalReason.KV_UNAVAILABLE,
-        detail=f'could not be claimed: {detail}',
+        detail=f'the key could not be claimed: {detail}',
         retry_after_s=_KV_RETRY_AFTER_S,
         query=ticket.query_id,
     )
