--- a/rudderrock/coordination/_admission.py
+++ b/rudderrock/coordination/_admission.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Gate:
+class _TeamUsage:
     """Use of this host by one team."""
 
     rate: budgets.RateLimit
@@ -42,7 +42,7 @@
         self._book = book
         self._dispatcher = dispatcher
         self._clock = clock
-        self._gates: dict[state.TeamId, _Gate] = {}
+        self._usage_by_team: dict[state.TeamId, _TeamUsage] = {}
         self._in_flight = 0
 
     def admit(
@@ -56,23 +56,23 @@
         team = state.TeamId(row.team)
         self._book.note(team, cost)
         fraction = self._book.get_fraction(team)
-        gate = self._find_gate(row, fraction)
-        refused = (
-            self._check_concurrency(row.concurrency * fraction, gate, cost)
-            or self._check_host(cost)
-            or self._check_rate(gate, cost)
-            or self._check_queues(row, deadline)
+        usage = self._get_usage(row, fraction)
+        refusal = (
+            self._check_concurrency(row.concurrency * fraction, usage, cost)
+            or self._check_host_limit(cost)
+            or self._check_rate(usage, cost)
+            or self._check_queue_wait(row, deadline)
         )
-        if refused is not None:
-            return result.Err(refused)
-        gate.rate.take(cost)
-        gate.in_flight += cost
+        if refusal is not None:
+            return result.Err(refusal)
+        usage.rate.take(cost)
+        usage.in_flight += cost
         self._in_flight += cost
         return result.Ok(None)
 
     def release(self, row: state.TeamRow, cost: int) -> None:
         """Release the capacity used by admitted work that has ended."""
-        self._gates[state.TeamId(row.team)].in_flight -= cost
+        self._usage_by_team[state.TeamId(row.team)].in_flight -= cost
         self._in_flight -= cost
 
     @property
@@ -82,37 +82,37 @@
 
     def forget_teams(self, rows: dict[state.TeamId, state.TeamRow]) -> None:
         """Remove the state of idle teams that are not in the table."""
-        for team, gate in list(self._gates.items()):
-            if team not in rows and not gate.in_flight:
-                del self._gates[team]
+        for team, usage in list(self._usage_by_team.items()):
+            if team not in rows and not usage.in_flight:
+                del self._usage_by_team[team]
 
-    def _find_gate(self, row: state.TeamRow, fraction: float) -> _Gate:
+    def _get_usage(self, row: state.TeamRow, fraction: float) -> _TeamUsage:
         team = state.TeamId(row.team)
         rate = row.rate * fraction
         burst = max(1.0, rate * self._settings.rate_burst_s)
-        gate = self._gates.get(team)
-        if gate is None:
-            gate = _Gate(budgets.RateLimit(self._clock, rate, burst))
-            self._gates[team] = gate
+        usage = self._usage_by_team.get(team)
+        if usage is None:
+            usage = _TeamUsage(budgets.RateLimit(self._clock, rate, burst))
+            self._usage_by_team[team] = usage
         else:
-            gate.rate.set_rate(rate, burst)
-        return gate
+            usage.rate.set_rate(rate, burst)
+        return usage
 
     def _check_concurrency(
-        self, limit: float, gate: _Gate, cost: int
+        self, limit: float, usage: _TeamUsage, cost: int
     ) -> protocol.Refused | None:
         # A query that costs more than the limit is admitted when its team has
         # nothing in flight; otherwise it could never run.
-        if gate.in_flight == 0 or gate.in_flight + cost <= limit:
+        if usage.in_flight == 0 or usage.in_flight + cost <= limit:
             return None
         return protocol.Refused(
             reason=protocol.RefusalReason.CONCURRENCY,
-            detail=f'{gate.in_flight} shard requests of the team are in '
+            detail=f'{usage.in_flight} shard requests of the team are in '
             f'flight; {limit:.0f} are allowed at this host',
             retry_after_s=_BUSY_RETRY_AFTER_S,
         )
 
-    def _check_host(self, cost: int) -> protocol.Refused | None:
+    def _check_host_limit(self, cost: int) -> protocol.Refused | None:
         if self._in_flight + cost <= self._settings.max_shard_requests:
             return None
         return protocol.Refused(
@@ -121,8 +121,10 @@
             retry_after_s=_BUSY_RETRY_AFTER_S,
         )
 
-    def _check_rate(self, gate: _Gate, cost: int) -> protocol.Refused | None:
-        wait_s = gate.rate.get_wait_s(cost)
+    def _check_rate(
+        self, usage: _TeamUsage, cost: int
+    ) -> protocol.Refused | None:
+        wait_s = usage.rate.get_wait_s(cost)
         if wait_s <= 0:
             return None
         return protocol.Refused(
@@ -131,7 +133,7 @@
             retry_after_s=max(wait_s, _MIN_RETRY_AFTER_S),
         )
 
-    def _check_queues(
+    def _check_queue_wait(
         self, row: state.TeamRow, deadline: float
     ) -> protocol.Refused | None:
         """Refuse a request that would wait too long for a slot.
--- a/rudderrock/coordination/_attempt.py
+++ b/rudderrock/coordination/_attempt.py
@@ -27,12 +27,12 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop):
         self._loop = loop
-        self._items: list[tuple['Attempt', protocol.ShardReply]] = []
+        self._replies: list[tuple['Attempt', protocol.ShardReply]] = []
         self._waiter: asyncio.Future | None = None
 
     def put(self, attempt: 'Attempt', reply: protocol.ShardReply) -> None:
         """Add a reply and wake the waiting task."""
-        self._items.append((attempt, reply))
+        self._replies.append((attempt, reply))
         self._wake()
 
     async def take(
@@ -42,7 +42,7 @@
 
         If there are none, wait for the first until loop time `until`.
         """
-        if not self._items and until > self._loop.time():
+        if not self._replies and until > self._loop.time():
             self._waiter = self._loop.create_future()
             timer = self._loop.call_at(until, self._wake)
             try:
@@ -50,8 +50,8 @@
             finally:
                 timer.cancel()
                 self._waiter = None
-        items, self._items = self._items, []
-        return items
+        replies, self._replies = self._replies, []
+        return replies
 
     def _wake(self) -> None:
         if self._waiter is not None and not self._waiter.done():
--- a/rudderrock/coordination/_budget.py
+++ b/rudderrock/coordination/_budget.py
@@ -10,7 +10,7 @@
     tokens.
 
     A cost above the burst is allowed once the bucket is full and makes its
-    balance negative, so a wide query is delayed but never blocked for good.
+    balance negative, so a wide query is delayed rather than refused forever.
     """
 
     def __init__(self, clock: state.Clock, rate: float, burst: float):
@@ -18,7 +18,7 @@
         self._rate = rate
         self._burst = burst
         self._tokens = burst
-        self._filled = clock.now()
+        self._refilled_at = clock.now()
 
     def set_rate(self, rate: float, burst: float) -> None:
         """Change the limit; tokens above the new burst are discarded."""
@@ -30,8 +30,8 @@
     def get_wait_s(self, cost: float) -> float:
         """Return the seconds until this cost may be taken, 0 if now."""
         self._refill()
-        missing = min(cost, self._burst) - self._tokens
-        return max(0.0, missing / self._rate)
+        deficit = min(cost, self._burst) - self._tokens
+        return max(0.0, deficit / self._rate)
 
     def take(self, cost: float) -> None:
         """Take tokens; `get_wait_s` must have returned 0 for this cost."""
@@ -39,9 +39,9 @@
 
     def _refill(self) -> None:
         now = self._clock.now()
-        gained = (now - self._filled) * self._rate
+        gained = (now - self._refilled_at) * self._rate
         self._tokens = min(self._burst, self._tokens + gained)
-        self._filled = now
+        self._refilled_at = now
 
 
 class Budget:
--- a/rudderrock/coordination/_claims.py
+++ b/rudderrock/coordination/_claims.py
@@ -25,12 +25,12 @@
 
 _PREFIX = 'rudderrock/claims'
 _KEY_PATTERN = re.compile(r'^(\d{10})-[A-Za-z0-9_-]{8,64}$')
-_FIRST_PAUSE_S = 0.01
-_LONGEST_PAUSE_S = 0.5
-_MOST_IDLE = 64
+_INITIAL_BACKOFF_S = 0.01
+_MAX_BACKOFF_S = 0.5
+_IDLE_REMOVAL_THRESHOLD = 64
 # Writes that a host may make in a burst after an idle period.
-_PACE_BURST = 4.0
-_SHORTEST_WAIT_S = 0.001
+_WRITE_BURST = 4.0
+_MIN_WAIT_S = 0.001
 
 
 class ClaimState(enum.Enum):
@@ -113,13 +113,13 @@
         key: str,
         kv: transport.KvPort,
         settings: state.ClaimSettings,
-        pace: budgets.RateLimit,
+        write_limit: budgets.RateLimit,
     ):
         self._key = key
         self._kv = kv
         self._settings = settings
-        self._pace = pace
-        self._waiting: list[_Operation] = []
+        self._write_limit = write_limit
+        self._queued: list[_Operation] = []
         self._entry: protocol.Entry | None = None
         self._task: asyncio.Task | None = None
         self._urgent = asyncio.Event()
@@ -130,11 +130,11 @@
         A change that is not urgent is written with the next urgent one, or
         after `record_delay_s` at the latest.
         """
-        self._waiting.append(operation)
+        self._queued.append(operation)
         if urgent:
             self._urgent.set()
         if self._task is None or self._task.done():
-            self._task = asyncio.create_task(self._write_all())
+            self._task = asyncio.create_task(self._write_queued())
 
     async def read(self) -> result.Result[Claims, transport.KvUnavailable]:
         """Return the claims that the service holds now."""
@@ -142,7 +142,7 @@
         match entry:
             case result.Ok(current):
                 self._entry = current
-        return entry.map(_read_claims)
+        return entry.map(_decode_claims)
 
     @property
     def is_idle(self) -> bool:
@@ -155,25 +155,25 @@
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
-    async def _write_all(self) -> None:
-        pause_s = _FIRST_PAUSE_S
-        while self._waiting:
-            await self._wait_for_turn()
-            group = [each for each in self._waiting if not each.done.done()]
-            self._waiting = []
+    async def _write_queued(self) -> None:
+        backoff_s = _INITIAL_BACKOFF_S
+        while self._queued:
+            await self._wait_for_batch()
+            batch = [each for each in self._queued if not each.done.done()]
+            self._queued = []
             self._urgent.clear()
-            if await self._write_group(group):
-                pause_s = _FIRST_PAUSE_S
+            if await self._write_batch(batch):
+                backoff_s = _INITIAL_BACKOFF_S
                 continue
             # The write may have taken effect. Writing the same changes again
             # resolves this: either the write succeeds, or the conflicting
             # value already holds the claims with the nonces of this batch.
-            self._waiting = group + self._waiting
+            self._queued = batch + self._queued
             self._urgent.set()
-            await asyncio.sleep(pause_s)
-            pause_s = min(pause_s * 2, _LONGEST_PAUSE_S)
+            await asyncio.sleep(backoff_s)
+            backoff_s = min(backoff_s * 2, _MAX_BACKOFF_S)
 
-    async def _wait_for_turn(self) -> None:
+    async def _wait_for_batch(self) -> None:
         """Delay the next write to batch changes and to keep to the rate limit.
 
         Wait for an urgent change, for `record_delay_s` at most, then for
@@ -182,11 +182,11 @@
         delay_s = self._settings.record_delay_s
         await core.wait_for_event(self._urgent, delay_s)
         await asyncio.sleep(self._settings.group_delay_s)
-        while (wait_s := self._pace.get_wait_s(1.0)) > 0:
-            await asyncio.sleep(max(wait_s, _SHORTEST_WAIT_S))
-        self._pace.take(1.0)
+        while (wait_s := self._write_limit.get_wait_s(1.0)) > 0:
+            await asyncio.sleep(max(wait_s, _MIN_WAIT_S))
+        self._write_limit.take(1.0)
 
-    async def _write_group(self, group: list[_Operation]) -> bool:
+    async def _write_batch(self, batch: list[_Operation]) -> bool:
         """Write a batch of changes by compare-and-swap.
 
         Return False if the service did not confirm the write.
@@ -195,23 +195,23 @@
         # than a failed write, and the service allows many more reads than
         # writes.
         self._entry = None
-        while group:
+        while batch:
             if self._entry is None:
                 read = await self.read()
                 if read.is_err():
                     return False
-            claims = _read_claims(self._entry)
+            claims = _decode_claims(self._entry)
             before = dict(claims)
-            taken = {each: each.apply(claims) for each in group}
+            conflicts = {each: each.apply(claims) for each in batch}
             if claims == before:
-                _settle(group, taken)
+                _resolve(batch, conflicts)
                 return True
             swapped = await self._swap(claims)
             match swapped:
                 case result.Ok(version):
                     value = protocol.encode(claims)
                     self._entry = protocol.Entry(value=value, version=version)
-                    _settle(group, taken)
+                    _resolve(batch, conflicts)
                     return True
                 case result.Err(transport.KvConflict(current)):
                     self._entry = current
@@ -246,8 +246,8 @@
         count_hosts: Callable[[], int],
     ):
         self._count_hosts = count_hosts
-        self._pace = budgets.RateLimit(
-            clock, settings.writes_per_s, _PACE_BURST
+        self._write_limit = budgets.RateLimit(
+            clock, settings.writes_per_s, _WRITE_BURST
         )
         self._kv = kv
         self._settings = settings
@@ -295,7 +295,7 @@
                 'the key-value service did not confirm the claim in time'
             )
 
-    def finish(self, key: str, claim: Claim) -> None:
+    def record_outcome(self, key: str, claim: Claim) -> None:
         """Record the outcome of a claimed key with the next batch of claims.
 
         If the host is lost before the write, a repeated call is answered with
@@ -314,7 +314,7 @@
         self, key: str
     ) -> result.Result[Claim | None, transport.KvUnavailable]:
         """Return the claim on a key that the service holds now."""
-        claims = await self._find_partition(key).read()
+        claims = await self._get_partition(key).read()
         return claims.map(lambda known: known.get(key))
 
     async def clean(self, index: int, hosts: int) -> None:
@@ -325,11 +325,13 @@
         """
         settings = self._settings
         kept_s = settings.retention_s + settings.max_skew_s
-        last = int((self._clock.wall() - kept_s) // settings.epoch_s) - 1
+        newest_epoch = (
+            int((self._clock.wall() - kept_s) // settings.epoch_s) - 1
+        )
         # Covers twice the cleaning period, in case the last cleaning was
         # missed.
         count = math.ceil(2 * settings.clean_period_s / settings.epoch_s)
-        for epoch in range(last, last - count, -1):
+        for epoch in range(newest_epoch, newest_epoch - count, -1):
             for number in range(settings.partitions):
                 if (epoch + number) % hosts == index:
                     await self._delete(f'{_PREFIX}/{epoch}/{number}')
@@ -343,10 +345,10 @@
         self, key: str, nonce: str, claim: Claim | None, urgent: bool
     ) -> asyncio.Future[Won | Taken]:
         rate = self._settings.writes_per_s / max(1, self._count_hosts())
-        self._pace.set_rate(rate, _PACE_BURST)
+        self._write_limit.set_rate(rate, _WRITE_BURST)
         done = asyncio.get_running_loop().create_future()
         operation = _Operation(key, nonce, claim, done)
-        self._find_partition(key).submit(operation, urgent)
+        self._get_partition(key).submit(operation, urgent)
         return done
 
     async def _delete(self, key: str) -> None:
@@ -357,23 +359,27 @@
                     protocol.SwapRequest(key=key, value=None, expected=version)
                 )
 
-    def _find_partition(self, key: str) -> _Partition:
-        team, _, own = key.partition('/')
-        epoch = int(int(own.partition('-')[0]) // self._settings.epoch_s)
+    def _get_partition(self, key: str) -> _Partition:
+        team, _, caller_key = key.partition('/')
+        epoch = int(
+            int(caller_key.partition('-')[0]) // self._settings.epoch_s
+        )
         number = (
             xxhash.xxh64_intdigest(key.encode()) % self._settings.partitions
         )
         name = f'{_PREFIX}/{epoch}/{number}'
         partition = self._partitions.get(name)
         if partition is None:
-            self._forget_idle()
-            partition = _Partition(name, self._kv, self._settings, self._pace)
+            self._remove_idle()
+            partition = _Partition(
+                name, self._kv, self._settings, self._write_limit
+            )
             self._partitions[name] = partition
         return partition
 
-    def _forget_idle(self) -> None:
+    def _remove_idle(self) -> None:
         """Remove idle writers; a new writer reads its partition again."""
-        if len(self._partitions) < _MOST_IDLE:
+        if len(self._partitions) < _IDLE_REMOVAL_THRESHOLD:
             return
         self._partitions = {
             name: partition
@@ -392,15 +398,15 @@
     return xxhash.xxh3_128_hexdigest(b'\0'.join(parts))
 
 
-def _settle(
-    group: list[_Operation], taken: dict[_Operation, Taken | None]
+def _resolve(
+    batch: list[_Operation], conflicts: dict[_Operation, Taken | None]
 ) -> None:
-    for operation in group:
+    for operation in batch:
         if not operation.done.done():
-            operation.done.set_result(taken[operation] or Won())
+            operation.done.set_result(conflicts[operation] or Won())
 
 
-def _read_claims(entry: protocol.Entry) -> Claims:
+def _decode_claims(entry: protocol.Entry) -> Claims:
     if entry.value is None:
         return {}
     return protocol.decode(Claims, entry.value).expect('claims are ours')
--- a/rudderrock/coordination/_commands.py
+++ b/rudderrock/coordination/_commands.py
@@ -19,10 +19,10 @@
 from rudderrock.coordination import _claims as claims
 from rudderrock.coordination import _dispatch as dispatch
 
-_MAX_TRIES = 3
+_MAX_ATTEMPTS = 3
 _RETRY_AFTER_S = 0.2
 _KV_RETRY_AFTER_S = 1.0
-_FIRST_POLL_S = 0.05
+_INITIAL_POLL_S = 0.05
 # For a larger result, only the fact that the command ran is recorded.
 _MAX_RECORDED_BYTES = 2048
 # Fraction of the time to the deadline that claiming may take.
@@ -86,12 +86,12 @@
         claimed = await self._store.claim(ticket.claim_key, claim, until)
         match claimed:
             case claims.Taken(earlier):
-                return await self._repeat(ticket, claim, earlier)
+                return await self._answer_repeat(ticket, claim, earlier)
             case claims.NotCommitted(detail):
                 # Nothing was sent. The claim may have taken effect all the
                 # same, so it is released to make the key usable again.
                 self._store.release(ticket.claim_key, claim)
-                return _refuse_without_kv(ticket, detail)
+                return _refuse_unclaimed(ticket, detail)
             case claims.Won():
                 return await self._run_claimed(ticket, collection, claim)
 
@@ -112,7 +112,7 @@
             expires=self._clock.wall() + left_s,
         )
 
-    async def _repeat(
+    async def _answer_repeat(
         self,
         ticket: CommandTicket,
         claim: claims.Claim,
@@ -125,17 +125,17 @@
                 detail='this key was used for a different request',
                 query=ticket.query_id,
             )
-        pause_s = _FIRST_POLL_S
+        poll_s = _INITIAL_POLL_S
         while earlier.state is claims.ClaimState.CLAIMED:
-            over = self._clock.wall() >= earlier.expires
-            if over or self._clock.now() + pause_s >= ticket.deadline:
+            is_expired = self._clock.wall() >= earlier.expires
+            if is_expired or self._clock.now() + poll_s >= ticket.deadline:
                 return protocol.Unknown(
                     query=ticket.query_id,
                     detail='an earlier call with this key may have run; '
                     'its outcome is not recorded',
                 )
-            await asyncio.sleep(pause_s)
-            pause_s *= 2
+            await asyncio.sleep(poll_s)
+            poll_s *= 2
             match await self._store.read(ticket.claim_key):
                 case result.Ok(claims.Claim() as current):
                     earlier = current
@@ -167,7 +167,7 @@
             detail=ticket.key,
         )
         try:
-            ran = await self._send(ticket, collection)
+            outcome = await self._send(ticket, collection)
         except asyncio.CancelledError:
             # Cancelled by an operator, or because the caller disconnected. The
             # claim is kept, so that no host runs the command again.
@@ -175,7 +175,7 @@
             return protocol.Unknown(
                 query=ticket.query_id, detail='cancelled while in flight'
             )
-        match ran:
+        match outcome:
             case _NotRun(detail):
                 self._store.release(ticket.claim_key, claim)
                 return protocol.Refused(
@@ -185,7 +185,7 @@
                     query=ticket.query_id,
                 )
             case protocol.ShardAnswer(hits=hits):
-                self._record(ticket, claim, hits)
+                self._record_outcome(ticket, claim, hits)
                 return protocol.Recorded(
                     query=ticket.query_id,
                     key=ticket.key,
@@ -196,21 +196,21 @@
             query=ticket.query_id, detail='the upstream did not answer'
         )
 
-    def _record(
+    def _record_outcome(
         self,
         ticket: CommandTicket,
         claim: claims.Claim,
         hits: list[protocol.Hit],
     ) -> None:
-        kept = hits
+        recorded_hits = hits
         if len(protocol.encode(hits)) > _MAX_RECORDED_BYTES:
             # Only the fact that the command ran must be kept: the stored value
             # of a partition is limited to 1 MB.
-            kept = []
+            recorded_hits = []
         done = dataclasses.replace(
-            claim, state=claims.ClaimState.DONE, hits=kept
+            claim, state=claims.ClaimState.DONE, hits=recorded_hits
         )
-        self._store.finish(ticket.claim_key, done)
+        self._store.record_outcome(ticket.claim_key, done)
 
     async def _send(
         self, ticket: CommandTicket, collection: state.Collection
@@ -226,7 +226,7 @@
         service = self._dispatcher.find_service(shards[index % len(shards)])
         avoid: set[state.UpstreamId] = set()
         reply: protocol.ShardReply = protocol.ShardLost(False, 'not tried')
-        for number in range(_MAX_TRIES):
+        for number in range(_MAX_ATTEMPTS):
             if self._clock.now() >= ticket.deadline:
                 return _NotRun('the deadline passed before it could be sent')
             if not service.is_reachable:
@@ -283,7 +283,7 @@
         return protocol.ShardLost(sent, 'deadline')
 
 
-def _refuse_without_kv(ticket: CommandTicket, detail: str) -> protocol.Refused:
+def _refuse_unclaimed(ticket: CommandTicket, detail: str) -> protocol.Refused:
     return protocol.Refused(
         reason=protocol.RefusalReason.KV_UNAVAILABLE,
         detail=f'the key could not be claimed: {detail}',
--- a/rudderrock/coordination/_dispatch.py
+++ b/rudderrock/coordination/_dispatch.py
@@ -18,16 +18,17 @@
 from rudderrock.coordination import _fair_queue as fair_queue
 from rudderrock.coordination import _link as links
 
-_ZONE_PENALTY = 1.1
+_REMOTE_ZONE_COST_FACTOR = 1.1
 # Weight of one answer in the moving mean of the exchange time.
-_WORK_WEIGHT = 0.1
+_EXCHANGE_WEIGHT = 0.1
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
 class Service:
     """The replicas, the queue and the budgets of one shard.
 
-    `work_s` is the moving mean of the time of an exchange in seconds.
+    `mean_exchange_s` is the moving mean of the time of an exchange, in
+    seconds.
     """
 
     shard: state.ShardId
@@ -35,11 +36,13 @@
     queue: fair_queue.FairQueue[attempts.Attempt]
     hedges: budgets.Budget
     retries: budgets.Budget
-    work_s: float = 0.0
+    mean_exchange_s: float = 0.0
 
-    def note_answer(self, elapsed: float) -> None:
+    def record_answer(self, elapsed: float) -> None:
         """Update the mean with the time to an answer in seconds."""
-        self.work_s += _WORK_WEIGHT * (elapsed - self.work_s)
+        self.mean_exchange_s += _EXCHANGE_WEIGHT * (
+            elapsed - self.mean_exchange_s
+        )
 
     def can_hedge(
         self, avoid: frozenset[state.UpstreamId], pause_above: float
@@ -87,7 +90,7 @@
         ahead = self.queue.count(row.team) + 1
         share = self.queue.get_share(row)
         slots = max(1, self.capacity) * share
-        return ahead * max(self.work_s, 1e-4) / slots
+        return ahead * max(self.mean_exchange_s, 1e-4) / slots
 
 
 class Dispatcher:
@@ -115,20 +118,20 @@
         self._ring = ring
         self._links: dict[state.UpstreamId, links.UpstreamLink] = {}
         self._services: dict[state.ShardId, Service] = {}
-        self._by_link: dict[state.UpstreamId, list[Service]] = {}
+        self._services_by_link: dict[state.UpstreamId, list[Service]] = {}
         self._layout = state.Layout()
         self._hosts = 1
-        self._closing: set[asyncio.Task] = set()
+        self._closing_tasks: set[asyncio.Task] = set()
 
     def apply_layout(self, layout: state.Layout) -> None:
         """Update links and services to match a layout."""
-        old, self._layout = self._layout, layout
-        for upstream, described in layout.upstreams.items():
-            if old.upstreams.get(upstream) != described:
-                self._drop_link(upstream)
-                self._add_link(described)
+        previous, self._layout = self._layout, layout
+        for upstream, description in layout.upstreams.items():
+            if previous.upstreams.get(upstream) != description:
+                self._close_link(upstream)
+                self._add_link(description)
         for upstream in set(self._links) - set(layout.upstreams):
-            self._drop_link(upstream)
+            self._close_link(upstream)
         for upstream, link in self._links.items():
             link.apply_layout(upstream in layout.leaving)
         self._rebuild_services()
@@ -159,7 +162,7 @@
         """Return the services that have queued requests."""
         return [each for each in self._services.values() if len(each.queue)]
 
-    def seems_to_serve(
+    def probably_serves(
         self, shard: state.ShardId, version: state.IndexVersion
     ) -> bool:
         """Return whether some reachable replica probably holds a version.
@@ -176,20 +179,20 @@
 
     def submit(self, service: Service, attempt: attempts.Attempt) -> None:
         """Send an attempt to a free replica, or queue it."""
-        link = self._choose(service, attempt)
+        link = self._choose_replica(service, attempt)
         if link is not None and not len(service.queue):
             link.send(attempt)
         else:
             service.queue.push(attempt.row, attempt)
 
-    def try_now(self, service: Service, attempt: attempts.Attempt) -> bool:
+    def try_send(self, service: Service, attempt: attempts.Attempt) -> bool:
         """Send an attempt if a replica is free for it now.
 
         Return whether it was sent. Queued requests take precedence.
         """
         if len(service.queue):
             return False
-        link = self._choose(service, attempt)
+        link = self._choose_replica(service, attempt)
         if link is None:
             return False
         link.send(attempt)
@@ -198,10 +201,10 @@
     async def close(self) -> None:
         """Close all connections."""
         for upstream in list(self._links):
-            self._drop_link(upstream)
-        await asyncio.gather(*self._closing, return_exceptions=True)
+            self._close_link(upstream)
+        await asyncio.gather(*self._closing_tasks, return_exceptions=True)
 
-    def _choose(
+    def _choose_replica(
         self, service: Service, attempt: attempts.Attempt
     ) -> links.UpstreamLink | None:
         """Return the better of two free replicas drawn at random, or None.
@@ -213,22 +216,22 @@
         """
         now = self._clock.now()
         request = attempt.request
-        able = [
+        eligible = [
             link
             for link in service.links
             if link.takes_new_work
             and link.upstream.upstream not in attempt.avoid
             and not link.health.lacks(request.shard, request.version, now)
         ]
-        favoured = [
+        preferred = [
             link
-            for link in able
+            for link in eligible
             if link.health.is_favoured(now)
             and not link.health.seems_to_lack(
                 request.shard, request.version, now
             )
         ]
-        free = [link for link in favoured or able if link.is_free]
+        free = [link for link in preferred or eligible if link.is_free]
         if len(free) > 2:
             free = self._source.sample(free, 2)
         if not free:
@@ -240,17 +243,17 @@
     def _get_cost(self, link: links.UpstreamLink, now: float) -> float:
         cost = link.get_cost(now)
         if link.upstream.zone != self._zone:
-            cost *= _ZONE_PENALTY
+            cost *= _REMOTE_ZONE_COST_FACTOR
         return cost
 
-    def _on_free(self, link: links.UpstreamLink) -> None:
+    def _on_lane_free(self, link: links.UpstreamLink) -> None:
         """Send queued attempts to a link with a free lane."""
-        for service in self._by_link.get(link.upstream.upstream, ()):
+        for service in self._services_by_link.get(link.upstream.upstream, ()):
             while link.is_free and len(service.queue):
-                if not self._serve_next(service):
+                if not self._send_next(service):
                     break
 
-    def _serve_next(self, service: Service) -> bool:
+    def _send_next(self, service: Service) -> bool:
         """Take the next queued attempt and send it if possible.
 
         Return False if it cannot be sent now and is queued again.
@@ -258,11 +261,11 @@
         attempt = service.queue.pop()
         if attempt.given_up:
             return True
-        link = self._choose(service, attempt)
+        link = self._choose_replica(service, attempt)
         if link is None:
             # The only free replica is one that the attempt should avoid.
             attempt.avoid = frozenset()
-            link = self._choose(service, attempt)
+            link = self._choose_replica(service, attempt)
         if link is not None:
             link.send(attempt)
             return True
@@ -287,17 +290,17 @@
             self._clock,
             self._source,
             self._ring,
-            self._on_free,
+            self._on_lane_free,
         )
         self._links[upstream.upstream] = link
         link.start(self._count_lanes(upstream))
 
-    def _drop_link(self, upstream: state.UpstreamId) -> None:
+    def _close_link(self, upstream: state.UpstreamId) -> None:
         link = self._links.pop(upstream, None)
         if link is not None:
             task = asyncio.create_task(link.close())
-            self._closing.add(task)
-            task.add_done_callback(self._closing.discard)
+            self._closing_tasks.add(task)
+            task.add_done_callback(self._closing_tasks.discard)
 
     def _count_lanes(self, upstream: state.Upstream) -> int:
         """Return this host's share of the connections of an upstream."""
@@ -310,19 +313,19 @@
         for collection in self._layout.collections.values():
             for placement in collection.placements:
                 for shard, upstreams in placement.shards.items():
-                    known = replicas.setdefault(shard, {})
-                    known.update(dict.fromkeys(upstreams))
+                    shard_replicas = replicas.setdefault(shard, {})
+                    shard_replicas.update(dict.fromkeys(upstreams))
         self._services = {
-            shard: self._keep_service(shard, list(upstreams))
+            shard: self._get_or_create_service(shard, list(upstreams))
             for shard, upstreams in replicas.items()
         }
-        self._by_link = {}
+        self._services_by_link = {}
         for service in self._services.values():
             for link in service.links:
                 name = link.upstream.upstream
-                self._by_link.setdefault(name, []).append(service)
+                self._services_by_link.setdefault(name, []).append(service)
 
-    def _keep_service(
+    def _get_or_create_service(
         self, shard: state.ShardId, upstreams: list[state.UpstreamId]
     ) -> Service:
         """Return the service of a shard with its current replicas.
--- a/rudderrock/coordination/_extra.py
+++ b/rudderrock/coordination/_extra.py
@@ -9,7 +9,7 @@
 # Hedge delay while the least latency of an upstream is unknown, and the
 # highest hedge threshold.
 UNKNOWN_PATIENCE_S = 0.05
-_LONGEST_PATIENCE_S = 10.0
+_MAX_HEDGE_THRESHOLD_S = 10.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -27,7 +27,7 @@
     retries: int = 0
     hedge_wins: int = 0
     hedges_denied: int = 0
-    hedges_waiting: int = 0
+    hedges_postponed: int = 0
     retries_denied: int = 0
     restarts: int = 0
 
@@ -47,42 +47,48 @@
 
     def __init__(self, settings: state.Settings):
         self.counters = QueryCounters()
-        self._hedging = settings.hedging
-        self._retrying = settings.retries
-        self._hedges = budgets.Budget(
+        self._hedge_settings = settings.hedging
+        self._retry_settings = settings.retries
+        self._host_hedge_budget = budgets.Budget(
             settings.hedging.budget, settings.hedging.host_burst
         )
-        self._teams: dict[state.TeamId, budgets.Budget] = {}
-        self._late_points: dict[state.CollectionId, state.LatePoint] = {}
+        self._team_retry_budgets: dict[state.TeamId, budgets.Budget] = {}
+        self._hedge_thresholds: dict[state.CollectionId, state.LatePoint] = {}
 
-    def earn(self, service: dispatch.Service, team: state.TeamId) -> None:
+    def count_first_request(
+        self, service: dispatch.Service, team: state.TeamId
+    ) -> None:
         """Count the first request for a shard, which fills the budgets."""
         self.counters.shards += 1
-        self._hedges.earn()
+        self._host_hedge_budget.earn()
         service.hedges.earn()
         service.retries.earn()
-        self._find_team(team).earn()
+        self._get_team_budget(team).earn()
 
     def can_hedge(self, service: dispatch.Service) -> bool:
         """Return whether the budgets allow a hedge."""
-        return service.hedges.can_spend() and self._hedges.can_spend()
+        return (
+            service.hedges.can_spend() and self._host_hedge_budget.can_spend()
+        )
 
-    def pay_hedge(self, service: dispatch.Service) -> None:
+    def charge_hedge(self, service: dispatch.Service) -> None:
         """Count a hedge that was sent, and charge its budgets."""
-        budgets.spend_all((service.hedges, self._hedges))
+        budgets.spend_all((service.hedges, self._host_hedge_budget))
         self.counters.hedges += 1
 
     def can_retry(self, service: dispatch.Service, team: state.TeamId) -> bool:
         """Return whether the budgets allow a retry."""
-        budget = self._find_team(team)
+        budget = self._get_team_budget(team)
         return service.retries.can_spend() and budget.can_spend()
 
-    def pay_retry(self, service: dispatch.Service, team: state.TeamId) -> None:
+    def charge_retry(
+        self, service: dispatch.Service, team: state.TeamId
+    ) -> None:
         """Count a retry that was sent, and charge its budgets."""
-        budgets.spend_all((service.retries, self._find_team(team)))
+        budgets.spend_all((service.retries, self._get_team_budget(team)))
         self.counters.retries += 1
 
-    def find_late_point(
+    def get_hedge_threshold(
         self, collection: state.CollectionId
     ) -> state.LatePoint:
         """Return the hedge threshold of a collection.
@@ -93,23 +99,23 @@
         causes of lateness are the same for all of them. The least latency is
         kept for each upstream.
         """
-        late_point = self._late_points.get(collection)
-        if late_point is None:
-            hedging = self._hedging
-            late_point = state.LatePoint(
+        threshold = self._hedge_thresholds.get(collection)
+        if threshold is None:
+            hedging = self._hedge_settings
+            threshold = state.LatePoint(
                 1.0 - hedging.percentile / 100.0,
                 start=max(UNKNOWN_PATIENCE_S, hedging.min_delay_s),
                 lowest=hedging.min_delay_s,
-                highest=_LONGEST_PATIENCE_S,
+                highest=_MAX_HEDGE_THRESHOLD_S,
             )
-            self._late_points[collection] = late_point
-        return late_point
+            self._hedge_thresholds[collection] = threshold
+        return threshold
 
-    def _find_team(self, team: state.TeamId) -> budgets.Budget:
-        budget = self._teams.get(team)
+    def _get_team_budget(self, team: state.TeamId) -> budgets.Budget:
+        budget = self._team_retry_budgets.get(team)
         if budget is None:
             budget = budgets.Budget(
-                self._retrying.budget, self._retrying.burst
+                self._retry_settings.budget, self._retry_settings.burst
             )
-            self._teams[team] = budget
+            self._team_retry_budgets[team] = budget
         return budget
--- a/rudderrock/coordination/_fair_queue.py
+++ b/rudderrock/coordination/_fair_queue.py
@@ -18,18 +18,18 @@
 
 # Virtual time by which one step of priority brings a team forward, in requests
 # of a team of weight 1.
-_LEAD_PER_STEP = 1.0
+_LEAD_PER_PRIORITY = 1.0
 _LOWEST_PRIORITY = 9
-_ONE_LINE = state.TeamId('')
+_SHARED_QUEUE = state.TeamId('')
 
 
 @dataclasses.dataclass(slots=True)
-class _Lane(Generic[T]):
+class _TeamQueue(Generic[T]):
     """Queued requests and virtual start time of one team."""
 
     weight: float
     priority: int
-    start: float
+    virtual_start: float
     items: collections.deque[T] = dataclasses.field(
         default_factory=collections.deque
     )
@@ -37,7 +37,7 @@
     @property
     def rank(self) -> float:
         steps = _LOWEST_PRIORITY - self.priority
-        return self.start - steps * _LEAD_PER_STEP
+        return self.virtual_start - steps * _LEAD_PER_PRIORITY
 
 
 class FairQueue(Generic[T]):
@@ -51,8 +51,8 @@
 
     def __init__(self, order: state.QueueOrder = state.QueueOrder.FAIR):
         self._order = order
-        self._lanes: dict[state.TeamId, _Lane[T]] = {}
-        self._virtual = 0.0
+        self._queues: dict[state.TeamId, _TeamQueue[T]] = {}
+        self._virtual_time = 0.0
         self._length = 0
 
     def __len__(self) -> int:
@@ -60,57 +60,57 @@
 
     def push(self, row: state.TeamRow, item: T) -> None:
         """Add one request of a team."""
-        team = self._get_line(row.team)
-        lane = self._lanes.get(team)
-        if lane is None:
-            lane = _Lane(row.weight, row.priority, self._virtual)
-            self._lanes[team] = lane
+        team = self._get_queue_id(row.team)
+        queue = self._queues.get(team)
+        if queue is None:
+            queue = _TeamQueue(row.weight, row.priority, self._virtual_time)
+            self._queues[team] = queue
         # The row may have changed since the team's last request.
-        lane.weight = row.weight
-        lane.priority = row.priority
-        if not lane.items:
-            lane.start = max(lane.start, self._virtual)
-        lane.items.append(item)
+        queue.weight = row.weight
+        queue.priority = row.priority
+        if not queue.items:
+            queue.virtual_start = max(queue.virtual_start, self._virtual_time)
+        queue.items.append(item)
         self._length += 1
 
     def pop(self) -> T | None:
         """Remove and return the next request, or None if there is none."""
-        waiting = [lane for lane in self._lanes.values() if lane.items]
-        if not waiting:
+        nonempty = [queue for queue in self._queues.values() if queue.items]
+        if not nonempty:
             return None
-        lane = min(waiting, key=lambda each: each.rank)
-        self._virtual = max(self._virtual, lane.start)
-        lane.start += 1.0 / lane.weight
+        queue = min(nonempty, key=lambda each: each.rank)
+        self._virtual_time = max(self._virtual_time, queue.virtual_start)
+        queue.virtual_start += 1.0 / queue.weight
         self._length -= 1
-        item = lane.items.popleft()
+        item = queue.items.popleft()
         if not self._length:
-            self._forget_idle()
+            self._remove_idle()
         return item
 
     def count(self, team: state.TeamId) -> int:
         """Return how many requests of a team are queued."""
-        lane = self._lanes.get(self._get_line(team))
-        return len(lane.items) if lane else 0
+        queue = self._queues.get(self._get_queue_id(team))
+        return len(queue.items) if queue else 0
 
     def get_share(self, row: state.TeamRow) -> float:
         """Return a team's fraction of the slots while others are queued."""
         others = sum(
-            lane.weight
-            for team, lane in self._lanes.items()
-            if lane.items and team != self._get_line(row.team)
+            queue.weight
+            for team, queue in self._queues.items()
+            if queue.items and team != self._get_queue_id(row.team)
         )
         return row.weight / (row.weight + others)
 
-    def _get_line(self, team: state.TeamId) -> state.TeamId:
-        return team if self._order is state.QueueOrder.FAIR else _ONE_LINE
+    def _get_queue_id(self, team: state.TeamId) -> state.TeamId:
+        return team if self._order is state.QueueOrder.FAIR else _SHARED_QUEUE
 
-    def _forget_idle(self) -> None:
-        """Remove teams whose virtual time does not lie ahead.
+    def _remove_idle(self) -> None:
+        """Remove the teams that have no virtual time to pay back.
 
-        Teams without requests then take no memory.
+        This frees the memory of teams that stay idle.
         """
-        self._lanes = {
-            team: lane
-            for team, lane in self._lanes.items()
-            if lane.start > self._virtual
+        self._queues = {
+            team: queue
+            for team, queue in self._queues.items()
+            if queue.virtual_start > self._virtual_time
         }
--- a/rudderrock/coordination/_query.py
+++ b/rudderrock/coordination/_query.py
@@ -10,21 +10,23 @@
 _MAX_RESTARTS = 2
 # A query restarts with another version only if at least this fraction of its
 # time is left.
-_RESTART_TIME_FRACTION = 0.2
+_MIN_RESTART_TIME_FRACTION = 0.2
 
 
 class QueryRunner:
     """Runs admitted queries against the services of one host."""
 
-    def __init__(self, parts: gather.GatherParts):
-        self._parts = parts
-        self._clock = parts.clock
-        self._versions = versions.VersionChooser(parts.dispatcher, parts.clock)
+    def __init__(self, dependencies: gather.GatherParts):
+        self._dependencies = dependencies
+        self._clock = dependencies.clock
+        self._versions = versions.VersionChooser(
+            dependencies.dispatcher, dependencies.clock
+        )
 
     @property
     def counters(self) -> extras.QueryCounters:
         """Return the counts of requests sent so far."""
-        return self._parts.extra.counters
+        return self._dependencies.extra.counters
 
     async def run(
         self, ticket: tickets.QueryTicket, collection: state.Collection
@@ -35,42 +37,46 @@
         version is available, the query starts again from the beginning with
         that one.
         """
-        given_up: set[state.IndexVersion] = set()
-        placement = self._versions.choose_placement(collection, given_up)
+        rejected_versions: set[state.IndexVersion] = set()
+        placement = self._versions.choose_placement(
+            collection, rejected_versions
+        )
         for _ in range(_MAX_RESTARTS):
-            gathering = gather.Gathering(self._parts, ticket, placement)
-            gone = await gathering.run(may_restart=True)
-            if not gone:
+            gathering = gather.Gathering(self._dependencies, ticket, placement)
+            unavailable = await gathering.run(may_restart=True)
+            if not unavailable:
                 return gathering.make_answer()
-            given_up.add(placement.version)
+            rejected_versions.add(placement.version)
             # The layout may have changed while the query ran.
-            current = self._parts.dispatcher.find_collection(
+            current = self._dependencies.dispatcher.find_collection(
                 collection.collection
             )
-            if current is None or not self._has_time(ticket):
+            if current is None or not self._has_time_to_restart(ticket):
                 return gathering.make_answer()
-            better = self._versions.choose_placement(current, given_up)
-            if better is None:
+            replacement = self._versions.choose_placement(
+                current, rejected_versions
+            )
+            if replacement is None:
                 return gathering.make_answer()
-            self._note_restart(ticket, placement, better)
-            placement = better
-        gathering = gather.Gathering(self._parts, ticket, placement)
+            self._record_restart(ticket, placement, replacement)
+            placement = replacement
+        gathering = gather.Gathering(self._dependencies, ticket, placement)
         await gathering.run(may_restart=False)
         return gathering.make_answer()
 
-    def _has_time(self, ticket: tickets.QueryTicket) -> bool:
+    def _has_time_to_restart(self, ticket: tickets.QueryTicket) -> bool:
         left = ticket.deadline - self._clock.now()
-        return left > _RESTART_TIME_FRACTION * ticket.row.deadline_s
+        return left > _MIN_RESTART_TIME_FRACTION * ticket.row.deadline_s
 
-    def _note_restart(
+    def _record_restart(
         self,
         ticket: tickets.QueryTicket,
         old: state.Placement,
         new: state.Placement,
     ) -> None:
         self.counters.restarts += 1
-        self._versions.forget()
-        self._parts.ring.record(
+        self._versions.clear_cache()
+        self._dependencies.ring.record(
             state.EventKind.VERSION_RESTART,
             team=state.TeamId(ticket.row.team),
             query=ticket.query_id,
--- a/rudderrock/coordination/_shard_call.py
+++ b/rudderrock/coordination/_shard_call.py
@@ -16,35 +16,37 @@
     """The state of one shard within one query.
 
     It is closed once it has an answer or a reason for having none. `failed`
-    holds the replicas that failed since the last pause; `lacking` holds those
-    that rejected the version. `excused` is set once its hedge check has been
-    postponed because this process stalled.
+    holds the replicas that failed since the last pause; `lacking_version`
+    holds those that rejected the version. `check_postponed` is set once its
+    hedge check has been postponed because this process stalled.
     """
 
     service: dispatch.Service
     in_flight: list[attempts.Attempt] = dataclasses.field(default_factory=list)
     failed: set[state.UpstreamId] = dataclasses.field(default_factory=set)
-    lacking: set[state.UpstreamId] = dataclasses.field(default_factory=set)
-    tries: int = 0
+    lacking_version: set[state.UpstreamId] = dataclasses.field(
+        default_factory=set
+    )
+    attempt_count: int = 0
     hedged: bool = False
-    excused: bool = False
-    miss: protocol.MissReason | None = None
+    check_postponed: bool = False
+    miss_reason: protocol.MissReason | None = None
     answer: protocol.ShardAnswer | None = None
 
     @property
-    def is_over(self) -> bool:
+    def is_closed(self) -> bool:
         """Return whether the shard has an answer or is missing."""
-        return self.answer is not None or self.miss is not None
+        return self.answer is not None or self.miss_reason is not None
 
     @property
-    def tried(self) -> frozenset[state.UpstreamId]:
+    def excluded(self) -> frozenset[state.UpstreamId]:
         """Return the replicas to exclude from the next attempt."""
-        return frozenset(self.failed | self.lacking)
+        return frozenset(self.failed | self.lacking_version)
 
-    def has_untried(self) -> bool:
+    def has_remaining_replica(self) -> bool:
         """Return whether some reachable replica is not excluded."""
         return any(
-            link.is_reachable and link.upstream.upstream not in self.tried
+            link.is_reachable and link.upstream.upstream not in self.excluded
             for link in self.service.links
         )
 
@@ -52,15 +54,15 @@
 class Due(typing.NamedTuple):
     """A scheduled check of a shard.
 
-    `when` is in loop time; `order` breaks ties. `retry` is the reason of the
-    last failure if the check is to retry the shard, or None if the check is
-    for lateness.
+    `when` is in loop time; `order` breaks ties. `retry_reason` is the reason
+    of the last failure if the check is to retry the shard, or None if the
+    check is for lateness.
     """
 
     when: float
     order: int
     call: ShardCall
-    retry: protocol.MissReason | None
+    retry_reason: protocol.MissReason | None
 
 
 class Agenda:
@@ -75,10 +77,12 @@
         self,
         call: ShardCall,
         when: float,
-        retry: protocol.MissReason | None = None,
+        retry_reason: protocol.MissReason | None = None,
     ) -> None:
         """Schedule a check of a shard at loop time `when`."""
-        heapq.heappush(self._due, Due(when, next(self._order), call, retry))
+        heapq.heappush(
+            self._due, Due(when, next(self._order), call, retry_reason)
+        )
 
     def get_next_time(self, end: float) -> float:
         """Return the loop time of the next check, at most `end`."""
@@ -88,5 +92,5 @@
         """Remove and yield the due checks of shards that are not closed."""
         while self._due and self._clock.has_reached(self._due[0].when):
             due = heapq.heappop(self._due)
-            if not due.call.is_over:
+            if not due.call.is_closed:
                 yield due
--- a/rudderrock/coordination/_ticket.py
+++ b/rudderrock/coordination/_ticket.py
@@ -1,4 +1,4 @@
-"""An admitted query."""
+"""The admitted query that is passed to the query runner."""
 
 import dataclasses
 
