--- a/rudderrock/coordination/_admission.py
+++ b/rudderrock/coordination/_admission.py
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _TeamUsage:
-    """Use of this host by one team."""
+    """Rate limit and shard requests in flight of one team."""
 
     rate: budgets.RateLimit
     in_flight: int = 0
--- a/rudderrock/coordination/_claims.py
+++ b/rudderrock/coordination/_claims.py
@@ -409,4 +409,6 @@
 def _decode_claims(entry: protocol.Entry) -> Claims:
     if entry.value is None:
         return {}
-    return protocol.decode(Claims, entry.value).expect('claims are ours')
+    return protocol.decode(Claims, entry.value).expect(
+        'stored claims cannot be decoded'
+    )
--- a/rudderrock/coordination/_commands.py
+++ b/rudderrock/coordination/_commands.py
@@ -76,7 +76,7 @@
     async def run(
         self, ticket: CommandTicket, collection: state.Collection
     ) -> protocol.Outcome:
-        """Run a command, or return the outcome of its first run."""
+        """Run a command, or return the outcome recorded for its key."""
         checked = self._store.check_key(ticket.key)
         if checked.is_err():
             return checked.unwrap_err()
--- a/rudderrock/coordination/_dispatch.py
+++ b/rudderrock/coordination/_dispatch.py
@@ -1,9 +1,9 @@
-"""Choice of a replica for each shard request, and queueing for one.
+"""Choice of a replica for each shard request, and the queues before it.
 
 The replicas of a shard form a service. A request is sent to the better of two
 free replicas. If none is free, the request waits in the fair queue of the
-service rather than in the queue of an upstream, because only here can the
-weights of teams be applied.
+service instead of the queue of an upstream, because an upstream cannot apply
+the weights of teams.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 class Service:
     """The replicas, the queue and the budgets of one shard.
 
-    `mean_exchange_s` is the moving mean of the time of an exchange, in
+    `mean_exchange_s` is the moving mean of the duration of an exchange, in
     seconds.
     """
 
@@ -39,7 +39,7 @@
     mean_exchange_s: float = 0.0
 
     def record_answer(self, elapsed: float) -> None:
-        """Update the mean with the time to an answer in seconds."""
+        """Update the mean with the duration of an exchange in seconds."""
         self.mean_exchange_s += _EXCHANGE_WEIGHT * (
             elapsed - self.mean_exchange_s
         )
@@ -47,10 +47,11 @@
     def can_hedge(
         self, avoid: frozenset[state.UpstreamId], pause_above: float
     ) -> bool:
-        """Return whether some other replica is answering in time.
+        """Return whether another reachable replica is rarely late.
 
-        If all of them are late, the service as a whole is slow, and more
-        requests would slow it further.
+        `pause_above` is the highest fraction of late requests that such a
+        replica may have. If all replicas exceed it, the service as a whole is
+        slow, and more requests would slow it further.
         """
         return any(
             link.is_reachable and link.health.late <= pause_above
@@ -82,8 +83,9 @@
     def estimate_wait_s(self, row: state.TeamRow) -> float:
         """Return the expected wait of one more request of a team in seconds.
 
-        It is the time to serve all requests that the team has queued with the
-        share of the slots that its weight gives it.
+        The estimate assumes that the queued requests of the team and the new
+        one each take the mean duration of an exchange, on the fraction of the
+        slots that the weight of the team gives it.
         """
         if not len(self.queue):
             return 0.0
--- a/rudderrock/coordination/_extra.py
+++ b/rudderrock/coordination/_extra.py
@@ -7,7 +7,7 @@
 from rudderrock.coordination import _dispatch as dispatch
 
 # Hedge delay while the least latency of an upstream is unknown, and the
-# highest hedge threshold.
+# threshold from which a collection starts.
 UNKNOWN_PATIENCE_S = 0.05
 _MAX_HEDGE_THRESHOLD_S = 10.0
 
--- a/rudderrock/coordination/_gather.py
+++ b/rudderrock/coordination/_gather.py
@@ -19,7 +19,7 @@
 from rudderrock.coordination import _shard_call as calls
 from rudderrock.coordination import _ticket as tickets
 
-# Delay before another hedge when all other replicas are busy.
+# Delay before a hedge is tried again when all other replicas are busy.
 _HEDGE_RECHECK_S = 0.002
 # A check that runs this much later than planned, in seconds, shows that the
 # process stalled: an event loop with spare capacity is less than 1 ms late.
@@ -81,8 +81,8 @@
     async def run(self, may_restart: bool) -> bool:
         """Gather answers until all shards are closed or the time is up.
 
-        With `may_restart`, stop and return True as soon as some shard can no
-        longer serve the version. Return False otherwise.
+        With `may_restart`, stop and return True as soon as no replica of some
+        shard can serve the version. Return False otherwise.
         """
         try:
             self._send_all()
@@ -188,7 +188,7 @@
                 self._hedge_if_late(due.call)
 
     def _has_stalled(self, due: calls.Due) -> bool:
-        """Return whether this process, rather than the upstream, may be late.
+        """Return whether this process may have caused the delay of an answer.
 
         If the process stalled, the answer may have arrived without having been
         read, and a hedge would load another replica for nothing. With 26 busy
@@ -242,9 +242,9 @@
         self._check_later(call, self._hedge_delay_s)
 
     def _is_presumed_lost(self, first: attempts.Attempt) -> bool:
-        """Return whether the attempt is too late to be only a straggler."""
-        hedge_delay_s = _LOST_FACTOR * self._hedge_delay_s
-        lost_at = first.sent_at + first.base_s + hedge_delay_s
+        """Return whether the attempt is too late to be merely slow."""
+        lost_delay_s = _LOST_FACTOR * self._hedge_delay_s
+        lost_at = first.sent_at + first.base_s + lost_delay_s
         return self._clock.has_reached(lost_at)
 
     def _try_send(
