--- a/rudderrock/coordination/__init__.py
+++ b/rudderrock/coordination/__init__.py
@@ -18,7 +18,7 @@
 from rudderrock.coordination._commands import CommandRunner
 from rudderrock.coordination._commands import CommandTicket
 from rudderrock.coordination._config import Configuration
-from rudderrock.coordination._config import SPREAD_FANOUT
+from rudderrock.coordination._config import PUSH_FANOUT
 from rudderrock.coordination._dispatch import Dispatcher
 from rudderrock.coordination._dispatch import is_not_run
 from rudderrock.coordination._dispatch import Service
@@ -108,7 +108,7 @@
     'QueryRunner',
     'QueryTicket',
     'RateLimit',
-    'SPREAD_FANOUT',
+    'PUSH_FANOUT',
     'Sample',
     'Service',
     'ShardCall',
--- a/rudderrock/coordination/_config.py
+++ b/rudderrock/coordination/_config.py
@@ -15,12 +15,12 @@
 from rudderrock.coordination import _follow as follow
 from rudderrock.coordination import _members as members
 
-SPREAD_FANOUT = 3
-_CHECKS_BEFORE_ALONE = 4
-_LONGEST_CHECK_PAUSE_S = 8.0
+PUSH_FANOUT = 3
+_CHECKS_BEFORE_ISOLATION = 4
+_MAX_CHECK_PAUSE_S = 8.0
 # The order in which hosts read the table anew changes this often.
-_TURN_EPOCH_S = 60.0
-_LAST_TURN = 6
+_READ_ORDER_EPOCH_S = 60.0
+_MAX_READ_RANK = 6
 _FETCH_TIMEOUT_S = 1.0
 
 
@@ -57,9 +57,9 @@
         self._peers = peers
         self._clock = clock
         self._source = source
-        self._fetching: asyncio.Task | None = None
-        self._spreading: asyncio.Task | None = None
-        self._side_tasks: set[asyncio.Task] = set()
+        self._fetch_task: asyncio.Task | None = None
+        self._push_task: asyncio.Task | None = None
+        self._background_tasks: set[asyncio.Task] = set()
         self._closed = False
         self._started_at = clock.now()
 
@@ -71,19 +71,19 @@
     async def close(self) -> None:
         """End what is being fetched or spread."""
         self._closed = True
-        side_tasks = list(self._side_tasks)
-        for task in side_tasks:
+        background_tasks = list(self._background_tasks)
+        for task in background_tasks:
             task.cancel()
-        await asyncio.gather(*side_tasks, return_exceptions=True)
+        await asyncio.gather(*background_tasks, return_exceptions=True)
 
     def apply_table(self, table: state.Table) -> None:
         """Put a table in force, and tell peers of it."""
         self.rows = table.rows
         self.table_in_force = table
         self._gate.forget_teams(table.rows)
-        if self._spreading is None or self._spreading.done():
-            self._spreading = self._start_side_task(
-                self._membership.spread(SPREAD_FANOUT)
+        if self._push_task is None or self._push_task.done():
+            self._push_task = self._start_background_task(
+                self._membership.push_updates(PUSH_FANOUT)
             )
 
     def apply_layout(self, layout: state.Layout) -> None:
@@ -104,25 +104,25 @@
     ) -> protocol.ConfigReply:
         """Give a peer what it has not yet got."""
         table, layout = self.table_in_force, self.layout_in_force
-        new_table = table.revision > request.table_revision
-        new_layout = layout.revision > request.layout_revision
+        send_table = table.revision > request.table_revision
+        send_layout = layout.revision > request.layout_revision
         return protocol.ConfigReply(
-            table=table if new_table else None,
-            layout=layout if new_layout else None,
+            table=table if send_table else None,
+            layout=layout if send_layout else None,
         )
 
     def on_digest(self, digest: protocol.Digest) -> None:
         """Compare what a peer has in force with ours; fetch what is later."""
         if digest.table_revision == self.table.revision:
             self.table.confirm(digest.table_age_s)
-        later = (
+        peer_is_newer = (
             digest.table_revision > self.table.revision
             or digest.layout_revision > self.layout.revision
         )
-        if self._closed or not later:
+        if self._closed or not peer_is_newer:
             return
-        if self._fetching is None or self._fetching.done():
-            self._fetching = self._start_side_task(
+        if self._fetch_task is None or self._fetch_task.done():
+            self._fetch_task = self._start_background_task(
                 self._fetch_config(digest.sender)
             )
 
@@ -151,19 +151,21 @@
         So it is when neither the key-value service nor any peer has been
         heard of for `isolation_s`.
         """
-        if self._membership.is_alone:
+        if self._membership.is_only_host:
             return False
-        return self._get_silence_s() > self._settings.membership.isolation_s
+        return (
+            self._get_contact_age_s() > self._settings.membership.isolation_s
+        )
 
-    def _get_silence_s(self) -> float:
+    def _get_contact_age_s(self) -> float:
         """Return for how long nobody has been heard of, in seconds."""
-        heard = max(
-            self.table.heard_at or -math.inf,
-            self._membership.heard_at or -math.inf,
+        last_contact = max(
+            self.table.last_contact_at or -math.inf,
+            self._membership.last_contact_at or -math.inf,
         )
-        return self._clock.now() - max(heard, self._started_at)
+        return self._clock.now() - max(last_contact, self._started_at)
 
-    async def keep_in_touch(self) -> None:
+    async def confirm_periodically(self) -> None:
         """Read the table when its revision has not been confirmed lately.
 
         One host's reading confirms it for all, since its age goes round
@@ -172,38 +174,40 @@
         host that hears no peer reads by itself, lest it count as isolated.
         While the service is silent the pauses grow.
         """
-        shortest_s = (
-            self._settings.membership.isolation_s / _CHECKS_BEFORE_ALONE
+        min_pause_s = (
+            self._settings.membership.isolation_s / _CHECKS_BEFORE_ISOLATION
         )
-        pause_s = shortest_s
+        pause_s = min_pause_s
         while True:
             await asyncio.sleep(pause_s * self._source.uniform(0.5, 1.0))
-            due_s = self._settings.platform.recheck_s * (1 + self._get_turn())
-            old = self.table.get_age_s() > due_s
-            if not old and self._get_silence_s() <= shortest_s:
+            max_age_s = self._settings.platform.recheck_s * (
+                1 + self._get_read_rank()
+            )
+            is_stale = self.table.get_age_s() > max_age_s
+            if not is_stale and self._get_contact_age_s() <= min_pause_s:
                 continue
             if await self.table.check():
-                pause_s = shortest_s
+                pause_s = min_pause_s
             else:
-                pause_s = min(2 * pause_s, _LONGEST_CHECK_PAUSE_S)
+                pause_s = min(2 * pause_s, _MAX_CHECK_PAUSE_S)
 
-    def _get_turn(self) -> int:
+    def _get_read_rank(self) -> int:
         """Return how many hosts are to read the table before this one."""
-        epoch = int(self._clock.wall() // _TURN_EPOCH_S)
-        own = _hash_turn(self._membership.me.host, epoch)
-        before = sum(
-            _hash_turn(member.host, epoch) < own
+        epoch = int(self._clock.wall() // _READ_ORDER_EPOCH_S)
+        own_hash = _hash_read_order(self._membership.me.host, epoch)
+        rank = sum(
+            _hash_read_order(member.host, epoch) < own_hash
             for member in self._membership.list_live()
         )
-        return min(before, _LAST_TURN)
+        return min(rank, _MAX_READ_RANK)
 
-    def _start_side_task(self, coroutine: Coroutine) -> asyncio.Task:
+    def _start_background_task(self, coroutine: Coroutine) -> asyncio.Task:
         """Start a short task that ends with the host at the latest."""
         task = asyncio.create_task(coroutine)
-        self._side_tasks.add(task)
-        task.add_done_callback(self._side_tasks.discard)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
         return task
 
 
-def _hash_turn(host: state.HostId, epoch: int) -> int:
+def _hash_read_order(host: state.HostId, epoch: int) -> int:
     return xxhash.xxh64_intdigest(host.encode(), epoch)
--- a/rudderrock/coordination/_follow.py
+++ b/rudderrock/coordination/_follow.py
@@ -24,11 +24,11 @@
 TABLE_KEY = 'rudderrock/table'
 LAYOUT_KEY = 'rudderrock/layout'
 
-_FIRST_PAUSE_S = 0.1
-_LONGEST_PAUSE_S = 5.0
+_INITIAL_PAUSE_S = 0.1
+_MAX_PAUSE_S = 5.0
 # A host that finds a value older than the one in force waits up to this long,
 # in seconds, for another to write it again: all of them find it at once.
-RESTORE_WITHIN_S = 2.0
+_MAX_RESTORE_DELAY_S = 2.0
 
 
 class KeyFollower(Generic[T]):
@@ -59,14 +59,14 @@
     ):
         self.revision = state.NO_REVISION
         self.confirmed_at: float | None = None
-        self.heard_at: float | None = None
+        self.last_contact_at: float | None = None
         self.is_up = True
         self._kv = kv
         self._key = key
         self._read = read
         self._get_revision = get_revision
         self._apply = apply
-        self._in_force, self._rejected = kinds
+        self._applied_kind, self._rejected_kind = kinds
         self._watch_s = watch_s
         self._clock = clock
         self._source = source
@@ -74,13 +74,13 @@
         self._reunite = reunite
         self._value: T | None = None
         self._version = protocol.ABSENT
-        self._first_read = asyncio.Event()
+        self._value_available = asyncio.Event()
 
     async def run(self) -> None:
         """Follow the key until cancelled."""
-        pause_s = _FIRST_PAUSE_S
+        pause_s = _INITIAL_PAUSE_S
         while True:
-            sent = self._clock.now()
+            sent_at = self._clock.now()
             # A service that was away may have come back with a lower version,
             # which a watch would not tell of.
             if self._version == protocol.ABSENT or not self.is_up:
@@ -91,16 +91,16 @@
                 )
             match outcome:
                 case result.Ok(entry):
-                    self._note_up()
-                    self._take(entry, sent)
+                    self._record_up()
+                    self._process_entry(entry, sent_at)
                     await self._restore(entry)
-                    pause_s = _FIRST_PAUSE_S
+                    pause_s = _INITIAL_PAUSE_S
                     if entry.version != protocol.ABSENT:
                         continue
                 case result.Err(failure):
-                    self._note_down(failure.detail)
+                    self._record_down(failure.detail)
             await asyncio.sleep(pause_s * self._source.uniform(0.5, 1.0))
-            pause_s = min(pause_s * 2, _LONGEST_PAUSE_S)
+            pause_s = min(pause_s * 2, _MAX_PAUSE_S)
 
     async def check(self) -> bool:
         """Read the key, whatever the watch says; tell whether it answered.
@@ -109,17 +109,17 @@
         revision is the latest; and the watch under way proves only that
         the service could be reached when it was sent.
         """
-        sent = self._clock.now()
+        sent_at = self._clock.now()
         match await self._kv.get(self._key):
             case result.Ok(entry):
-                self._take(entry, sent)
-                self.confirm(self._clock.now() - sent)
+                self._process_entry(entry, sent_at)
+                self.confirm(self._clock.now() - sent_at)
                 return True
         return False
 
     async def wait_until_read(self) -> None:
         """Wait until a value is in force, from wherever it came."""
-        await self._first_read.wait()
+        await self._value_available.wait()
 
     def offer(self, value: T, origin: str) -> bool:
         """Put a checked value in force if it is later than the present."""
@@ -129,17 +129,17 @@
         self.revision = revision
         self._value = value
         self._apply(value)
-        self._first_read.set()
+        self._value_available.set()
         self._ring.record(
-            self._in_force, detail=f'revision {revision} from {origin}'
+            self._applied_kind, detail=f'revision {revision} from {origin}'
         )
         return True
 
     def confirm(self, age_s: float) -> None:
         """Note that the revision in force was the latest so long ago."""
-        at = self._clock.now() - age_s
-        if self.confirmed_at is None or at > self.confirmed_at:
-            self.confirmed_at = at
+        confirmed_at = self._clock.now() - age_s
+        if self.confirmed_at is None or confirmed_at > self.confirmed_at:
+            self.confirmed_at = confirmed_at
 
     def get_age_s(self) -> float:
         """Return how long ago the revision was known to be the latest."""
@@ -147,22 +147,22 @@
             return float('inf')
         return self._clock.now() - self.confirmed_at
 
-    def _take(self, entry: protocol.Entry, sent: float) -> None:
+    def _process_entry(self, entry: protocol.Entry, sent_at: float) -> None:
         """Take in a reply to a call that was sent at loop time `sent`.
 
         It proves nothing later than that: after a pause of this process,
         a reply that comes at once may have waited long.
         """
-        self.heard_at = max(sent, self.heard_at or sent)
+        self.last_contact_at = max(sent_at, self.last_contact_at or sent_at)
         if entry.version == self._version or entry.value is None:
             return
         self._version = entry.version
         match self._read(entry.value):
             case result.Err(reason):
-                self._ring.record(self._rejected, detail=reason)
+                self._ring.record(self._rejected_kind, detail=reason)
             case result.Ok(value):
                 self.offer(value, 'key-value service')
-                self.confirm(self._clock.now() - sent)
+                self.confirm(self._clock.now() - sent_at)
 
     async def _restore(self, entry: protocol.Entry) -> None:
         """Write the value in force again where the service has lost it.
@@ -170,25 +170,25 @@
         Only where the service still holds what was found, so of several
         hosts one does it, and no edit made meanwhile is lost.
         """
-        wanted = self._find_lost(entry)
-        if wanted is None:
+        lost_value = self._find_lost_value(entry)
+        if lost_value is None:
             return
-        wait_s = RESTORE_WITHIN_S * self._source.random()
-        watched = await self._kv.watch(self._key, entry.version, wait_s)
+        delay_s = _MAX_RESTORE_DELAY_S * self._source.random()
+        watched = await self._kv.watch(self._key, entry.version, delay_s)
         if watched.is_err() or watched.unwrap().version != entry.version:
             return
         request = protocol.SwapRequest(
             key=self._key,
-            value=protocol.encode(wanted),
+            value=protocol.encode(lost_value),
             expected=entry.version,
         )
         if (await self._kv.swap(request)).is_ok():
             self._ring.record(
                 state.EventKind.TABLE_RESTORED,
-                detail=f'revision {self._get_revision(wanted)}',
+                detail=f'revision {self._get_revision(lost_value)}',
             )
 
-    def _find_lost(self, entry: protocol.Entry) -> T | None:
+    def _find_lost_value(self, entry: protocol.Entry) -> T | None:
         """Return what must be written again, if anything."""
         if entry.value is None or self._value is None:
             return None
@@ -197,12 +197,12 @@
                 return self._reunite(self._value, found)
         return None
 
-    def _note_up(self) -> None:
+    def _record_up(self) -> None:
         if not self.is_up:
             self.is_up = True
             self._ring.record(state.EventKind.KV_UP, detail=self._key)
 
-    def _note_down(self, detail: str) -> None:
+    def _record_down(self, detail: str) -> None:
         if self.is_up:
             self.is_up = False
             self._ring.record(
--- a/rudderrock/coordination/_host.py
+++ b/rudderrock/coordination/_host.py
@@ -21,7 +21,7 @@
 from rudderrock.coordination import _shares as shares
 from rudderrock.coordination import _ticket as tickets
 
-_DRAIN_POLL_S = 0.02
+_DRAIN_POLL_PERIOD_S = 0.02
 _NOT_READY_RETRY_S = 1.0
 
 
@@ -58,7 +58,7 @@
         self._clock = clock
         self._source = source
         self._book = book
-        self._hurry = asyncio.Event()
+        self._skip_waits = asyncio.Event()
         self._active: set[asyncio.Task] = set()
 
     # Life
@@ -72,14 +72,14 @@
             stack.push_async_callback(self.command_runner.close)
             stack.push_async_callback(self.lease.close)
             stack.push_async_callback(self.config.close)
-            group = await stack.enter_async_context(_task_group())
+            group = await stack.enter_async_context(_run_background_tasks())
             group.create_task(self.config.table.run())
             group.create_task(self.config.layout.run())
             group.create_task(self.membership.run())
             group.create_task(self.lease.run())
-            group.create_task(self._clean_claims())
-            group.create_task(self.config.keep_in_touch())
-            group.create_task(self._state_demand())
+            group.create_task(self._delete_expired_claims())
+            group.create_task(self.config.confirm_periodically())
+            group.create_task(self._update_demand())
             group.create_task(self._serve_when_ready())
             await self.lifecycle.wait_until_stopped()
 
@@ -96,23 +96,23 @@
         ):
             self.lifecycle.leave()
             self.membership.announce_leaving()
-            await self.membership.spread(configs.SPREAD_FANOUT)
+            await self.membership.push_updates(configs.PUSH_FANOUT)
             lag_s = self.settings.drain.balancer_lag_s
-            await core.wait_for_event(self._hurry, lag_s)
+            await core.wait_for_event(self._skip_waits, lag_s)
             self.lifecycle.drain()
-            end = self._clock.now() + self.settings.drain.bound_s
-            while self._active and self._clock.now() < end:
-                if self._hurry.is_set():
+            drain_until = self._clock.now() + self.settings.drain.bound_s
+            while self._active and self._clock.now() < drain_until:
+                if self._skip_waits.is_set():
                     break
-                await asyncio.sleep(_DRAIN_POLL_S)
-            await self._cut()
+                await asyncio.sleep(_DRAIN_POLL_PERIOD_S)
+            await self._cancel_active()
             self.lifecycle.stop()
 
     def hurry(self) -> None:
         """Stop without waiting; what is in flight is cut, truthfully."""
-        self._hurry.set()
+        self._skip_waits.set()
 
-    async def _cut(self) -> None:
+    async def _cancel_active(self) -> None:
         for task in list(self._active):
             task.cancel()
         if self._active:
@@ -123,7 +123,7 @@
         if self.lifecycle.state is lifecycle.HostState.STARTING:
             self.lifecycle.serve()
 
-    async def _clean_claims(self) -> None:
+    async def _delete_expired_claims(self) -> None:
         """Delete old claims, this host's part of them, now and then."""
         while True:
             await asyncio.sleep(self.settings.claims.clean_period_s)
@@ -139,9 +139,9 @@
         self._book.set_hosts(sharing)
         self.dispatcher.set_host_count(len(sharing))
 
-    async def _state_demand(self) -> None:
+    async def _update_demand(self) -> None:
         while True:
-            self._book.state_demand()
+            self._book.update_demand()
             await asyncio.sleep(self.settings.membership.period_s)
 
     # Requests
@@ -150,11 +150,15 @@
         self, token: str | None
     ) -> result.Result[state.TeamRow, protocol.Refused]:
         """Return the row of the team that a token belongs to."""
-        claimed = state.split_token(token or '')
-        row = self.config.rows.get(claimed.ok()) if claimed.is_ok() else None
-        known = row.token_hashes if row else ()
+        claimed_team = state.split_token(token or '')
+        row = (
+            self.config.rows.get(claimed_team.ok())
+            if claimed_team.is_ok()
+            else None
+        )
+        hashes = row.token_hashes if row else ()
         # Checked for unknown teams too: their absence takes no less time.
-        if state.check_token(token or '', known or ('none$none',)) and row:
+        if state.check_token(token or '', hashes or ('none$none',)) and row:
             return result.Ok(row)
         return result.Err(
             protocol.Refused(
@@ -165,7 +169,7 @@
 
     def check_serving(self) -> protocol.Refused | None:
         """Return why no work is taken now, or None."""
-        if not self.lifecycle.takes_work:
+        if not self.lifecycle.accepts_requests:
             starting = self.lifecycle.state is lifecycle.HostState.STARTING
             reasons = protocol.RefusalReason
             return protocol.Refused(
@@ -187,10 +191,10 @@
     ) -> protocol.Outcome:
         """Answer a team's query, or refuse it before any of it runs."""
         query_id = self._make_query_id()
-        began = self._clock.now()
-        with self._track():
+        started_at = self._clock.now()
+        with self._track_task():
             outcome = await self._query(row, query, query_id)
-        self._note_outcome(row, query_id, outcome, began)
+        self._record_outcome(row, query_id, outcome, started_at)
         return outcome
 
     async def command(
@@ -198,10 +202,10 @@
     ) -> protocol.Outcome:
         """Run a team's non-idempotent request at most once."""
         query_id = self._make_query_id()
-        began = self._clock.now()
-        with self._track():
+        started_at = self._clock.now()
+        with self._track_task():
             outcome = await self._command(row, command, key, query_id)
-        self._note_outcome(row, query_id, outcome, began)
+        self._record_outcome(row, query_id, outcome, started_at)
         return outcome
 
     async def _query(
@@ -292,7 +296,7 @@
         return state.QueryId(f'{self.settings.host.id}-{number:016x}')
 
     @contextlib.contextmanager
-    def _track(self):
+    def _track_task(self):
         """Let a planned stop wait for the request that this task serves."""
         task = asyncio.current_task()
         self._active.add(task)
@@ -301,15 +305,17 @@
         finally:
             self._active.discard(task)
 
-    def _note_outcome(
+    def _record_outcome(
         self,
         row: state.TeamRow,
         query_id: state.QueryId,
         outcome: protocol.Outcome,
-        began: float,
+        started_at: float,
     ) -> None:
         team = state.TeamId(row.team)
-        self.metrics.note(team, outcome, self._clock.now() - began)
+        self.metrics.record_outcome(
+            team, outcome, self._clock.now() - started_at
+        )
         kind, detail = describe_outcome(outcome)
         self.ring.record(kind, team=team, query=query_id, detail=detail)
 
@@ -334,16 +340,16 @@
 
 
 @contextlib.asynccontextmanager
-async def _task_group():
+async def _run_background_tasks():
     """Run tasks beside the body and cancel them when the body ends."""
     async with asyncio.TaskGroup() as group:
         tasks: list[asyncio.Task] = []
-        yield _Group(group, tasks)
+        yield _BackgroundTasks(group, tasks)
         for task in tasks:
             task.cancel()
 
 
-class _Group:
+class _BackgroundTasks:
     """Creates tasks of a group and remembers them."""
 
     def __init__(self, group: asyncio.TaskGroup, tasks: list[asyncio.Task]):
--- a/rudderrock/coordination/_leases.py
+++ b/rudderrock/coordination/_leases.py
@@ -18,7 +18,7 @@
 
 HOST_PREFIX = 'rudderrock/hosts/'
 
-_RENEWALS_A_LEASE = 3
+_RENEWALS_PER_LEASE = 3
 _RETRY_PAUSE_S = 1.0
 
 
@@ -66,7 +66,7 @@
         """Get the lease and renew it until cancelled."""
         while True:
             if self._lease is not None and not self.is_held:
-                self._note_lapsed('not renewed in time')
+                self._record_lapse('not renewed in time')
             if self._lease is None:
                 await self._acquire()
             else:
@@ -90,19 +90,21 @@
         if self._lease is None:
             return _RETRY_PAUSE_S * self._source.uniform(0.5, 1.0)
         jitter = self._source.uniform(0.8, 1.0)
-        return self._ttl_s / _RENEWALS_A_LEASE * jitter
+        return self._ttl_s / _RENEWALS_PER_LEASE * jitter
 
     async def _acquire(self) -> None:
-        fleet_s = self._count_hosts() / self._settings.lease_calls_per_s
-        self._ttl_s = max(self._settings.lease_s, fleet_s * _RENEWALS_A_LEASE)
-        sent = self._clock.now()
+        min_interval_s = self._count_hosts() / self._settings.lease_calls_per_s
+        self._ttl_s = max(
+            self._settings.lease_s, min_interval_s * _RENEWALS_PER_LEASE
+        )
+        sent_at = self._clock.now()
         granted = await self._kv.grant(self._ttl_s)
         if granted.is_err():
             return
         lease = granted.unwrap()
         if await self._put_key(lease):
             self._lease = lease
-            self._held_until = sent + self._ttl_s
+            self._held_until = sent_at + self._ttl_s
 
     async def _put_key(self, lease: str) -> bool:
         """Hang this host's key on the lease, over what an earlier life left.
@@ -123,13 +125,13 @@
         return (await self._kv.swap(request)).is_ok()
 
     async def _renew(self) -> None:
-        sent = self._clock.now()
+        sent_at = self._clock.now()
         match await self._kv.renew(self._lease):
             case result.Ok(_):
-                self._held_until = sent + self._ttl_s
+                self._held_until = sent_at + self._ttl_s
             case result.Err(transport.LeaseGone()):
-                self._note_lapsed('the service had dropped it')
+                self._record_lapse('the service had dropped it')
 
-    def _note_lapsed(self, detail: str) -> None:
+    def _record_lapse(self, detail: str) -> None:
         self._lease = None
         self._ring.record(state.EventKind.LEASE_LAPSED, detail=detail)
--- a/rudderrock/coordination/_lifecycle.py
+++ b/rudderrock/coordination/_lifecycle.py
@@ -34,7 +34,7 @@
     ['stop', HostState.DRAINING, HostState.STOPPED],
 ]
 
-_TAKES_WORK = frozenset({HostState.SERVING, HostState.LEAVING})
+_ACCEPTING_STATES = frozenset({HostState.SERVING, HostState.LEAVING})
 
 
 class Lifecycle:
@@ -59,9 +59,9 @@
             self._stopped.set()
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Tell whether new requests are taken."""
-        return self.state in _TAKES_WORK
+        return self.state in _ACCEPTING_STATES
 
     @property
     def is_ready(self) -> bool:
--- a/rudderrock/coordination/_link.py
+++ b/rudderrock/coordination/_link.py
@@ -20,9 +20,9 @@
 from rudderrock.coordination import _attempt as attempts
 from rudderrock.coordination import _health as health
 
-_FIRST_RECONNECT_S = 0.02
+_INITIAL_RECONNECT_PAUSE_S = 0.02
 # How often idle lanes are looked at, in seconds.
-_TEND_PERIOD_S = 2.0
+_IDLE_CHECK_PERIOD_S = 2.0
 
 
 class UpstreamState(enum.Enum):
@@ -44,7 +44,7 @@
     connection: transport.UpstreamConnection
 
 
-_NO_NEW_WORK = frozenset({UpstreamState.LEAVING, UpstreamState.CLOSED})
+_REFUSING_STATES = frozenset({UpstreamState.LEAVING, UpstreamState.CLOSED})
 
 
 class UpstreamLink:
@@ -76,20 +76,20 @@
         self._ring = ring
         self._on_free = on_free
         self._idle: list[_IdleLane] = []
-        self._tending: asyncio.Task | None = None
+        self._idle_check_task: asyncio.Task | None = None
         self._lanes: list[asyncio.Task[None]] = []
-        self._retiring = 0
-        self._left_by_layout = False
+        self._lanes_to_retire = 0
+        self._leaving_in_layout = False
 
     def set_lanes(self, count: int) -> None:
         """Grow or shrink to a number of lanes; busy lanes end their work."""
-        while len(self._lanes) - self._retiring < count:
+        while len(self._lanes) - self._lanes_to_retire < count:
             lane = asyncio.create_task(self._run_lane())
             self._lanes.append(lane)
-            lane.add_done_callback(self._forget_lane)
-        surplus = len(self._lanes) - self._retiring - count
+            lane.add_done_callback(self._on_lane_done)
+        surplus = len(self._lanes) - self._lanes_to_retire - count
         for _ in range(surplus):
-            self._retiring += 1
+            self._lanes_to_retire += 1
             if self._idle:
                 self._idle.pop().slot.set_result(None)
         limit = max(self.health.limit, health.MIN_LIMIT)
@@ -99,14 +99,14 @@
         """Open the first lanes, with room to use them all."""
         self.health.limit = float(lanes)
         self.set_lanes(lanes)
-        self._tending = asyncio.create_task(self._tend())
+        self._idle_check_task = asyncio.create_task(self._check_idle_lanes())
 
     async def close(self) -> None:
         """End all lanes now."""
         self.state = UpstreamState.CLOSED
         tasks = list(self._lanes)
-        if self._tending is not None:
-            tasks.append(self._tending)
+        if self._idle_check_task is not None:
+            tasks.append(self._idle_check_task)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -126,7 +126,7 @@
     @property
     def takes_new_work(self) -> bool:
         """Tell whether new work may be sent at all."""
-        return self.state not in _NO_NEW_WORK
+        return self.state not in _REFUSING_STATES
 
     @property
     def is_reachable(self) -> bool:
@@ -150,9 +150,9 @@
         """Take note of whether the layout says that it leaves."""
         if leaving:
             self._set_state(UpstreamState.LEAVING, 'layout')
-        elif self._left_by_layout and self.state is UpstreamState.LEAVING:
+        elif self._leaving_in_layout and self.state is UpstreamState.LEAVING:
             self._set_state(UpstreamState.UP, 'back in the layout')
-        self._left_by_layout = leaving
+        self._leaving_in_layout = leaving
 
     def _set_state(self, new: UpstreamState, detail: str) -> None:
         if new is self.state or self.state is UpstreamState.CLOSED:
@@ -170,43 +170,45 @@
         while not retired:
             connection = await self._connect()
             try:
-                retired = await self._carry(connection)
+                retired = await self._run_exchanges(connection)
             finally:
                 await connection.close()
 
     async def _connect(self) -> transport.UpstreamConnection:
         """Try until there is a connection, ever less often."""
-        pause_s = _FIRST_RECONNECT_S
+        pause_s = _INITIAL_RECONNECT_PAUSE_S
         while True:
             connected = await self._port.connect(self.upstream)
             match connected:
                 case result.Ok(connection):
-                    self._note_connected()
+                    self._record_connected()
                     return connection
                 case result.Err(failed):
-                    self._note_unreachable(failed.detail)
+                    self._record_unreachable(failed.detail)
             await asyncio.sleep(pause_s * self._source.uniform(0.5, 1.0))
             pause_s = min(pause_s * 2, self._settings.reconnect_max_s)
 
-    async def _carry(self, connection: transport.UpstreamConnection) -> bool:
+    async def _run_exchanges(
+        self, connection: transport.UpstreamConnection
+    ) -> bool:
         """Carry exchanges until one does not run to its end.
 
         Returns whether the lane is to retire instead of connecting again.
         """
         while connection.is_usable:
-            if self._retiring > 0:
-                self._retiring -= 1
+            if self._lanes_to_retire > 0:
+                self._lanes_to_retire -= 1
                 return True
-            attempt = await self._take_attempt(connection)
+            attempt = await self._wait_for_attempt(connection)
             if attempt is None:
                 continue
             if not connection.is_usable:
-                await self._hand_back(attempt)
+                await self._run_on_new_connection(attempt)
             elif not await self._exchange(connection, attempt):
                 return False
         return False
 
-    async def _take_attempt(
+    async def _wait_for_attempt(
         self, connection: transport.UpstreamConnection
     ) -> attempts.Attempt | None:
         """Wait for work; None when woken to look at lane and connection."""
@@ -220,7 +222,7 @@
             if idle in self._idle:
                 self._idle.remove(idle)
 
-    async def _hand_back(self, attempt: attempts.Attempt) -> None:
+    async def _run_on_new_connection(self, attempt: attempts.Attempt) -> None:
         """Run an attempt over a new connection: this one was closed on us.
 
         Nothing of the attempt has been sent, so this is safe for any.
@@ -236,10 +238,10 @@
                 self.in_flight -= 1
                 attempt.deliver(protocol.ShardLost(False, failed.detail))
 
-    async def _tend(self) -> None:
+    async def _check_idle_lanes(self) -> None:
         """Let idle lanes renew connections that were closed on them."""
         while True:
-            await asyncio.sleep(_TEND_PERIOD_S)
+            await asyncio.sleep(_IDLE_CHECK_PERIOD_S)
             for idle in list(self._idle):
                 if not idle.connection.is_usable:
                     self._idle.remove(idle)
@@ -262,57 +264,61 @@
         finally:
             attempt.abort = None
             self.in_flight -= 1
-            self._note_reply(attempt, reply)
+            self._record_reply(attempt, reply)
             attempt.deliver(reply)
         return not isinstance(
             reply, protocol.ShardLost | protocol.ShardTimeout
         )
 
-    def _forget_lane(self, lane: asyncio.Task[None]) -> None:
+    def _on_lane_done(self, lane: asyncio.Task[None]) -> None:
         self._lanes.remove(lane)
         if not lane.cancelled() and lane.exception() is not None:
             raise lane.exception()
 
-    def _note_connected(self) -> None:
+    def _record_connected(self) -> None:
         if self.state is UpstreamState.DOWN:
-            self.health.note_cold()
+            self.health.mark_cold()
         if self.state in (UpstreamState.DOWN, UpstreamState.CONNECTING):
             self._set_state(UpstreamState.UP, 'connected')
 
-    def _note_unreachable(self, detail: str) -> None:
+    def _record_unreachable(self, detail: str) -> None:
         """Take note that no connection can be made.
 
         One that said it leaves has then left; when it is back, it has
         started anew and is given work again.
         """
-        if self.in_flight == 0 and not self._idle and not self._left_by_layout:
+        if (
+            self.in_flight == 0
+            and not self._idle
+            and not self._leaving_in_layout
+        ):
             self._set_state(UpstreamState.DOWN, detail)
 
-    def _note_reply(
+    def _record_reply(
         self, attempt: attempts.Attempt, reply: protocol.ShardReply
     ) -> None:
         elapsed = self._clock.now() - attempt.sent_at
         match reply:
             case protocol.ShardAnswer():
-                self._note_success(elapsed, reply.load)
+                self._record_success(elapsed, reply.load)
             case protocol.ShardRejected(kind=protocol.RejectionKind.SHED):
-                self.health.note_shed(reply.retry_after_s)
+                self.health.record_shed(reply.retry_after_s)
             case protocol.ShardRejected(kind=protocol.RejectionKind.LEAVING):
                 self._set_state(UpstreamState.LEAVING, 'said so itself')
             case protocol.ShardRejected(kind=protocol.RejectionKind.VERSION):
                 request = attempt.request
-                self.health.note_missing(
+                self.health.record_missing_version(
                     request.shard, request.version, reply.versions
                 )
             case protocol.ShardRejected():
                 pass
             case protocol.ShardTimeout():
-                self._note_ejected(self.health.note_timeout(elapsed))
+                self._record_ejection(self.health.record_timeout(elapsed))
             case protocol.ShardLost():
-                self._note_ejected(self.health.note_failure())
+                self._record_ejection(self.health.record_failure())
 
-    def _note_success(self, elapsed: float, load: protocol.Load) -> None:
-        self.health.note_success(
+    def _record_success(self, elapsed: float, load: protocol.Load) -> None:
+        self.health.record_success(
             elapsed, load, self.in_flight, len(self._lanes)
         )
         if self.state is UpstreamState.EJECTED:
@@ -320,7 +326,7 @@
         if load.leaving:
             self._set_state(UpstreamState.LEAVING, 'reported by its load')
 
-    def _note_ejected(self, out_s: float | None) -> None:
-        if out_s is not None and self.state is UpstreamState.UP:
-            detail = f'for {out_s:.1f} s after repeated failures'
+    def _record_ejection(self, ejection_s: float | None) -> None:
+        if ejection_s is not None and self.state is UpstreamState.UP:
+            detail = f'for {ejection_s:.1f} s after repeated failures'
             self._set_state(UpstreamState.EJECTED, detail)
--- a/rudderrock/coordination/_members.py
+++ b/rudderrock/coordination/_members.py
@@ -23,11 +23,11 @@
 from rudderrock.coordination import _shares as shares
 
 # Each piece of news is sent this many times log2 of the fleet's size.
-_NEWS_REPEAT = 3
-_MILLIS = 1000
-_LIST_PERIODS = 10
-_OWN_TRIES = 2
-_LONGEST_AGE_S = 1e9
+_UPDATE_REPEATS = 3
+_MS_PER_S = 1000
+_PERIODS_PER_HOST_LIST = 10
+_DIRECT_PROBES = 2
+_MAX_TABLE_AGE_S = 1e9
 
 LeaseCheck = Callable[
     [state.HostId], Awaitable[result.Result[bool, transport.KvUnavailable]]
@@ -77,7 +77,7 @@
         ring: state.EventRing,
     ):
         self.me = me
-        self.heard_at: float | None = None
+        self.last_contact_at: float | None = None
         self._peers = peers
         self._host_list = host_list
         self._settings = settings
@@ -91,11 +91,11 @@
         self._source = source
         self._ring = ring
         self._members: dict[state.HostId, protocol.Member] = {}
-        self._changed_at: dict[state.HostId, float] = {}
-        self._news: dict[state.HostId, int] = {}
-        self._round: list[state.HostId] = []
-        self._listed: set[state.HostId] = set()
-        self._list_read = False
+        self._updated_at: dict[state.HostId, float] = {}
+        self._pending_updates: dict[state.HostId, int] = {}
+        self._probe_order: list[state.HostId] = []
+        self._listed_hosts: set[state.HostId] = set()
+        self._host_list_read = False
 
     def list_live(self) -> list[protocol.Member]:
         """Return the peers that are not known to have failed."""
@@ -119,25 +119,25 @@
         return {self.me.host, *self._members}
 
     @property
-    def is_alone(self) -> bool:
+    def is_only_host(self) -> bool:
         """Tell whether there is no other host, by all that is known."""
-        return self._list_read and not self._members
+        return self._host_list_read and not self._members
 
     async def run(self) -> None:
         """Probe one peer a period until cancelled."""
         periods = 0
         while True:
-            if periods % _LIST_PERIODS == 0:
+            if periods % _PERIODS_PER_HOST_LIST == 0:
                 await self._read_host_list()
             periods += 1
-            await self._age_members()
+            await self._expire_members()
             target = self._pick_target()
             if target is not None:
                 await self._probe(target)
             pause_s = self._settings.period_s * self._source.uniform(0.8, 1.2)
             await asyncio.sleep(pause_s)
 
-    async def spread(self, fanout: int) -> None:
+    async def push_updates(self, fanout: int) -> None:
         """Send what is new to some peers at once, without their asking."""
         live = self.list_live()
         chosen = self._source.sample(live, min(fanout, len(live)))
@@ -145,7 +145,7 @@
 
     async def answer_probe(self, probe: protocol.Probe) -> protocol.ProbeReply:
         """Answer a peer, or probe a third host on its behalf."""
-        self.hear(probe.digest)
+        self.merge_digest(probe.digest)
         reached = True
         if probe.target is not None and probe.target.host != self.me.host:
             reached = await self._send_probe(probe.target)
@@ -158,26 +158,28 @@
             sender=self.me,
             stamp=self._hybrid.tick(),
             table_revision=config.table_revision,
-            table_age_s=min(config.table_age_s, _LONGEST_AGE_S),
+            table_age_s=min(config.table_age_s, _MAX_TABLE_AGE_S),
             layout_revision=config.layout_revision,
-            news=self._pick_news(),
+            news=self._pick_updates(),
             demands=self._book.pick_demands(self._source),
         )
 
-    def hear(self, digest: protocol.Digest, at: float | None = None) -> None:
+    def merge_digest(
+        self, digest: protocol.Digest, at: float | None = None
+    ) -> None:
         """Take in a peer's digest.
 
         `at` is the loop time since which it is known to be true, for a
         reply the time its probe was sent.
         """
         if at is not None:
-            self.heard_at = max(at, self.heard_at or at)
+            self.last_contact_at = max(at, self.last_contact_at or at)
         self._hybrid.hear(digest.stamp)
         for demand in digest.demands:
             self._book.hear(demand)
-        self._note(digest.sender)
+        self._merge_member(digest.sender)
         for member in digest.news:
-            self._note(member)
+            self._merge_member(member)
         self._on_digest(digest)
 
     def announce_leaving(self) -> None:
@@ -192,15 +194,15 @@
             incarnation=self.me.incarnation + 1,
             state=new,
         )
-        self._news[self.me.host] = self._get_news_count()
+        self._pending_updates[self.me.host] = self._get_send_count()
 
-    def _note(self, member: protocol.Member) -> None:
+    def _merge_member(self, member: protocol.Member) -> None:
         """Take in one statement about one member, if it is news."""
         if member.host == self.me.host:
             self._refute(member)
             return
         known = self._members.get(member.host)
-        if known is not None and not _is_later(member, known):
+        if known is not None and not _overrides(member, known):
             return
         if known is None and member.state is protocol.MemberState.FAILED:
             return
@@ -208,8 +210,8 @@
 
     def _refute(self, member: protocol.Member) -> None:
         """Contradict a statement that this host is suspect or failed."""
-        wrong = member.state is not self.me.state
-        if wrong and member.incarnation >= self.me.incarnation:
+        differs = member.state is not self.me.state
+        if differs and member.incarnation >= self.me.incarnation:
             self.me = protocol.Member(
                 host=self.me.host,
                 zone=self.me.zone,
@@ -217,13 +219,13 @@
                 incarnation=member.incarnation + 1,
                 state=self.me.state,
             )
-            self._news[self.me.host] = self._get_news_count()
+            self._pending_updates[self.me.host] = self._get_send_count()
 
     def _set_member(self, member: protocol.Member) -> None:
         known = self._members.get(member.host)
         self._members[member.host] = member
-        self._changed_at[member.host] = self._clock.now()
-        self._news[member.host] = self._get_news_count()
+        self._updated_at[member.host] = self._clock.now()
+        self._pending_updates[member.host] = self._get_send_count()
         if known is None or known.state is not member.state:
             self._ring.record(
                 state.EventKind.PEER_STATE,
@@ -232,10 +234,10 @@
         if known is None:
             self._on_change()
 
-    def _forget(self, host: state.HostId) -> None:
+    def _remove_member(self, host: state.HostId) -> None:
         del self._members[host]
-        self._changed_at.pop(host, None)
-        self._news.pop(host, None)
+        self._updated_at.pop(host, None)
+        self._pending_updates.pop(host, None)
         self._ring.record(
             state.EventKind.PEER_STATE, detail=f'{host} forgotten'
         )
@@ -254,51 +256,51 @@
             )
         )
 
-    async def _age_members(self) -> None:
+    async def _expire_members(self) -> None:
         """Let suspects fail, and forget those that are gone for long."""
         for member in list(self._members.values()):
-            since_s = self._clock.now() - self._changed_at[member.host]
+            in_state_s = self._clock.now() - self._updated_at[member.host]
             match member.state:
                 case protocol.MemberState.SUSPECT:
-                    if since_s >= self._settings.suspect_s:
+                    if in_state_s >= self._settings.suspect_s:
                         self._change_state(member, protocol.MemberState.FAILED)
                 case protocol.MemberState.FAILED:
-                    if since_s >= self._settings.forget_s:
-                        await self._forget_if_gone(member)
+                    if in_state_s >= self._settings.forget_s:
+                        await self._remove_if_gone(member)
 
-    async def _forget_if_gone(self, member: protocol.Member) -> None:
+    async def _remove_if_gone(self, member: protocol.Member) -> None:
         """Forget a host that is silent, unlisted and without a lease.
 
         Until all three agree it may be serving where we cannot see it, and
         goes on holding its part of limits and connections.
         """
-        if not self._list_read or member.host in self._listed:
+        if not self._host_list_read or member.host in self._listed_hosts:
             return
         match await self._has_lease(member.host):
             case result.Ok(False):
                 if self._members.get(member.host) is member:
-                    self._forget(member.host)
+                    self._remove_member(member.host)
 
     def _pick_target(self) -> protocol.Member | None:
         """Return the next peer of a shuffled round over all of them."""
-        while self._round:
-            member = self._members.get(self._round.pop())
+        while self._probe_order:
+            member = self._members.get(self._probe_order.pop())
             if member is not None:
                 return member
-        self._round = list(self._members)
-        self._source.shuffle(self._round)
-        if not self._round:
+        self._probe_order = list(self._members)
+        self._source.shuffle(self._probe_order)
+        if not self._probe_order:
             return None
-        return self._members[self._round.pop()]
+        return self._members[self._probe_order.pop()]
 
     async def _probe(self, target: protocol.Member) -> None:
         """Probe a peer, with the help of others if it is silent."""
         # Twice by ourselves: one lost message is far likelier than a lost
         # host, and asking others costs them four messages each.
-        for _ in range(_OWN_TRIES):
+        for _ in range(_DIRECT_PROBES):
             if await self._send_probe(target):
                 return
-        if await self._ask_others(target):
+        if await self._probe_indirectly(target):
             return
         known = self._members.get(target.host)
         if known is None:
@@ -308,7 +310,7 @@
         elif known.state is protocol.MemberState.LEAVING:
             self._change_state(known, protocol.MemberState.FAILED)
 
-    async def _ask_others(self, target: protocol.Member) -> bool:
+    async def _probe_indirectly(self, target: protocol.Member) -> bool:
         others = [
             each for each in self.list_live() if each.host != target.host
         ]
@@ -329,11 +331,11 @@
         if target is not None:
             timeout_s *= 2
         probe = protocol.Probe(digest=self.make_digest(), target=target)
-        sent = self._clock.now()
+        sent_at = self._clock.now()
         reply = await self._peers.probe(address.control, probe, timeout_s)
         match reply:
             case result.Ok(answer):
-                self.hear(answer.digest, sent)
+                self.merge_digest(answer.digest, sent_at)
                 return answer.reached
         return False
 
@@ -343,13 +345,13 @@
         listed = await self._host_list.list_hosts()
         if listed.is_err():
             return
-        self._list_read = True
-        self._listed = {each.host for each in listed.unwrap()}
+        self._host_list_read = True
+        self._listed_hosts = {each.host for each in listed.unwrap()}
         for each in listed.unwrap():
             if each.host in self._members or each.host == self.me.host:
                 continue
             if not each.leaving:
-                self._note(
+                self._merge_member(
                     protocol.Member(
                         host=each.host,
                         zone=each.zone,
@@ -359,35 +361,37 @@
                     )
                 )
 
-    def _get_news_count(self) -> int:
-        return _NEWS_REPEAT * max(1, len(self._members).bit_length())
+    def _get_send_count(self) -> int:
+        return _UPDATE_REPEATS * max(1, len(self._members).bit_length())
 
-    def _pick_news(self) -> list[protocol.Member]:
+    def _pick_updates(self) -> list[protocol.Member]:
         """Return the news sent least often, then any other members."""
-        fresh = sorted(self._news.items(), key=lambda each: -each[1])
+        pending = sorted(
+            self._pending_updates.items(), key=lambda each: -each[1]
+        )
         chosen: dict[state.HostId, protocol.Member] = {}
-        for host, left in fresh[: protocol.MAX_NEWS]:
+        for host, sends_left in pending[: protocol.MAX_NEWS]:
             member = self._members.get(host)
             if member is not None:
                 chosen[host] = member
-            if left <= 1:
-                del self._news[host]
+            if sends_left <= 1:
+                del self._pending_updates[host]
             else:
-                self._news[host] = left - 1
-        room = protocol.MAX_NEWS - len(chosen)
+                self._pending_updates[host] = sends_left - 1
+        remaining = protocol.MAX_NEWS - len(chosen)
         rest = [host for host in self._members if host not in chosen]
-        for host in self._source.sample(rest, min(room, len(rest))):
+        for host in self._source.sample(rest, min(remaining, len(rest))):
             chosen[host] = self._members[host]
         return list(chosen.values())
 
 
 def make_incarnation(clock: state.Clock) -> int:
     """Return a first incarnation later than any of an earlier process."""
-    return round(clock.wall() * _MILLIS)
+    return round(clock.wall() * _MS_PER_S)
 
 
-def _is_later(news: protocol.Member, known: protocol.Member) -> bool:
+def _overrides(update: protocol.Member, known: protocol.Member) -> bool:
     """Tell whether a statement overrides what is known of a member."""
-    if news.incarnation != known.incarnation:
-        return news.incarnation > known.incarnation
-    return _SEVERITY[news.state] > _SEVERITY[known.state]
+    if update.incarnation != known.incarnation:
+        return update.incarnation > known.incarnation
+    return _SEVERITY[update.state] > _SEVERITY[known.state]
--- a/rudderrock/coordination/_metrics.py
+++ b/rudderrock/coordination/_metrics.py
@@ -8,8 +8,8 @@
 from rudderrock import protocol
 from rudderrock import state
 
-_MICROS = 1_000_000
-_HIGHEST = 120 * _MICROS
+_US_PER_S = 1_000_000
+_MAX_LATENCY_US = 120 * _US_PER_S
 _PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
@@ -23,7 +23,7 @@
     shards: int = 0
     shards_answered: int = 0
     latency: histogram.HdrHistogram = dataclasses.field(
-        default_factory=lambda: histogram.HdrHistogram(1, _HIGHEST, 2)
+        default_factory=lambda: histogram.HdrHistogram(1, _MAX_LATENCY_US, 2)
     )
 
 
@@ -43,18 +43,20 @@
         self._clock = clock
         self._teams: dict[state.TeamId, TeamMetrics] = {}
 
-    def note(
-        self, team: state.TeamId, outcome: protocol.Outcome, seconds: float
+    def record_outcome(
+        self, team: state.TeamId, outcome: protocol.Outcome, latency_s: float
     ) -> None:
         """Count one outcome and the time it took."""
         metrics = self._teams.setdefault(team, TeamMetrics())
-        metrics.outcomes[_name_outcome(outcome)] += 1
+        metrics.outcomes[_get_outcome_label(outcome)] += 1
         match outcome:
             case protocol.Answered(coverage=coverage):
                 metrics.shards += coverage.shards
                 metrics.shards_answered += coverage.answered
-                micros = min(max(1, round(seconds * _MICROS)), _HIGHEST)
-                metrics.latency.record_value(micros)
+                latency_us = min(
+                    max(1, round(latency_s * _US_PER_S)), _MAX_LATENCY_US
+                )
+                metrics.latency.record_value(latency_us)
 
     def list_samples(self) -> list[Sample]:
         """Return all figures by team."""
@@ -64,7 +66,7 @@
         return samples
 
 
-def _name_outcome(outcome: protocol.Outcome) -> str:
+def _get_outcome_label(outcome: protocol.Outcome) -> str:
     match outcome:
         case protocol.Answered():
             return 'answered'
@@ -99,11 +101,11 @@
         ),
     ]
     if metrics.latency.get_total_count():
-        read = metrics.latency.get_value_at_percentile
+        get_percentile = metrics.latency.get_value_at_percentile
         samples += [
             Sample(
                 name='rudderrock_latency_seconds',
-                value=read(percentile) / _MICROS,
+                value=get_percentile(percentile) / _US_PER_S,
                 labels={**label, 'quantile': f'{percentile / 100:g}'},
             )
             for percentile in _PERCENTILES
@@ -114,17 +116,17 @@
 def format_prometheus(samples: list[Sample]) -> str:
     """Return samples in the Prometheus text exposition format 0.0.4."""
     lines = []
-    named = ''
+    current_name = ''
     for sample in sorted(samples, key=lambda each: each.name):
-        if sample.name != named:
-            named = sample.name
-            kind = 'counter' if named.endswith('_total') else 'gauge'
-            lines.append(f'# TYPE {named} {kind}')
+        if sample.name != current_name:
+            current_name = sample.name
+            kind = 'counter' if current_name.endswith('_total') else 'gauge'
+            lines.append(f'# TYPE {current_name} {kind}')
         labels = ','.join(
             f'{key}="{_escape(value)}"'
             for key, value in sorted(sample.labels.items())
         )
-        lines.append(f'{named}{{{labels}}} {sample.value:g}')
+        lines.append(f'{current_name}{{{labels}}} {sample.value:g}')
     return '\n'.join(lines) + '\n'
 
 
--- a/rudderrock/coordination/_operators.py
+++ b/rudderrock/coordination/_operators.py
@@ -16,8 +16,8 @@
 from rudderrock import transport
 from rudderrock.coordination import _follow as follow
 
-_FIRST_PAUSE_S = 0.05
-_LONGEST_PAUSE_S = 1.0
+_INITIAL_PAUSE_S = 0.05
+_MAX_PAUSE_S = 1.0
 _TOO_LARGE = f'the table would have more than {state.MAX_TABLE_BYTES} bytes'
 
 
@@ -77,7 +77,7 @@
     ) -> result.Result[state.Table, str]:
         """Read the table as the service has it now."""
         entry = await self._kv.get(follow.TABLE_KEY)
-        return entry.map_err(lambda err: err.detail).and_then(_decode)
+        return entry.map_err(lambda err: err.detail).and_then(_decode_table)
 
     def make_edit_id(self) -> state.EditId:
         """Return a new edit id."""
@@ -90,37 +90,37 @@
         problems = _check_change(change)
         if problems:
             return EditInvalid(problems)
-        end = self._clock.now() + timeout_s
-        pause_s = _FIRST_PAUSE_S
+        deadline = self._clock.now() + timeout_s
+        pause_s = _INITIAL_PAUSE_S
         entry: protocol.Entry | None = None
         while True:
             if entry is None:
                 read = await self._kv.get(follow.TABLE_KEY)
                 entry = read.ok()
             if entry is not None:
-                settled = await self._try(change, entry)
-                if not isinstance(settled, protocol.Entry | None):
-                    return settled
-                entry = settled
+                outcome = await self._try_swap(change, entry)
+                if not isinstance(outcome, protocol.Entry | None):
+                    return outcome
+                entry = outcome
                 if entry is not None:
                     continue
-            if self._clock.now() + pause_s >= end:
+            if self._clock.now() + pause_s >= deadline:
                 return EditUncertain('the key-value service is silent')
             await asyncio.sleep(pause_s * self._source.uniform(0.5, 1.0))
-            pause_s = min(pause_s * 2, _LONGEST_PAUSE_S)
+            pause_s = min(pause_s * 2, _MAX_PAUSE_S)
 
-    async def _try(
+    async def _try_swap(
         self, change: state.Change, entry: protocol.Entry
     ) -> EditOutcome | protocol.Entry | None:
         """Try one swap; return the outcome, a newer entry, or None."""
-        decoded = _decode(entry)
+        decoded = _decode_table(entry)
         if decoded.is_err():
             problem = state.Problem('table', decoded.unwrap_err())
             return EditInvalid((problem,))
         table = decoded.unwrap()
-        earlier = table.find_edit(change.edit_id)
-        if earlier is not None:
-            return EditAccepted(earlier)
+        accepted_edit = table.find_edit(change.edit_id)
+        if accepted_edit is not None:
+            return EditAccepted(accepted_edit)
         applied = state.apply_change(table, change, self._clock.wall())
         if applied.is_err():
             return EditLost(applied.unwrap_err().current)
@@ -140,7 +140,7 @@
         return None
 
 
-def _decode(entry: protocol.Entry) -> result.Result[state.Table, str]:
+def _decode_table(entry: protocol.Entry) -> result.Result[state.Table, str]:
     if entry.value is None:
         return result.Ok(state.Table())
     return protocol.decode(state.Table, entry.value)
--- a/rudderrock/coordination/_shares.py
+++ b/rudderrock/coordination/_shares.py
@@ -12,9 +12,9 @@
 from rudderrock import protocol
 from rudderrock import state
 
-_MIN_RATE = 0.01
-_SPARE_FRACTIONS = 64
-_STATEMENT_MEMORY_S = 60.0
+_MIN_RATE_PER_S = 0.01
+_FRACTIONS_SLACK = 64
+_DEMAND_MAX_AGE_S = 60.0
 
 
 class ShareBook:
@@ -32,64 +32,66 @@
         self._host = host
         self._settings = settings
         self._clock = clock
-        self._asked: collections.Counter[state.TeamId] = collections.Counter()
+        self._requested: collections.Counter[state.TeamId] = (
+            collections.Counter()
+        )
         self._rates: dict[state.TeamId, float] = {}
-        self._stated: dict[state.HostId, protocol.Demand] = {}
+        self._demands: dict[state.HostId, protocol.Demand] = {}
         self._fractions: dict[state.TeamId, tuple[float, float]] = {}
-        self._heard_at: dict[state.HostId, float] = {}
+        self._received_at: dict[state.HostId, float] = {}
         self._count = 0
-        self._stated_at = clock.now()
-        self._hosts = 1
+        self._demand_updated_at = clock.now()
+        self._host_count = 1
 
     def note(self, team: state.TeamId, cost: int) -> None:
         """Take note of shard requests asked for, also if refused."""
-        self._asked[team] += cost
+        self._requested[team] += cost
 
     def set_hosts(self, hosts: set[state.HostId]) -> None:
         """Set which hosts share the limits, this one among them."""
-        self._hosts = max(1, len(hosts))
-        for host in set(self._stated) - hosts - {self._host}:
-            del self._stated[host]
+        self._host_count = max(1, len(hosts))
+        for host in set(self._demands) - hosts - {self._host}:
+            del self._demands[host]
 
-    def state_demand(self) -> protocol.Demand:
+    def update_demand(self) -> protocol.Demand:
         """Average what was asked since the last statement, and state it."""
         now = self._clock.now()
-        passed = now - self._stated_at
-        if passed > 0:
-            weight = min(1.0, passed / self._settings.demand_window_s)
-            for team in set(self._rates) | set(self._asked):
+        elapsed_s = now - self._demand_updated_at
+        if elapsed_s > 0:
+            weight = min(1.0, elapsed_s / self._settings.demand_window_s)
+            for team in set(self._rates) | set(self._requested):
                 rate = self._rates.get(team, 0.0)
-                rate += weight * (self._asked[team] / passed - rate)
+                rate += weight * (self._requested[team] / elapsed_s - rate)
                 self._rates[team] = rate
-            self._asked.clear()
-            self._stated_at = now
+            self._requested.clear()
+            self._demand_updated_at = now
         self._rates = {
             team: rate
             for team, rate in self._rates.items()
-            if rate >= _MIN_RATE
+            if rate >= _MIN_RATE_PER_S
         }
-        if len(self._fractions) > 2 * len(self._rates) + _SPARE_FRACTIONS:
+        if len(self._fractions) > 2 * len(self._rates) + _FRACTIONS_SLACK:
             self._fractions = {
                 team: known
                 for team, known in self._fractions.items()
                 if team in self._rates
             }
         self._count += 1
-        self._forget_old(now)
+        self._drop_expired(now)
         demand = protocol.Demand(
             host=self._host, count=self._count, rates=self._get_top_rates()
         )
-        self._stated[self._host] = demand
+        self._demands[self._host] = demand
         return demand
 
     def hear(self, demand: protocol.Demand) -> None:
         """Take note of what a peer states, directly or through others."""
         if demand.host == self._host:
             return
-        known = self._stated.get(demand.host)
+        known = self._demands.get(demand.host)
         if known is None or known.count < demand.count:
-            self._stated[demand.host] = demand
-            self._heard_at[demand.host] = self._clock.now()
+            self._demands[demand.host] = demand
+            self._received_at[demand.host] = self._clock.now()
 
     def pick_demands(self, source: random.Random) -> list[protocol.Demand]:
         """Return statements for one message: our own, and some others.
@@ -97,35 +99,35 @@
         As many as a message may carry, whichever the draw brings first.
         """
         picked = []
-        room = protocol.MAX_DEMANDS
-        others = [host for host in self._stated if host != self._host]
+        rates_left = protocol.MAX_DEMANDS
+        others = [host for host in self._demands if host != self._host]
         source.shuffle(others)
-        own = self._stated.get(self._host)
+        own = self._demands.get(self._host)
         if own is not None:
             picked.append(own)
-            room -= len(own.rates)
+            rates_left -= len(own.rates)
         for host in others:
-            demand = self._stated[host]
+            demand = self._demands[host]
             # That a host asks for nothing it says itself.
-            if demand.rates and len(demand.rates) < room:
+            if demand.rates and len(demand.rates) < rates_left:
                 picked.append(demand)
-                room -= 1 + len(demand.rates)
+                rates_left -= 1 + len(demand.rates)
         return picked
 
     def get_fraction(self, team: state.TeamId) -> float:
         """Return the part of a team's limit that this host may use."""
-        floor = self._settings.floor / self._hosts
+        floor = self._settings.floor / self._host_count
         total = sum(
-            demand.rates.get(team, 0.0) for demand in self._stated.values()
+            demand.rates.get(team, 0.0) for demand in self._demands.values()
         )
-        own = self._stated.get(self._host)
-        mine = own.rates.get(team, 0.0) if own else 0.0
+        own = self._demands.get(self._host)
+        own_rate = own.rates.get(team, 0.0) if own else 0.0
         if total <= 0.0:
-            return self._approach(team, 1.0 / self._hosts)
-        part = (1.0 - self._settings.floor) * mine / total
-        return self._approach(team, floor + part)
+            return self._limit_growth(team, 1.0 / self._host_count)
+        demand_share = (1.0 - self._settings.floor) * own_rate / total
+        return self._limit_growth(team, floor + demand_share)
 
-    def _approach(self, team: state.TeamId, target: float) -> float:
+    def _limit_growth(self, team: state.TeamId, target: float) -> float:
         """Return the fraction now, on its way to where it is to be.
 
         It falls at once and grows slowly. When a team starts to ask at
@@ -133,19 +135,21 @@
         hears of the others', and would take all of the limit.
         """
         now = self._clock.now()
-        even = 1.0 / self._hosts
-        fraction, at = self._fractions.get(team, (even, now))
-        grown = fraction + self._settings.growth_per_s * (now - at)
-        fraction = min(target, max(grown, min(even, target)))
+        even_share = 1.0 / self._host_count
+        fraction, set_at = self._fractions.get(team, (even_share, now))
+        grown_fraction = fraction + self._settings.growth_per_s * (
+            now - set_at
+        )
+        fraction = min(target, max(grown_fraction, min(even_share, target)))
         self._fractions[team] = (fraction, now)
         return fraction
 
-    def _forget_old(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         """Drop statements that have not been renewed for long."""
-        for host, heard_at in list(self._heard_at.items()):
-            if now - heard_at > _STATEMENT_MEMORY_S:
-                del self._heard_at[host]
-                self._stated.pop(host, None)
+        for host, received_at in list(self._received_at.items()):
+            if now - received_at > _DEMAND_MAX_AGE_S:
+                del self._received_at[host]
+                self._demands.pop(host, None)
 
     def _get_top_rates(self) -> dict[state.TeamId, float]:
         """Return the largest demands, as many as a message may carry."""
