--- a/rudderrock/coordination/__init__.py
+++ b/rudderrock/coordination/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of a host: alone for each query, and with its peers."""
+"""Routing, retries, limits, membership and configuration of a host."""
 
 from rudderrock.coordination._admission import Admission
 from rudderrock.coordination._attempt import Attempt
--- a/rudderrock/coordination/_config.py
+++ b/rudderrock/coordination/_config.py
@@ -1,4 +1,7 @@
-"""What one host has in force, how fresh that is, and how it spreads."""
+"""Configuration in force on a host: its freshness and distribution.
+
+The configuration is the table of teams and the layout of the upstreams.
+"""
 
 import asyncio
 from collections.abc import Coroutine
@@ -15,11 +18,14 @@
 from rudderrock.coordination import _follow as follow
 from rudderrock.coordination import _members as members
 
+# Number of peers that a host sends a change to at once.
 PUSH_FANOUT = 3
+# Reads attempted within `isolation_s` before a host counts as isolated.
 _CHECKS_BEFORE_ISOLATION = 4
 _MAX_CHECK_PAUSE_S = 8.0
-# The order in which hosts read the table anew changes this often.
+# Interval after which the order in which hosts read the table changes.
 _READ_ORDER_EPOCH_S = 60.0
+# Highest rank in that order; bounds how long the last hosts wait.
 _MAX_READ_RANK = 6
 _FETCH_TIMEOUT_S = 1.0
 
@@ -27,9 +33,10 @@
 class Configuration:
     """The table and the layout in force on one host.
 
-    Parameters: `table` and `layout` follow the key-value service; what
-    they find is put in force by `apply_table` and `apply_layout`, which
-    the root has given them. `peers` is where a later one is fetched.
+    Parameters: `table` and `layout` watch the key-value service. The
+    composition root connects them to `apply_table` and `apply_layout`,
+    which put new values in force. `peers` is the port through which newer
+    revisions are fetched from other hosts.
     """
 
     def __init__(
@@ -69,7 +76,7 @@
         await self.layout.wait_until_read()
 
     async def close(self) -> None:
-        """End what is being fetched or spread."""
+        """Cancel fetches from peers and pushes to peers."""
         self._closed = True
         background_tasks = list(self._background_tasks)
         for task in background_tasks:
@@ -77,7 +84,7 @@
         await asyncio.gather(*background_tasks, return_exceptions=True)
 
     def apply_table(self, table: state.Table) -> None:
-        """Put a table in force, and tell peers of it."""
+        """Put a table in force and push its revision to some peers."""
         self.rows = table.rows
         self.table_in_force = table
         self._gate.forget_teams(table.rows)
@@ -92,7 +99,7 @@
         self._dispatcher.apply_layout(layout)
 
     def get_config(self) -> members.ConfigInForce:
-        """Return what is in force, for digests."""
+        """Return the revisions in force, for digests."""
         return members.ConfigInForce(
             table_revision=self.table.revision,
             table_age_s=self.table.get_age_s(),
@@ -102,7 +109,7 @@
     def answer_config(
         self, request: protocol.ConfigRequest
     ) -> protocol.ConfigReply:
-        """Give a peer what it has not yet got."""
+        """Return the table and layout that are newer than a peer's."""
         table, layout = self.table_in_force, self.layout_in_force
         send_table = table.revision > request.table_revision
         send_layout = layout.revision > request.layout_revision
@@ -112,7 +119,11 @@
         )
 
     def on_digest(self, digest: protocol.Digest) -> None:
-        """Compare what a peer has in force with ours; fetch what is later."""
+        """Compare a peer's revisions with those in force here.
+
+        An equal table revision confirms the table in force; a higher
+        revision of either is fetched from the peer.
+        """
         if digest.table_revision == self.table.revision:
             self.table.confirm(digest.table_age_s)
         peer_is_newer = (
@@ -138,7 +149,8 @@
             return
         reply = fetched.unwrap()
         origin = f'peer {peer.host}'
-        # Layout first: a table may name collections that are new in it.
+        # The layout goes first: the table may refer to collections that
+        # only the new layout defines.
         if reply.layout and not state.check_layout(reply.layout):
             self.layout.offer(reply.layout, origin)
         if reply.table and not state.check_table(reply.table):
@@ -146,10 +158,11 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Tell whether this host may be serving a table long replaced.
+        """Return whether this host may be serving an outdated table.
 
-        So it is when neither the key-value service nor any peer has been
-        heard of for `isolation_s`.
+        That is so when neither the key-value service nor any peer has
+        been reached for `isolation_s`. A host without peers is never
+        isolated.
         """
         if self._membership.is_only_host:
             return False
@@ -158,7 +171,11 @@
         )
 
     def _get_contact_age_s(self) -> float:
-        """Return for how long nobody has been heard of, in seconds."""
+        """Return the seconds since the last contact.
+
+        A contact is a reply of the key-value service or of a peer. Without
+        any, the time counts from the start of this host.
+        """
         last_contact = max(
             self.table.last_contact_at or -math.inf,
             self._membership.last_contact_at or -math.inf,
@@ -166,13 +183,15 @@
         return self._clock.now() - max(last_contact, self._started_at)
 
     async def confirm_periodically(self) -> None:
-        """Read the table when its revision has not been confirmed lately.
-
-        One host's reading confirms it for all, since its age goes round
-        with the digests. Hosts take turns, the next one being due if the
-        first has not read, so the readings do not grow with the fleet. A
-        host that hears no peer reads by itself, lest it count as isolated.
-        While the service is silent the pauses grow.
+        """Read the table if its revision was not confirmed recently.
+
+        A read by one host confirms the revision for all, because digests
+        carry the age of the last confirmation. Hosts read in a
+        pseudo-random order: each waits `recheck_s` longer than the one
+        before it, so the number of reads does not grow with the number of
+        hosts. A host without recent contact reads regardless of the order,
+        so that it does not count as isolated. While the service does not
+        answer, the pauses between reads grow.
         """
         min_pause_s = (
             self._settings.membership.isolation_s / _CHECKS_BEFORE_ISOLATION
@@ -192,7 +211,7 @@
                 pause_s = min(2 * pause_s, _MAX_CHECK_PAUSE_S)
 
     def _get_read_rank(self) -> int:
-        """Return how many hosts are to read the table before this one."""
+        """Return how many hosts read before this one, at most the maximum."""
         epoch = int(self._clock.wall() // _READ_ORDER_EPOCH_S)
         own_hash = _hash_read_order(self._membership.me.host, epoch)
         rank = sum(
@@ -202,7 +221,7 @@
         return min(rank, _MAX_READ_RANK)
 
     def _start_background_task(self, coroutine: Coroutine) -> asyncio.Task:
-        """Start a short task that ends with the host at the latest."""
+        """Start a short task that `close` cancels if it is still running."""
         task = asyncio.create_task(coroutine)
         self._background_tasks.add(task)
         task.add_done_callback(self._background_tasks.discard)
--- a/rudderrock/coordination/_follow.py
+++ b/rudderrock/coordination/_follow.py
@@ -1,9 +1,9 @@
-"""Following one key of the key-value service.
+"""Watch of one key of the key-value service.
 
-A follower applies each later value that passes its checks, never an
-earlier one, and keeps the last good one in force when a bad one comes or
-the service is down. The service may come back from an older copy; what it
-has lost by that a follower writes again.
+A new value is applied if it passes its checks and has a higher revision
+than the one in force. While the service is down, or holds an invalid
+value, the last valid one stays in force. If the service was restored from
+an older copy, the value that it has lost is written again.
 """
 
 import asyncio
@@ -26,20 +26,22 @@
 
 _INITIAL_PAUSE_S = 0.1
 _MAX_PAUSE_S = 5.0
-# A host that finds a value older than the one in force waits up to this long,
-# in seconds, for another to write it again: all of them find it at once.
+# Upper bound of the random delay before a lost value is written again. All
+# hosts detect the loss at the same time; the delay lets one of them write
+# first.
 _MAX_RESTORE_DELAY_S = 2.0
 
 
 class KeyFollower(Generic[T]):
-    """Keeps one value up to date and says when it was last confirmed.
-
-    Parameters: `read` turns bytes into a checked value or a reason;
-    `get_revision` reads its revision; `apply` puts it in force; `kinds`
-    are the events for in force and rejected; `watch_s` is how long one watch
-    may wait, in seconds. `reunite` returns what the service must hold where
-    it has lost part of the value in force, given that and what it holds, or
-    None.
+    """Keeps one value up to date and tracks when it was last confirmed.
+
+    Parameters: `read` decodes and checks a value, and returns it or the
+    reason why it is invalid; `get_revision` returns its revision; `apply`
+    puts it in force. `kinds` are the event kinds for a value put in force
+    and for a rejected one. `watch_s` is the longest time that one watch
+    waits, in seconds. `reunite` takes the value in force and the one that
+    the service holds; where the service has lost part of the former, it
+    returns the value to write, else None.
     """
 
     def __init__(
@@ -77,12 +79,12 @@
         self._value_available = asyncio.Event()
 
     async def run(self) -> None:
-        """Follow the key until cancelled."""
+        """Watch the key until cancelled."""
         pause_s = _INITIAL_PAUSE_S
         while True:
             sent_at = self._clock.now()
-            # A service that was away may have come back with a lower version,
-            # which a watch would not tell of.
+            # A service that was down may have been restored with a lower
+            # version, which a watch does not report.
             if self._version == protocol.ABSENT or not self.is_up:
                 outcome = await self._kv.get(self._key)
             else:
@@ -103,11 +105,11 @@
             pause_s = min(pause_s * 2, _MAX_PAUSE_S)
 
     async def check(self) -> bool:
-        """Read the key, whatever the watch says; tell whether it answered.
+        """Read the key now; return whether the service answered.
 
-        A watch may miss what happens, so only a reading confirms that a
-        revision is the latest; and the watch under way proves only that
-        the service could be reached when it was sent.
+        A watch may miss events, so only a read confirms that a revision is
+        the latest. The watch in flight only shows that the service was
+        reachable when the watch was sent.
         """
         sent_at = self._clock.now()
         match await self._kv.get(self._key):
@@ -118,11 +120,15 @@
         return False
 
     async def wait_until_read(self) -> None:
-        """Wait until a value is in force, from wherever it came."""
+        """Wait until a value is in force, from the service or from a peer."""
         await self._value_available.wait()
 
     def offer(self, value: T, origin: str) -> bool:
-        """Put a checked value in force if it is later than the present."""
+        """Put a checked value in force if its revision is higher.
+
+        Return whether it was put in force. `origin` names its source in
+        the event.
+        """
         revision = self._get_revision(value)
         if revision <= self.revision:
             return False
@@ -136,22 +142,25 @@
         return True
 
     def confirm(self, age_s: float) -> None:
-        """Note that the revision in force was the latest so long ago."""
+        """Record that the revision in force was the latest `age_s` ago."""
         confirmed_at = self._clock.now() - age_s
         if self.confirmed_at is None or confirmed_at > self.confirmed_at:
             self.confirmed_at = confirmed_at
 
     def get_age_s(self) -> float:
-        """Return how long ago the revision was known to be the latest."""
+        """Return the seconds since the revision was confirmed as the latest.
+
+        Infinite if it was never confirmed.
+        """
         if self.confirmed_at is None:
             return float('inf')
         return self._clock.now() - self.confirmed_at
 
     def _process_entry(self, entry: protocol.Entry, sent_at: float) -> None:
-        """Take in a reply to a call that was sent at loop time `sent`.
+        """Process the reply to a call that was sent at loop time `sent_at`.
 
-        It proves nothing later than that: after a pause of this process,
-        a reply that comes at once may have waited long.
+        The reply is evidence for that time only. After a pause of this
+        process it may have waited long before it was read.
         """
         self.last_contact_at = max(sent_at, self.last_contact_at or sent_at)
         if entry.version == self._version or entry.value is None:
@@ -165,10 +174,10 @@
                 self.confirm(self._clock.now() - sent_at)
 
     async def _restore(self, entry: protocol.Entry) -> None:
-        """Write the value in force again where the service has lost it.
+        """Write the value in force again if the service has lost it.
 
-        Only where the service still holds what was found, so of several
-        hosts one does it, and no edit made meanwhile is lost.
+        The write is a compare-and-swap against the version found, so only
+        one of several hosts succeeds and no concurrent edit is overwritten.
         """
         lost_value = self._find_lost_value(entry)
         if lost_value is None:
@@ -189,7 +198,7 @@
             )
 
     def _find_lost_value(self, entry: protocol.Entry) -> T | None:
-        """Return what must be written again, if anything."""
+        """Return the value to write again, or None if nothing was lost."""
         if entry.value is None or self._value is None:
             return None
         match self._read(entry.value):
--- a/rudderrock/coordination/_health.py
+++ b/rudderrock/coordination/_health.py
@@ -1,4 +1,8 @@
-"""What one host has observed of one upstream, and what follows from it."""
+"""Health of one upstream as observed by one host.
+
+Latency, failures and rejections determine its concurrency limit, its cost
+in the choice of an upstream, and its ejection.
+"""
 
 import dataclasses
 import math
@@ -7,32 +11,44 @@
 from rudderrock import state
 
 MIN_LIMIT = 1.0
+# Cost added to a cold upstream, relative to its cost when warm; it decreases
+# to 0 over the warm-up.
 _COLD_PENALTY = 3.0
+# Largest relative cost added for the queue that an upstream reports.
 _QUEUE_PENALTY = 0.25
+# Keeps the cost positive, so that attempts in flight count while no latency is
+# known.
 _LATENCY_OFFSET_S = 1e-4
+# Factor on the concurrency limit when the upstream sheds an attempt.
 _SHED_BACKOFF = 0.7
+# Factor on the pause after shedding when the upstream answers.
 _SHED_RECOVERY = 0.8
 _MAX_SHED_PAUSE_S = 5.0
-# Latency above this many times the unloaded one means a queue up there.
+# Requests queued at the upstream, and latency relative to the unloaded one,
+# above which the limit is lowered.
 _QUEUEING_THRESHOLD = 2.0
+# Growth of the unloaded latency per answer, so that it follows a lasting rise.
 _UNLOADED_DRIFT = 1.0005
-# How fast the least latency follows a latency that has risen for good.
+# Weight of an answer by which the base latency follows a lasting rise.
 _BASE_LATENCY_GAIN = 0.02
-# Weight of one request in the moving fraction of late ones.
+# Weight of one first attempt in the moving fraction of late ones.
 _LATE_WEIGHT = 0.04
-# Failures that all fall into one stall of this process, or of the network,
-# say nothing of the upstream; a run of them must last at least this long.
+# Shortest run of failures that leads to ejection. Failures within one stall of
+# this process or of the network are no evidence against the upstream.
 _MIN_FAILURE_SPAN_S = 0.25
+# Bounds the exponent of the ejection time.
 _MAX_EJECTIONS = 10
+# Number of entries from which expired ones are dropped.
 _MAX_MISSING_VERSIONS = 256
 
 
 class UpstreamHealth:
-    """Latency, failures, sheds and versions of one upstream.
+    """Latency, failures, shedding and index versions of one upstream.
 
-    `limit` is how many attempts may be in flight, `late` the moving
-    fraction of first attempts that were late, `base_s` the least latency
-    in seconds, 0 while unknown.
+    `limit` is the number of attempts that may be in flight. `late` is the
+    moving fraction of first attempts that were late. `base_s` is the
+    lowest latency observed, in seconds, 0 while unknown; it slowly follows
+    a lasting rise.
     """
 
     def __init__(self, settings: state.RoutingSettings, clock: state.Clock):
@@ -54,30 +70,34 @@
         self._missing_versions: dict[tuple[state.ShardId, int], float] = {}
 
     def is_favoured(self, now: float) -> bool:
-        """Tell whether nothing speaks against it just now."""
+        """Return whether it is neither ejected nor paused after shedding."""
         return now >= self._ejected_until and now >= self._shed_until
 
     def lacks(
         self, shard: state.ShardId, version: state.IndexVersion, now: float
     ) -> bool:
-        """Tell whether it lately said that it hasn't this version."""
+        """Return whether it recently rejected this version of a shard."""
         return self._missing_versions.get((shard, version), -math.inf) > now
 
     def seems_to_lack(
         self, shard: state.ShardId, version: state.IndexVersion, now: float
     ) -> bool:
-        """Tell the same, also by what it says of itself, as a hint."""
+        """Return whether it probably does not have this version.
+
+        In addition to `lacks`, the versions that the upstream reports with
+        its load are taken as a hint.
+        """
         reported = self._reported_load.versions
         return bool(reported and version not in reported) or self.lacks(
             shard, version, now
         )
 
     def get_cost(self, in_flight: int, slots: int, now: float) -> float:
-        """Return the expected cost of sending it one more; less is better.
+        """Return the expected cost of one more attempt; lower is better.
 
-        Observed latency and our own work in flight count; what the
-        upstream says of itself only tips the scales, since it may lag or
-        mislead.
+        The cost is the observed latency times the attempts of this host in
+        flight. The queue that the upstream reports has little weight,
+        because the report may be outdated or wrong.
         """
         cost = (self._latency.get() + _LATENCY_OFFSET_S) * (in_flight + 1)
         if now < self._warm_at:
@@ -87,18 +107,22 @@
         return cost * (1.0 + _QUEUE_PENALTY * min(1.0, queue_fraction))
 
     def note_late(self, late: bool) -> None:
-        """Take note of whether a first attempt was late."""
+        """Record whether a first attempt was late."""
         self.late += _LATE_WEIGHT * (late - self.late)
 
     def mark_cold(self) -> None:
-        """Take note that it was away, so that it starts cold."""
+        """Start the warm-up of an upstream that was down."""
         self._warm_at = self._clock.now() + self._settings.warm_up_s
         self.limit = MIN_LIMIT
 
     def record_success(
         self, elapsed: float, load: protocol.Load, in_flight: int, lanes: int
     ) -> None:
-        """Take note of an answer after `elapsed` seconds."""
+        """Record an answer that arrived after `elapsed` seconds.
+
+        `in_flight` and `lanes` are the attempts and connections of this
+        host at the upstream.
+        """
         self._failures = 0
         self._ejections = 0
         self._failing_since = math.inf
@@ -113,19 +137,21 @@
             self._adapt_limit(in_flight, lanes)
 
     def record_timeout(self, elapsed: float) -> float | None:
-        """Take note of no answer in `elapsed` seconds, as of a failure.
+        """Record that no answer arrived in `elapsed` seconds, as a failure.
 
-        Also when a hedge was faster and this one was cancelled: the time
-        so far is a lower bound.
+        This includes an attempt that was cancelled because its hedge was
+        faster; the elapsed time is then a lower bound of its latency.
+        Return the ejection time as `record_failure` does.
         """
         self._latency.record(max(elapsed, self._latency.get()))
         return self.record_failure()
 
     def record_shed(self, retry_after_s: float) -> None:
-        """Take note that it was overloaded.
+        """Record that it shed an attempt because of overload.
 
-        The pause doubles until answers outnumber refusals, so that being
-        refused never becomes the steady state.
+        Lower the limit and pause sending. The pause doubles with each
+        rejection and shrinks with each answer, so that rejections do not
+        become the steady state.
         """
         self.limit = max(MIN_LIMIT, self.limit * _SHED_BACKOFF)
         pause_s = max(retry_after_s, 2 * self._shed_pause_s)
@@ -138,7 +164,7 @@
         version: state.IndexVersion,
         held_versions: tuple[state.IndexVersion, ...],
     ) -> None:
-        """Take note that it hasn't a version, and which ones it has."""
+        """Record that it does not have a version, and which ones it has."""
         now = self._clock.now()
         if len(self._missing_versions) >= _MAX_MISSING_VERSIONS:
             self._missing_versions = {
@@ -153,15 +179,16 @@
         )
 
     def record_failure(self) -> float | None:
-        """Take note of a failure; return for how long it is ejected, if so.
+        """Record a failure; return the ejection time in seconds, or None.
 
-        A run of failures counts only if it outlasts a stall.
+        The upstream is ejected after `eject_after` failures in a row that
+        span at least `_MIN_FAILURE_SPAN_S`.
         """
         now = self._clock.now()
         self._failures += 1
         self._failing_since = min(self._failing_since, now)
-        is_short_run = self._failures < self._settings.eject_after
-        if is_short_run or now - self._failing_since < _MIN_FAILURE_SPAN_S:
+        too_few = self._failures < self._settings.eject_after
+        if too_few or now - self._failing_since < _MIN_FAILURE_SPAN_S:
             return None
         ejection_s = self._settings.eject_s * 2**self._ejections
         ejection_s = min(ejection_s, self._settings.eject_max_s)
@@ -171,10 +198,11 @@
         return ejection_s
 
     def _adapt_limit(self, in_flight: int, lanes: int) -> None:
-        """Grow while it helps, shrink while a queue stands up there.
+        """Raise the limit when it is reached, lower it when a queue forms.
 
-        The rule of TCP Vegas (Brakmo and Peterson, 1995): latency against
-        the unloaded latency tells how many of ours wait at the upstream.
+        This is the rule of TCP Vegas (Brakmo and Peterson, 1995): the ratio
+        of the latency to the unloaded latency gives the number of requests
+        of this host that wait at the upstream.
         """
         mean_latency = self._latency.get()
         self._unloaded_latency = min(
--- a/rudderrock/coordination/_host.py
+++ b/rudderrock/coordination/_host.py
@@ -1,4 +1,4 @@
-"""One entry host: what it does with a request, and its own life."""
+"""Entry host: request handling, startup and planned stop."""
 
 import asyncio
 import contextlib
@@ -26,7 +26,10 @@
 
 
 class EntryHost:
-    """All parts of one host, as the composition root has wired them."""
+    """One host, assembled from its components by the composition root.
+
+    `run` serves until a planned stop (`stop`) has finished.
+    """
 
     def __init__(
         self,
@@ -61,13 +64,13 @@
         self._skip_waits = asyncio.Event()
         self._active: set[asyncio.Task] = set()
 
-    # Life
+    # Startup and stop
 
     async def run(self) -> None:
-        """Serve until a planned stop has ended."""
+        """Serve until a planned stop has finished."""
         async with contextlib.AsyncExitStack() as stack:
-            # Each by itself, so that all are closed even if this task is
-            # cancelled again while one of them is waited for.
+            # Separate callbacks, so that all are closed even if this task is
+            # cancelled again while it waits for one of them.
             stack.push_async_callback(self.dispatcher.close)
             stack.push_async_callback(self.command_runner.close)
             stack.push_async_callback(self.lease.close)
@@ -84,11 +87,12 @@
             await self.lifecycle.wait_until_stopped()
 
     async def stop(self) -> None:
-        """Stop as planned: cut nothing that is in flight.
+        """Stop as planned, letting requests in flight finish.
 
-        Readiness falls first, and work is still taken while the balancer
-        lags; then what is in flight ends, up to the bound. `hurry` cuts
-        the waiting short.
+        The host first reports that it is not ready, but accepts requests
+        for `balancer_lag_s` more, until the balancer has reacted. It then
+        refuses new requests and waits up to `bound_s` for those in flight;
+        the rest is cancelled. `hurry` ends both waits.
         """
         if self.lifecycle.state in (
             lifecycle.HostState.STARTING,
@@ -109,7 +113,10 @@
             self.lifecycle.stop()
 
     def hurry(self) -> None:
-        """Stop without waiting; what is in flight is cut, truthfully."""
+        """End the waits of a planned stop and cancel requests in flight.
+
+        A cancelled command that may have run has the outcome `Unknown`.
+        """
         self._skip_waits.set()
 
     async def _cancel_active(self) -> None:
@@ -124,17 +131,17 @@
             self.lifecycle.serve()
 
     async def _delete_expired_claims(self) -> None:
-        """Delete old claims, this host's part of them, now and then."""
+        """Delete this host's share of the expired claims periodically."""
         while True:
             await asyncio.sleep(self.settings.claims.clean_period_s)
             hosts = sorted(self.membership.list_sharing())
             index = hosts.index(self.membership.me.host)
             await self.command_runner.clean(index, len(hosts))
 
-    # Shares
+    # Shares of limits and connections
 
     def on_members(self) -> None:
-        """Divide limits and connections anew."""
+        """Recompute shares after the set of hosts has changed."""
         sharing = self.membership.list_sharing()
         self._book.set_hosts(sharing)
         self.dispatcher.set_host_count(len(sharing))
@@ -149,7 +156,7 @@
     def authenticate(
         self, token: str | None
     ) -> result.Result[state.TeamRow, protocol.Refused]:
-        """Return the row of the team that a token belongs to."""
+        """Return the row of the team that the token authenticates."""
         claimed_team = state.split_token(token or '')
         row = (
             self.config.rows.get(claimed_team.ok())
@@ -157,7 +164,8 @@
             else None
         )
         hashes = row.token_hashes if row else ()
-        # Checked for unknown teams too: their absence takes no less time.
+        # The check also runs for unknown teams, so that the response time
+        # does not reveal which teams exist.
         if state.check_token(token or '', hashes or ('none$none',)) and row:
             return result.Ok(row)
         return result.Err(
@@ -168,7 +176,7 @@
         )
 
     def check_serving(self) -> protocol.Refused | None:
-        """Return why no work is taken now, or None."""
+        """Return the refusal if no requests are accepted now, else None."""
         if not self.lifecycle.accepts_requests:
             starting = self.lifecycle.state is lifecycle.HostState.STARTING
             reasons = protocol.RefusalReason
@@ -189,7 +197,7 @@
     async def query(
         self, row: state.TeamRow, query: protocol.Query
     ) -> protocol.Outcome:
-        """Answer a team's query, or refuse it before any of it runs."""
+        """Run a team's query, or refuse it before any part of it runs."""
         query_id = self._make_query_id()
         started_at = self._clock.now()
         with self._track_task():
@@ -200,7 +208,7 @@
     async def command(
         self, row: state.TeamRow, command: protocol.Command, key: str
     ) -> protocol.Outcome:
-        """Run a team's non-idempotent request at most once."""
+        """Run a team's non-idempotent request at most once per key."""
         query_id = self._make_query_id()
         started_at = self._clock.now()
         with self._track_task():
@@ -281,7 +289,8 @@
         if refused is not None:
             return result.Err(refused)
         found = self.dispatcher.find_collection(collection)
-        # Not telling apart what is absent from what is another team's.
+        # The same refusal for an absent collection and for one of another
+        # team, so that it does not reveal which collections exist.
         if found is None or not row.may_query(collection):
             return result.Err(
                 protocol.Refused(
@@ -297,7 +306,7 @@
 
     @contextlib.contextmanager
     def _track_task(self):
-        """Let a planned stop wait for the request that this task serves."""
+        """Register the current task, so that a planned stop waits for it."""
         task = asyncio.current_task()
         self._active.add(task)
         try:
@@ -323,7 +332,7 @@
 def describe_outcome(
     outcome: protocol.Outcome,
 ) -> tuple[state.EventKind, str]:
-    """Return the time line's kind and detail for an outcome."""
+    """Return the event kind and the event detail for an outcome."""
     match outcome:
         case protocol.Answered(coverage=coverage, version=version):
             detail = (
@@ -341,7 +350,7 @@
 
 @contextlib.asynccontextmanager
 async def _run_background_tasks():
-    """Run tasks beside the body and cancel them when the body ends."""
+    """Run tasks concurrently with the body and cancel them at its end."""
     async with asyncio.TaskGroup() as group:
         tasks: list[asyncio.Task] = []
         yield _BackgroundTasks(group, tasks)
@@ -350,12 +359,12 @@
 
 
 class _BackgroundTasks:
-    """Creates tasks of a group and remembers them."""
+    """Starts tasks in a task group and collects them for cancellation."""
 
     def __init__(self, group: asyncio.TaskGroup, tasks: list[asyncio.Task]):
         self._group = group
         self._tasks = tasks
 
     def create_task(self, coroutine) -> None:
-        """Start a task that ends with the group's body at the latest."""
+        """Start a task that is cancelled when the body ends."""
         self._tasks.append(self._group.create_task(coroutine))
--- a/rudderrock/coordination/_leases.py
+++ b/rudderrock/coordination/_leases.py
@@ -1,9 +1,10 @@
-"""This host's lease with the key-value service, and those of others.
+"""Leases of hosts in the key-value service.
 
-A lease is one of three signs that a host lives, beside the platform's list
-and the heartbeats between hosts. Nothing depends on it alone: while the
-service is down no lease can be renewed, and queries go on. A host that was
-paused past its lease finds out by its own clock, before anybody tells it.
+A lease is one of three signs that a host is alive; the others are the
+platform's host list and the heartbeats between hosts. No decision depends
+on leases alone: while the service is down, no lease can be renewed and
+queries are still served. A host that was paused for longer than its lease
+detects the expiry by its own clock.
 """
 
 import asyncio
@@ -23,11 +24,11 @@
 
 
 class HostLease:
-    """Holds a key named after this host for as long as the host lives.
+    """Keeps a leased key named after this host.
 
-    Parameters: `member` is what the key says; `count_hosts` tells the size
-    of the fleet, with which the time to live grows, so that all hosts
-    together make no more calls than the settings allow.
+    Parameters: `member` is the value of the key. `count_hosts` returns the
+    number of hosts. The lease time grows with it, so that the calls of all
+    hosts together are limited by `lease_calls_per_s`.
     """
 
     def __init__(
@@ -53,17 +54,17 @@
 
     @property
     def is_held(self) -> bool:
-        """Tell whether the lease is held, by this host's own clock.
+        """Return whether the lease is held, by this host's own clock.
 
-        Counted from when its last renewal was sent, so a host never
-        believes in a lease longer than the service does.
+        The time counts from when the last renewal was sent, so the lease
+        never ends later here than at the service.
         """
         return self._lease is not None and (
             self._clock.now() < self._held_until
         )
 
     async def run(self) -> None:
-        """Get the lease and renew it until cancelled."""
+        """Acquire the lease and renew it until cancelled."""
         while True:
             if self._lease is not None and not self.is_held:
                 self._record_lapse('not renewed in time')
@@ -74,7 +75,7 @@
             await asyncio.sleep(self._get_pause_s())
 
     async def close(self) -> None:
-        """Hand the lease back, so that others need not wait for its end."""
+        """Revoke the lease, so that others need not wait for its expiry."""
         lease, self._lease = self._lease, None
         if lease is not None:
             await self._kv.revoke(lease)
@@ -82,7 +83,7 @@
     async def has_lease(
         self, host: state.HostId
     ) -> result.Result[bool, transport.KvUnavailable]:
-        """Tell whether the service knows another host to live."""
+        """Return whether a host has a valid lease at the service."""
         entry = await self._kv.get(HOST_PREFIX + host)
         return entry.map(lambda found: found.value is not None)
 
@@ -107,10 +108,11 @@
             self._held_until = sent_at + self._ttl_s
 
     async def _put_key(self, lease: str) -> bool:
-        """Hang this host's key on the lease, over what an earlier life left.
+        """Attach this host's key to the lease; return whether it succeeded.
 
-        Returns False where the service gave no clear answer; the lease
-        then runs out by itself.
+        A key left by an earlier process of this host is replaced. Without
+        a definite answer of the service, return False and let the lease
+        expire.
         """
         key = HOST_PREFIX + self._member.host
         found = await self._kv.get(key)
--- a/rudderrock/coordination/_lifecycle.py
+++ b/rudderrock/coordination/_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a host, from its first reading to its exit."""
+"""States of a host, from its first read of the configuration to its exit."""
 
 import asyncio
 import enum
@@ -9,11 +9,12 @@
 
 
 class HostState(enum.Enum):
-    """Where a host is in its life.
+    """State of a host.
 
-    `STARTING` has no table or layout yet. `SERVING` takes work. `LEAVING`
-    says that it is not ready but still takes work, since the balancer
-    lags. `DRAINING` takes none and ends what it has. `STOPPED` has ended.
+    `STARTING`: has no table or layout yet. `SERVING`: accepts requests.
+    `LEAVING`: reports that it is not ready, but accepts requests until the
+    balancer has reacted. `DRAINING`: refuses requests and finishes those
+    in flight. `STOPPED`: has finished.
     """
 
     STARTING = 'starting'
@@ -38,7 +39,7 @@
 
 
 class Lifecycle:
-    """Holds a host's state and lets others wait for its end."""
+    """State machine of a host; records each change of state as an event."""
 
     def __init__(self, ring: state.EventRing):
         self._ring = ring
@@ -53,21 +54,21 @@
         )
 
     def record(self) -> None:
-        """Put the new state on the time line."""
+        """Record an event for the new state."""
         self._ring.record(state.EventKind.HOST_STATE, detail=self.state.value)
         if self.state is HostState.STOPPED:
             self._stopped.set()
 
     @property
     def accepts_requests(self) -> bool:
-        """Tell whether new requests are taken."""
+        """Return whether new requests are accepted."""
         return self.state in _ACCEPTING_STATES
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether a balancer should send requests here."""
+        """Return whether a balancer should send requests to this host."""
         return self.state is HostState.SERVING
 
     async def wait_until_stopped(self) -> None:
-        """Wait for the end of this host's life."""
+        """Wait until the state is `STOPPED`."""
         await self._stopped.wait()
--- a/rudderrock/coordination/_link.py
+++ b/rudderrock/coordination/_link.py
@@ -1,8 +1,8 @@
-"""What one host holds of one upstream: its lanes and its state.
+"""Connections from a host to one upstream, and the state of the upstream.
 
-A lane is a task that owns one connection and carries one exchange at a
-time. Lanes connect before they are given work, so the milliseconds of a
-new connection are not on the path of a query.
+A lane is a task that owns one connection and runs one exchange at a time.
+Lanes connect before they are given an attempt, so the milliseconds needed
+for a new connection do not add to the latency of a query.
 """
 
 import asyncio
@@ -21,12 +21,18 @@
 from rudderrock.coordination import _health as health
 
 _INITIAL_RECONNECT_PAUSE_S = 0.02
-# How often idle lanes are looked at, in seconds.
+# Interval at which idle lanes are checked for closed connections.
 _IDLE_CHECK_PERIOD_S = 2.0
 
 
 class UpstreamState(enum.Enum):
-    """How an upstream is being treated."""
+    """State of an upstream as seen by this host.
+
+    `CONNECTING`: no connection was made yet. `UP`: connected and used.
+    `EJECTED`: avoided after repeated failures. `DOWN`: no connection can
+    be made. `LEAVING`: is about to stop and gets no new attempts.
+    `CLOSED`: this host has closed its link.
+    """
 
     CONNECTING = 'connecting'
     UP = 'up'
@@ -38,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, eq=False)
 class _IdleLane:
-    """A lane that waits for work, and the connection it has ready."""
+    """A lane that waits for an attempt, and its open connection."""
 
     slot: asyncio.Future[attempts.Attempt | None]
     connection: transport.UpstreamConnection
@@ -48,11 +54,11 @@
 
 
 class UpstreamLink:
-    """All that this host knows of one upstream, and its lanes to it.
+    """Lanes to one upstream, with its state and health.
 
-    Parameters: `upstream` describes it; `port` makes connections; `ring`
-    gets an event for each change of its state; `on_free` is called when a
-    lane may take more work.
+    Parameters: `upstream` is its description; `port` opens connections;
+    `ring` records an event for each change of state; `on_free` is called
+    when a lane becomes idle.
     """
 
     def __init__(
@@ -82,7 +88,10 @@
         self._leaving_in_layout = False
 
     def set_lanes(self, count: int) -> None:
-        """Grow or shrink to a number of lanes; busy lanes end their work."""
+        """Change the number of lanes to `count`.
+
+        Surplus lanes that are busy finish their exchange first.
+        """
         while len(self._lanes) - self._lanes_to_retire < count:
             lane = asyncio.create_task(self._run_lane())
             self._lanes.append(lane)
@@ -96,13 +105,13 @@
         self.health.limit = min(limit, max(count, 1))
 
     def start(self, lanes: int) -> None:
-        """Open the first lanes, with room to use them all."""
+        """Open the first lanes, with a limit that lets all be used."""
         self.health.limit = float(lanes)
         self.set_lanes(lanes)
         self._idle_check_task = asyncio.create_task(self._check_idle_lanes())
 
     async def close(self) -> None:
-        """End all lanes now."""
+        """Cancel all lanes."""
         self.state = UpstreamState.CLOSED
         tasks = list(self._lanes)
         if self._idle_check_task is not None:
@@ -113,7 +122,7 @@
 
     @property
     def is_free(self) -> bool:
-        """Tell whether one more attempt can start now."""
+        """Return whether one more attempt can start now."""
         return bool(self._idle) and self.in_flight < math.ceil(
             self.health.limit
         )
@@ -125,20 +134,20 @@
 
     @property
     def takes_new_work(self) -> bool:
-        """Tell whether new work may be sent at all."""
+        """Return whether new attempts may be sent to the upstream."""
         return self.state not in _REFUSING_STATES
 
     @property
     def is_reachable(self) -> bool:
-        """Tell whether it can be expected to take work before long."""
+        """Return whether it accepts attempts or is expected to soon."""
         return self.takes_new_work and self.state is not UpstreamState.DOWN
 
     def get_cost(self, now: float) -> float:
-        """Return the expected cost of sending it one more; less is better."""
+        """Return the expected cost of one more attempt; lower is better."""
         return self.health.get_cost(self.in_flight, self.upstream.slots, now)
 
     def send(self, attempt: attempts.Attempt) -> None:
-        """Give an attempt to an idle lane; `is_free` must hold."""
+        """Pass an attempt to an idle lane; `is_free` must be true."""
         attempt.upstream = self.upstream.upstream
         attempt.sent_at = self._clock.now()
         attempt.base_s = self.health.base_s
@@ -147,7 +156,7 @@
         self._idle.pop().slot.set_result(attempt)
 
     def apply_layout(self, leaving: bool) -> None:
-        """Take note of whether the layout says that it leaves."""
+        """Apply whether the layout marks the upstream as leaving."""
         if leaving:
             self._set_state(UpstreamState.LEAVING, 'layout')
         elif self._leaving_in_layout and self.state is UpstreamState.LEAVING:
@@ -165,7 +174,7 @@
         )
 
     async def _run_lane(self) -> None:
-        """Own one connection: connect, then carry one exchange at a time."""
+        """Connect, run exchanges, and connect again until retired."""
         retired = False
         while not retired:
             connection = await self._connect()
@@ -175,7 +184,7 @@
                 await connection.close()
 
     async def _connect(self) -> transport.UpstreamConnection:
-        """Try until there is a connection, ever less often."""
+        """Connect, with exponential backoff, until a connection is open."""
         pause_s = _INITIAL_RECONNECT_PAUSE_S
         while True:
             connected = await self._port.connect(self.upstream)
@@ -191,9 +200,9 @@
     async def _run_exchanges(
         self, connection: transport.UpstreamConnection
     ) -> bool:
-        """Carry exchanges until one does not run to its end.
+        """Run exchanges until the connection can no longer be used.
 
-        Returns whether the lane is to retire instead of connecting again.
+        Return whether the lane is to retire instead of connecting again.
         """
         while connection.is_usable:
             if self._lanes_to_retire > 0:
@@ -211,7 +220,11 @@
     async def _wait_for_attempt(
         self, connection: transport.UpstreamConnection
     ) -> attempts.Attempt | None:
-        """Wait for work; None when woken to look at lane and connection."""
+        """Wait for an attempt.
+
+        Return None when the lane is woken because it is to retire or its
+        connection was closed.
+        """
         slot = asyncio.get_running_loop().create_future()
         idle = _IdleLane(slot, connection)
         self._idle.append(idle)
@@ -223,9 +236,10 @@
                 self._idle.remove(idle)
 
     async def _run_on_new_connection(self, attempt: attempts.Attempt) -> None:
-        """Run an attempt over a new connection: this one was closed on us.
+        """Run an attempt over a new connection.
 
-        Nothing of the attempt has been sent, so this is safe for any.
+        Called when the upstream closed the lane's connection before the
+        attempt was sent, so this is safe for non-idempotent requests too.
         """
         connected = await self._port.connect(self.upstream)
         match connected:
@@ -239,7 +253,7 @@
                 attempt.deliver(protocol.ShardLost(False, failed.detail))
 
     async def _check_idle_lanes(self) -> None:
-        """Let idle lanes renew connections that were closed on them."""
+        """Wake idle lanes with a closed connection, so that they reconnect."""
         while True:
             await asyncio.sleep(_IDLE_CHECK_PERIOD_S)
             for idle in list(self._idle):
@@ -252,9 +266,10 @@
         connection: transport.UpstreamConnection,
         attempt: attempts.Attempt,
     ) -> bool:
-        """Run one exchange; tell whether the connection can be kept."""
+        """Run one exchange; return whether the connection can be reused."""
         if attempt.given_up or self._clock.now() >= attempt.deadline:
-            # Also after a pause of the whole process: nothing runs late.
+            # The deadline may also have passed during a pause of the whole
+            # process; nothing is sent after it.
             self.in_flight -= 1
             attempt.deliver(protocol.ShardLost(False, 'deadline passed'))
             return True
@@ -282,10 +297,14 @@
             self._set_state(UpstreamState.UP, 'connected')
 
     def _record_unreachable(self, detail: str) -> None:
-        """Take note that no connection can be made.
+        """Record that no connection can be made.
 
-        One that said it leaves has then left; when it is back, it has
-        started anew and is given work again.
+        The state changes only if no other lane has a connection, and not
+        while the layout marks the upstream as leaving.
+
+        An upstream that reported itself as leaving has then stopped. Once
+        it accepts connections again it has restarted, and gets attempts
+        again.
         """
         if (
             self.in_flight == 0
@@ -304,7 +323,10 @@
             case protocol.ShardRejected(kind=protocol.RejectionKind.SHED):
                 self.health.record_shed(reply.retry_after_s)
             case protocol.ShardRejected(kind=protocol.RejectionKind.LEAVING):
-                self._set_state(UpstreamState.LEAVING, 'said so itself')
+                self._set_state(
+                    UpstreamState.LEAVING,
+                    'said so itself',
+                )
             case protocol.ShardRejected(kind=protocol.RejectionKind.VERSION):
                 request = attempt.request
                 self.health.record_missing_version(
--- a/rudderrock/coordination/_members.py
+++ b/rudderrock/coordination/_members.py
@@ -1,12 +1,13 @@
-"""Which hosts there are, as one host sees it.
+"""Membership and failure detection among hosts.
 
-Hosts probe one another in the manner of SWIM (Das, Gupta and Motivala,
-DSN 2002): one peer a period, others asked to probe when it is silent, news
-carried by the probes themselves, so what a host sends and receives does
-not grow with the fleet. A suspected host refutes by a higher incarnation.
+The protocol follows SWIM (Das, Gupta and Motivala, DSN 2002). Each host
+probes one peer per period and asks other hosts to probe a peer that does
+not answer. Membership updates are carried by the probes, so the traffic of
+a host does not grow with the number of hosts. A host that is suspected
+refutes it with a higher incarnation.
 
-The platform's host list brings in hosts never heard of, and is asked
-before one that is silent is forgotten; neither source decides alone.
+The platform's host list adds hosts that are not yet known, and is
+consulted before a failed host is removed. Neither source decides alone.
 """
 
 import asyncio
@@ -22,9 +23,10 @@
 from rudderrock import transport
 from rudderrock.coordination import _shares as shares
 
-# Each piece of news is sent this many times log2 of the fleet's size.
+# Each update is sent this many times log2 of the number of hosts.
 _UPDATE_REPEATS = 3
 _MS_PER_S = 1000
+# Probe periods between two reads of the platform's host list.
 _PERIODS_PER_HOST_LIST = 10
 _DIRECT_PROBES = 2
 _MAX_TABLE_AGE_S = 1e9
@@ -43,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ConfigInForce:
-    """The revisions in force, and the age of the table's confirmation."""
+    """Revisions in force, and the seconds since the table was confirmed."""
 
     table_revision: state.Revision
     table_age_s: float
@@ -51,12 +53,13 @@
 
 
 class Membership:
-    """The members this host knows of, itself among them.
+    """The members known to this host, including itself.
 
-    Parameters: `me` is this host; `peers` and `host_list` are the ports;
-    `has_lease` asks the key-value service whether a host lives;
-    `get_config` tells for digests what is in force;
-    `on_change` is called when the set of hosts has changed.
+    Parameters: `me` is this host; `peers` and `host_list` are ports;
+    `has_lease` asks the key-value service whether a host has a lease;
+    `get_config` returns the revisions in force, for digests; `on_digest`
+    is called with each digest received; `on_change` is called when the set
+    of hosts has changed.
     """
 
     def __init__(
@@ -98,7 +101,7 @@
         self._host_list_read = False
 
     def list_live(self) -> list[protocol.Member]:
-        """Return the peers that are not known to have failed."""
+        """Return the peers that are not marked as failed."""
         return [
             member
             for member in self._members.values()
@@ -106,25 +109,27 @@
         ]
 
     def list_members(self) -> list[protocol.Member]:
-        """Return all members kept, this host first."""
+        """Return all members, failed ones included, this host first."""
         return [self.me, *self._members.values()]
 
     def list_sharing(self) -> set[state.HostId]:
-        """Return the hosts that limits and connections are shared with.
+        """Return the hosts that limits and connections are divided among.
 
-        A host that seems failed goes on holding its part until it is
-        forgotten, because it may be serving on the far side of a broken
-        link.
+        A host marked as failed keeps its share until it is removed,
+        because it may still be serving beyond a broken network link.
         """
         return {self.me.host, *self._members}
 
     @property
     def is_only_host(self) -> bool:
-        """Tell whether there is no other host, by all that is known."""
+        """Return whether no other host is known.
+
+        False until the platform's host list has been read.
+        """
         return self._host_list_read and not self._members
 
     async def run(self) -> None:
-        """Probe one peer a period until cancelled."""
+        """Probe one peer per period until cancelled."""
         periods = 0
         while True:
             if periods % _PERIODS_PER_HOST_LIST == 0:
@@ -138,13 +143,13 @@
             await asyncio.sleep(pause_s)
 
     async def push_updates(self, fanout: int) -> None:
-        """Send what is new to some peers at once, without their asking."""
+        """Send a digest to up to `fanout` random peers at once."""
         live = self.list_live()
         chosen = self._source.sample(live, min(fanout, len(live)))
         await asyncio.gather(*(self._send_probe(each) for each in chosen))
 
     async def answer_probe(self, probe: protocol.Probe) -> protocol.ProbeReply:
-        """Answer a peer, or probe a third host on its behalf."""
+        """Answer a peer's probe, and probe a third host if it asks for one."""
         self.merge_digest(probe.digest)
         reached = True
         if probe.target is not None and probe.target.host != self.me.host:
@@ -152,7 +157,7 @@
         return protocol.ProbeReply(digest=self.make_digest(), reached=reached)
 
     def make_digest(self) -> protocol.Digest:
-        """Return what goes on the next message."""
+        """Return the digest for the next message."""
         config = self._get_config()
         return protocol.Digest(
             sender=self.me,
@@ -167,10 +172,11 @@
     def merge_digest(
         self, digest: protocol.Digest, at: float | None = None
     ) -> None:
-        """Take in a peer's digest.
+        """Merge a digest received from a peer.
 
-        `at` is the loop time since which it is known to be true, for a
-        reply the time its probe was sent.
+        `at` is the loop time of the contact that a reply proves, which is
+        the time when its probe was sent. It is None for a digest that was
+        received in a probe.
         """
         if at is not None:
             self.last_contact_at = max(at, self.last_contact_at or at)
@@ -183,7 +189,7 @@
         self._on_digest(digest)
 
     def announce_leaving(self) -> None:
-        """State that this host leaves; peers stop counting on it."""
+        """Mark this host as leaving, for the digests sent from now on."""
         self._set_own_state(protocol.MemberState.LEAVING)
 
     def _set_own_state(self, new: protocol.MemberState) -> None:
@@ -197,7 +203,7 @@
         self._pending_updates[self.me.host] = self._get_send_count()
 
     def _merge_member(self, member: protocol.Member) -> None:
-        """Take in one statement about one member, if it is news."""
+        """Merge one update about a member if it overrides what is known."""
         if member.host == self.me.host:
             self._refute(member)
             return
@@ -209,7 +215,7 @@
         self._set_member(member)
 
     def _refute(self, member: protocol.Member) -> None:
-        """Contradict a statement that this host is suspect or failed."""
+        """Refute an update that reports this host as suspect or failed."""
         differs = member.state is not self.me.state
         if differs and member.incarnation >= self.me.incarnation:
             self.me = protocol.Member(
@@ -257,7 +263,11 @@
         )
 
     async def _expire_members(self) -> None:
-        """Let suspects fail, and forget those that are gone for long."""
+        """Expire suspected and failed members.
+
+        A member suspected for `suspect_s` is marked as failed. One failed
+        for `forget_s` is removed if the other sources agree.
+        """
         for member in list(self._members.values()):
             in_state_s = self._clock.now() - self._updated_at[member.host]
             match member.state:
@@ -269,10 +279,11 @@
                         await self._remove_if_gone(member)
 
     async def _remove_if_gone(self, member: protocol.Member) -> None:
-        """Forget a host that is silent, unlisted and without a lease.
+        """Remove a failed host if it is also unlisted and without a lease.
 
-        Until all three agree it may be serving where we cannot see it, and
-        goes on holding its part of limits and connections.
+        Until all three sources agree, the host may still be serving where
+        this host cannot reach it, and it keeps its share of limits and
+        connections.
         """
         if not self._host_list_read or member.host in self._listed_hosts:
             return
@@ -282,7 +293,7 @@
                     self._remove_member(member.host)
 
     def _pick_target(self) -> protocol.Member | None:
-        """Return the next peer of a shuffled round over all of them."""
+        """Return the next peer in a shuffled order over all peers."""
         while self._probe_order:
             member = self._members.get(self._probe_order.pop())
             if member is not None:
@@ -294,9 +305,9 @@
         return self._members[self._probe_order.pop()]
 
     async def _probe(self, target: protocol.Member) -> None:
-        """Probe a peer, with the help of others if it is silent."""
-        # Twice by ourselves: one lost message is far likelier than a lost
-        # host, and asking others costs them four messages each.
+        """Probe a peer, first directly and then through other hosts."""
+        # Two direct probes: one lost message is far more likely than a
+        # failed host, and an indirect probe costs four messages per helper.
         for _ in range(_DIRECT_PROBES):
             if await self._send_probe(target):
                 return
@@ -326,7 +337,7 @@
         address: protocol.Member,
         target: protocol.Member | None = None,
     ) -> bool:
-        """Send one probe; tell whether the one probed was reached."""
+        """Send one probe; return whether the probed host was reached."""
         timeout_s = self._settings.probe_timeout_s
         if target is not None:
             timeout_s *= 2
@@ -365,7 +376,11 @@
         return _UPDATE_REPEATS * max(1, len(self._members).bit_length())
 
     def _pick_updates(self) -> list[protocol.Member]:
-        """Return the news sent least often, then any other members."""
+        """Return the members for one digest.
+
+        The updates sent least often come first; random other members fill
+        the rest.
+        """
         pending = sorted(
             self._pending_updates.items(), key=lambda each: -each[1]
         )
@@ -386,12 +401,18 @@
 
 
 def make_incarnation(clock: state.Clock) -> int:
-    """Return a first incarnation later than any of an earlier process."""
+    """Return the initial incarnation of a process, from the wall clock.
+
+    It is higher than that of any earlier process of the same host.
+    """
     return round(clock.wall() * _MS_PER_S)
 
 
 def _overrides(update: protocol.Member, known: protocol.Member) -> bool:
-    """Tell whether a statement overrides what is known of a member."""
+    """Return whether an update overrides what is known of a member.
+
+    The higher incarnation wins; among equal ones, the more severe state.
+    """
     if update.incarnation != known.incarnation:
         return update.incarnation > known.incarnation
     return _SEVERITY[update.state] > _SEVERITY[known.state]
--- a/rudderrock/coordination/_metrics.py
+++ b/rudderrock/coordination/_metrics.py
@@ -1,4 +1,4 @@
-"""What a host counts, and its two forms: Prometheus text and JSON."""
+"""Metrics of a host by team, and their Prometheus text format."""
 
 import collections
 import dataclasses
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(slots=True)
 class TeamMetrics:
-    """One team's outcomes, coverage and latency."""
+    """Outcomes, shard coverage and latency of one team."""
 
     outcomes: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Sample:
-    """One figure with its name and labels."""
+    """One value of a metric, with its name and labels."""
 
     name: str
     value: float
@@ -37,7 +37,7 @@
 
 
 class HostMetrics:
-    """Counts by team, and samples of a host's present state."""
+    """Metrics of a host, by team."""
 
     def __init__(self, clock: state.Clock):
         self._clock = clock
@@ -46,7 +46,7 @@
     def record_outcome(
         self, team: state.TeamId, outcome: protocol.Outcome, latency_s: float
     ) -> None:
-        """Count one outcome and the time it took."""
+        """Count one outcome that took `latency_s` seconds."""
         metrics = self._teams.setdefault(team, TeamMetrics())
         metrics.outcomes[_get_outcome_label(outcome)] += 1
         match outcome:
@@ -59,7 +59,7 @@
                 metrics.latency.record_value(latency_us)
 
     def list_samples(self) -> list[Sample]:
-        """Return all figures by team."""
+        """Return the samples of all teams."""
         samples = []
         for team, metrics in sorted(self._teams.items()):
             samples.extend(_list_team_samples(team, metrics))
--- a/rudderrock/coordination/_operators.py
+++ b/rudderrock/coordination/_operators.py
@@ -1,8 +1,8 @@
-"""The operators' side of the table: edits that are never misreported.
+"""Edits of the table by operators, with a reliable outcome.
 
-An edit is one compare-and-swap of the whole table. When its reply is lost,
-the same swap is tried again: either it succeeds, or the conflict shows the
-table as it is, in which the edit's own id stands if it took effect.
+An edit is one compare-and-swap of the whole table. If the reply is lost,
+the same swap is retried: it either succeeds, or the conflict returns the
+current table, whose history contains the edit id if the edit took effect.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EditAccepted:
-    """The edit took effect, as this revision."""
+    """The edit took effect; `edit` holds its revision."""
 
     edit: state.Edit
 
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EditInvalid:
-    """The row fails its checks; nothing was changed."""
+    """The row or the whole table fails its checks; nothing was changed."""
 
     problems: state.Problems
 
@@ -46,7 +46,7 @@
 class EditUncertain:
     """The service did not answer in time; the edit may have taken effect.
 
-    Trying again with the same edit id is safe and settles it.
+    Retrying with the same edit id is safe and returns a definite outcome.
     """
 
     detail: str
@@ -58,8 +58,9 @@
 class TableEditor:
     """Reads and edits the table for an operator.
 
-    Parameters: `kv` is the key-value service; `source` makes edit ids,
-    which must not repeat, so outside tests it is the system's.
+    Parameters: `kv` is the port to the key-value service. `source`
+    generates edit ids, which must be unique, so outside tests it is the
+    random source of the operating system.
     """
 
     def __init__(
@@ -75,7 +76,7 @@
     async def read(
         self,
     ) -> result.Result[state.Table, str]:
-        """Read the table as the service has it now."""
+        """Return the current table of the key-value service."""
         entry = await self._kv.get(follow.TABLE_KEY)
         return entry.map_err(lambda err: err.detail).and_then(_decode_table)
 
@@ -86,7 +87,11 @@
     async def edit(
         self, change: state.Change, timeout_s: float
     ) -> EditOutcome:
-        """Apply one change; tell truthfully what became of it."""
+        """Apply one change to the table and return its outcome.
+
+        Without an answer of the service, retry for up to `timeout_s`
+        seconds.
+        """
         problems = _check_change(change)
         if problems:
             return EditInvalid(problems)
@@ -112,7 +117,11 @@
     async def _try_swap(
         self, change: state.Change, entry: protocol.Entry
     ) -> EditOutcome | protocol.Entry | None:
-        """Try one swap; return the outcome, a newer entry, or None."""
+        """Try one swap.
+
+        Return the outcome, the newer entry that conflicts with it, or None
+        if the service did not answer.
+        """
         decoded = _decode_table(entry)
         if decoded.is_err():
             problem = state.Problem('table', decoded.unwrap_err())
--- a/rudderrock/coordination/_shares.py
+++ b/rudderrock/coordination/_shares.py
@@ -1,9 +1,10 @@
-"""How much of a team's tier-wide limit one host may use.
+"""Division of a team's limits among the hosts.
 
-A part of each limit is split evenly, the rest by the demand that hosts
-state to one another. A host uses for itself what it has stated, not what
-it sees this instant, so that all hosts divide by the same numbers as soon
-as they have heard one another.
+The fraction `floor` of each limit is split evenly, the rest in proportion
+to the demand that hosts report to one another. For its own demand a host
+uses the last value that it reported, not the current one, so that all
+hosts divide by the same numbers once they have received one another's
+reports.
 """
 
 import collections
@@ -12,15 +13,18 @@
 from rudderrock import protocol
 from rudderrock import state
 
+# Teams with a lower rate of shard requests are dropped.
 _MIN_RATE_PER_S = 0.01
+# Fractions kept beyond twice the number of teams with demand.
 _FRACTIONS_SLACK = 64
+# Age from which the demand reported by a host is dropped.
 _DEMAND_MAX_AGE_S = 60.0
 
 
 class ShareBook:
-    """Demand of teams at this host and, as stated, at its peers.
+    """Demand of teams at this host and at its peers, and its own shares.
 
-    Parameters: `host` is this host's id, `settings` the split.
+    Parameters: `host` is this host's id; `settings` define the division.
     """
 
     def __init__(
@@ -44,17 +48,20 @@
         self._host_count = 1
 
     def note(self, team: state.TeamId, cost: int) -> None:
-        """Take note of shard requests asked for, also if refused."""
+        """Count `cost` shard requests of a team, including refused ones."""
         self._requested[team] += cost
 
     def set_hosts(self, hosts: set[state.HostId]) -> None:
-        """Set which hosts share the limits, this one among them."""
+        """Set the hosts that share the limits, including this one."""
         self._host_count = max(1, len(hosts))
         for host in set(self._demands) - hosts - {self._host}:
             del self._demands[host]
 
     def update_demand(self) -> protocol.Demand:
-        """Average what was asked since the last statement, and state it."""
+        """Update the moving averages of demand and return the new report.
+
+        Rates are in shard requests per second.
+        """
         now = self._clock.now()
         elapsed_s = now - self._demand_updated_at
         if elapsed_s > 0:
@@ -85,7 +92,7 @@
         return demand
 
     def hear(self, demand: protocol.Demand) -> None:
-        """Take note of what a peer states, directly or through others."""
+        """Merge the demand of a peer, received directly or relayed."""
         if demand.host == self._host:
             return
         known = self._demands.get(demand.host)
@@ -94,9 +101,10 @@
             self._received_at[demand.host] = self._clock.now()
 
     def pick_demands(self, source: random.Random) -> list[protocol.Demand]:
-        """Return statements for one message: our own, and some others.
+        """Return reports for one message: this host's and some of others.
 
-        As many as a message may carry, whichever the draw brings first.
+        Other reports are added in random order, up to the size that a
+        message may have.
         """
         picked = []
         rates_left = protocol.MAX_DEMANDS
@@ -108,14 +116,14 @@
             rates_left -= len(own.rates)
         for host in others:
             demand = self._demands[host]
-            # That a host asks for nothing it says itself.
+            # An empty report is only sent by its own host, not relayed.
             if demand.rates and len(demand.rates) < rates_left:
                 picked.append(demand)
                 rates_left -= 1 + len(demand.rates)
         return picked
 
     def get_fraction(self, team: state.TeamId) -> float:
-        """Return the part of a team's limit that this host may use."""
+        """Return the fraction of a team's limits that this host may use."""
         floor = self._settings.floor / self._host_count
         total = sum(
             demand.rates.get(team, 0.0) for demand in self._demands.values()
@@ -128,11 +136,12 @@
         return self._limit_growth(team, floor + demand_share)
 
     def _limit_growth(self, team: state.TeamId, target: float) -> float:
-        """Return the fraction now, on its way to where it is to be.
+        """Return the fraction, moved toward `target` at a limited rate.
 
-        It falls at once and grows slowly. When a team starts to ask at
-        many hosts at once, each of them sees its own demand before it
-        hears of the others', and would take all of the limit.
+        It decreases at once. Above the even share it grows only by
+        `growth_per_s`: when a team starts to send to many hosts at once,
+        each host sees its own demand before it receives that of the
+        others, and would otherwise use the whole limit.
         """
         now = self._clock.now()
         even_share = 1.0 / self._host_count
@@ -145,14 +154,14 @@
         return fraction
 
     def _drop_expired(self, now: float) -> None:
-        """Drop statements that have not been renewed for long."""
+        """Drop the demand of hosts that have not reported recently."""
         for host, received_at in list(self._received_at.items()):
             if now - received_at > _DEMAND_MAX_AGE_S:
                 del self._received_at[host]
                 self._demands.pop(host, None)
 
     def _get_top_rates(self) -> dict[state.TeamId, float]:
-        """Return the largest demands, as many as a message may carry."""
+        """Return the highest rates, as many as a message may carry."""
         top = sorted(self._rates.items(), key=lambda each: -each[1])
         limited = top[: protocol.MAX_DEMANDS - 1]
         return {team: round(rate, 2) for team, rate in limited}
