--- a/rudderrock/coordination/_leases.py
+++ b/rudderrock/coordination/_leases.py
@@ -132,7 +132,7 @@
             case result.Ok(_):
                 self._held_until = sent_at + self._ttl_s
             case result.Err(transport.LeaseGone()):
-                self._record_lapse('the service had dropped it')
+                self._record_lapse('unknown to the key-value service')
 
     def _record_lapse(self, detail: str) -> None:
         self._lease = None
--- a/rudderrock/coordination/_link.py
+++ b/rudderrock/coordination/_link.py
@@ -158,9 +158,11 @@
     def apply_layout(self, leaving: bool) -> None:
         """Apply whether the layout marks the upstream as leaving."""
         if leaving:
-            self._set_state(UpstreamState.LEAVING, 'layout')
+            self._set_state(UpstreamState.LEAVING, 'marked in the layout')
         elif self._leaving_in_layout and self.state is UpstreamState.LEAVING:
-            self._set_state(UpstreamState.UP, 'back in the layout')
+            self._set_state(
+                UpstreamState.UP, 'no longer leaving in the layout'
+            )
         self._leaving_in_layout = leaving
 
     def _set_state(self, new: UpstreamState, detail: str) -> None:
@@ -325,7 +327,7 @@
             case protocol.ShardRejected(kind=protocol.RejectionKind.LEAVING):
                 self._set_state(
                     UpstreamState.LEAVING,
-                    'said so itself',
+                    'rejected an attempt because it is leaving',
                 )
             case protocol.ShardRejected(kind=protocol.RejectionKind.VERSION):
                 request = attempt.request
@@ -344,9 +346,9 @@
             elapsed, load, self.in_flight, len(self._lanes)
         )
         if self.state is UpstreamState.EJECTED:
-            self._set_state(UpstreamState.UP, 'answers again')
+            self._set_state(UpstreamState.UP, 'answered again')
         if load.leaving:
-            self._set_state(UpstreamState.LEAVING, 'reported by its load')
+            self._set_state(UpstreamState.LEAVING, 'reported with its load')
 
     def _record_ejection(self, ejection_s: float | None) -> None:
         if ejection_s is not None and self.state is UpstreamState.UP:
--- a/rudderrock/coordination/_operators.py
+++ b/rudderrock/coordination/_operators.py
@@ -110,7 +110,7 @@
                 if entry is not None:
                     continue
             if self._clock.now() + pause_s >= deadline:
-                return EditUncertain('the key-value service is silent')
+                return EditUncertain('no answer from the key-value service')
             await asyncio.sleep(pause_s * self._source.uniform(0.5, 1.0))
             pause_s = min(pause_s * 2, _MAX_PAUSE_S)
 
