--- a/rudderrock/coordination/_config.py
+++ b/rudderrock/coordination/_config.py
@@ -23,7 +23,7 @@
 # Reads attempted within `isolation_s` before a host counts as isolated.
 _CHECKS_BEFORE_ISOLATION = 4
 _MAX_CHECK_PAUSE_S = 8.0
-# Interval after which the order in which hosts read the table changes.
+# How often the order in which hosts read the table changes.
 _READ_ORDER_EPOCH_S = 60.0
 # Highest rank in that order; bounds how long the last hosts wait.
 _MAX_READ_RANK = 6
@@ -152,9 +152,9 @@
         # The layout goes first: the table may refer to collections that
         # only the new layout defines.
         if reply.layout and not state.check_layout(reply.layout):
-            self.layout.offer(reply.layout, origin)
+            self.layout.apply_if_newer(reply.layout, origin)
         if reply.table and not state.check_table(reply.table):
-            self.table.offer(reply.table, origin)
+            self.table.apply_if_newer(reply.table, origin)
 
     @property
     def is_isolated(self) -> bool:
@@ -205,7 +205,7 @@
             is_stale = self.table.get_age_s() > max_age_s
             if not is_stale and self._get_contact_age_s() <= min_pause_s:
                 continue
-            if await self.table.check():
+            if await self.table.read_now():
                 pause_s = min_pause_s
             else:
                 pause_s = min(2 * pause_s, _MAX_CHECK_PAUSE_S)
--- a/rudderrock/coordination/_follow.py
+++ b/rudderrock/coordination/_follow.py
@@ -104,7 +104,7 @@
             await asyncio.sleep(pause_s * self._source.uniform(0.5, 1.0))
             pause_s = min(pause_s * 2, _MAX_PAUSE_S)
 
-    async def check(self) -> bool:
+    async def read_now(self) -> bool:
         """Read the key now; return whether the service answered.
 
         A watch may miss events, so only a read confirms that a revision is
@@ -123,7 +123,7 @@
         """Wait until a value is in force, from the service or from a peer."""
         await self._value_available.wait()
 
-    def offer(self, value: T, origin: str) -> bool:
+    def apply_if_newer(self, value: T, origin: str) -> bool:
         """Put a checked value in force if its revision is higher.
 
         Return whether it was put in force. `origin` names its source in
@@ -159,8 +159,8 @@
     def _process_entry(self, entry: protocol.Entry, sent_at: float) -> None:
         """Process the reply to a call that was sent at loop time `sent_at`.
 
-        The reply is evidence for that time only. After a pause of this
-        process it may have waited long before it was read.
+        The value is known to be current only at that time: after a pause
+        of this process, the reply may have waited long before it was read.
         """
         self.last_contact_at = max(sent_at, self.last_contact_at or sent_at)
         if entry.version == self._version or entry.value is None:
@@ -170,7 +170,7 @@
             case result.Err(reason):
                 self._ring.record(self._rejected_kind, detail=reason)
             case result.Ok(value):
-                self.offer(value, 'key-value service')
+                self.apply_if_newer(value, 'key-value service')
                 self.confirm(self._clock.now() - sent_at)
 
     async def _restore(self, entry: protocol.Entry) -> None:
--- a/rudderrock/coordination/_health.py
+++ b/rudderrock/coordination/_health.py
@@ -24,12 +24,12 @@
 # Factor on the pause after shedding when the upstream answers.
 _SHED_RECOVERY = 0.8
 _MAX_SHED_PAUSE_S = 5.0
-# Requests queued at the upstream, and latency relative to the unloaded one,
-# above which the limit is lowered.
+# The limit is lowered when both the number of queued requests and the ratio of
+# the latency to the unloaded latency exceed this.
 _QUEUEING_THRESHOLD = 2.0
 # Growth of the unloaded latency per answer, so that it follows a lasting rise.
 _UNLOADED_DRIFT = 1.0005
-# Weight of an answer by which the base latency follows a lasting rise.
+# Weight of one answer in the base latency, so that it follows a lasting rise.
 _BASE_LATENCY_GAIN = 0.02
 # Weight of one first attempt in the moving fraction of late ones.
 _LATE_WEIGHT = 0.04
@@ -38,7 +38,7 @@
 _MIN_FAILURE_SPAN_S = 0.25
 # Bounds the exponent of the ejection time.
 _MAX_EJECTIONS = 10
-# Number of entries from which expired ones are dropped.
+# Expired entries are dropped once there are this many entries.
 _MAX_MISSING_VERSIONS = 256
 
 
@@ -65,7 +65,7 @@
         self._failing_since = math.inf
         self._shed_until = -math.inf
         self._shed_pause_s = 0.0
-        self._warm_at = -math.inf
+        self._cold_until = -math.inf
         self._reported_load = protocol.Load()
         self._missing_versions: dict[tuple[state.ShardId, int], float] = {}
 
@@ -100,8 +100,8 @@
         because the report may be outdated or wrong.
         """
         cost = (self._latency.get() + _LATENCY_OFFSET_S) * (in_flight + 1)
-        if now < self._warm_at:
-            cold_fraction = (self._warm_at - now) / self._settings.warm_up_s
+        if now < self._cold_until:
+            cold_fraction = (self._cold_until - now) / self._settings.warm_up_s
             cost *= 1.0 + _COLD_PENALTY * cold_fraction
         queue_fraction = self._reported_load.queued / max(1, slots)
         return cost * (1.0 + _QUEUE_PENALTY * min(1.0, queue_fraction))
@@ -112,13 +112,13 @@
 
     def mark_cold(self) -> None:
         """Start the warm-up of an upstream that was down."""
-        self._warm_at = self._clock.now() + self._settings.warm_up_s
+        self._cold_until = self._clock.now() + self._settings.warm_up_s
         self.limit = MIN_LIMIT
 
     def record_success(
-        self, elapsed: float, load: protocol.Load, in_flight: int, lanes: int
+        self, elapsed_s: float, load: protocol.Load, in_flight: int, lanes: int
     ) -> None:
-        """Record an answer that arrived after `elapsed` seconds.
+        """Record an answer that arrived after `elapsed_s` seconds.
 
         `in_flight` and `lanes` are the attempts and connections of this
         host at the upstream.
@@ -126,24 +126,26 @@
         self._failures = 0
         self._ejections = 0
         self._failing_since = math.inf
-        self._latency.record(elapsed)
+        self._latency.record(elapsed_s)
         raised_base_s = self.base_s + _BASE_LATENCY_GAIN * (
-            elapsed - self.base_s
+            elapsed_s - self.base_s
+        )
+        self.base_s = (
+            min(elapsed_s, raised_base_s) if self.base_s else elapsed_s
         )
-        self.base_s = min(elapsed, raised_base_s) if self.base_s else elapsed
         self._reported_load = load
         self._shed_pause_s *= _SHED_RECOVERY
         if self._settings.adapt:
             self._adapt_limit(in_flight, lanes)
 
-    def record_timeout(self, elapsed: float) -> float | None:
-        """Record that no answer arrived in `elapsed` seconds, as a failure.
+    def record_timeout(self, elapsed_s: float) -> float | None:
+        """Record that no answer arrived in `elapsed_s` seconds, as a failure.
 
         This includes an attempt that was cancelled because its hedge was
         faster; the elapsed time is then a lower bound of its latency.
         Return the ejection time as `record_failure` does.
         """
-        self._latency.record(max(elapsed, self._latency.get()))
+        self._latency.record(max(elapsed_s, self._latency.get()))
         return self.record_failure()
 
     def record_shed(self, retry_after_s: float) -> None:
--- a/rudderrock/coordination/_host.py
+++ b/rudderrock/coordination/_host.py
@@ -99,7 +99,7 @@
             lifecycle.HostState.SERVING,
         ):
             self.lifecycle.leave()
-            self.membership.announce_leaving()
+            self.membership.mark_leaving()
             await self.membership.push_updates(configs.PUSH_FANOUT)
             lag_s = self.settings.drain.balancer_lag_s
             await core.wait_for_event(self._skip_waits, lag_s)
--- a/rudderrock/coordination/_link.py
+++ b/rudderrock/coordination/_link.py
@@ -46,7 +46,7 @@
 class _IdleLane:
     """A lane that waits for an attempt, and its open connection."""
 
-    slot: asyncio.Future[attempts.Attempt | None]
+    assignment: asyncio.Future[attempts.Attempt | None]
     connection: transport.UpstreamConnection
 
 
@@ -100,7 +100,7 @@
         for _ in range(surplus):
             self._lanes_to_retire += 1
             if self._idle:
-                self._idle.pop().slot.set_result(None)
+                self._idle.pop().assignment.set_result(None)
         limit = max(self.health.limit, health.MIN_LIMIT)
         self.health.limit = min(limit, max(count, 1))
 
@@ -153,10 +153,10 @@
         attempt.base_s = self.health.base_s
         attempt.note_late = self.health.note_late
         self.in_flight += 1
-        self._idle.pop().slot.set_result(attempt)
+        self._idle.pop().assignment.set_result(attempt)
 
     def apply_layout(self, leaving: bool) -> None:
-        """Apply whether the layout marks the upstream as leaving."""
+        """Set whether the layout marks the upstream as leaving."""
         if leaving:
             self._set_state(UpstreamState.LEAVING, 'marked in the layout')
         elif self._leaving_in_layout and self.state is UpstreamState.LEAVING:
@@ -165,14 +165,14 @@
             )
         self._leaving_in_layout = leaving
 
-    def _set_state(self, new: UpstreamState, detail: str) -> None:
-        if new is self.state or self.state is UpstreamState.CLOSED:
+    def _set_state(self, new_state: UpstreamState, detail: str) -> None:
+        if new_state is self.state or self.state is UpstreamState.CLOSED:
             return
-        self.state = new
+        self.state = new_state
         self._ring.record(
             state.EventKind.UPSTREAM_STATE,
             upstream=self.upstream.upstream,
-            detail=f'{new.value}: {detail}',
+            detail=f'{new_state.value}: {detail}',
         )
 
     async def _run_lane(self) -> None:
@@ -194,8 +194,8 @@
                 case result.Ok(connection):
                     self._record_connected()
                     return connection
-                case result.Err(failed):
-                    self._record_unreachable(failed.detail)
+                case result.Err(failure):
+                    self._record_unreachable(failure.detail)
             await asyncio.sleep(pause_s * self._source.uniform(0.5, 1.0))
             pause_s = min(pause_s * 2, self._settings.reconnect_max_s)
 
@@ -227,12 +227,12 @@
         Return None when the lane is woken because it is to retire or its
         connection was closed.
         """
-        slot = asyncio.get_running_loop().create_future()
-        idle = _IdleLane(slot, connection)
+        assignment = asyncio.get_running_loop().create_future()
+        idle = _IdleLane(assignment, connection)
         self._idle.append(idle)
         self._on_free(self)
         try:
-            return await slot
+            return await assignment
         finally:
             if idle in self._idle:
                 self._idle.remove(idle)
@@ -250,9 +250,9 @@
                     await self._exchange(connection, attempt)
                 finally:
                     await connection.close()
-            case result.Err(failed):
+            case result.Err(failure):
                 self.in_flight -= 1
-                attempt.deliver(protocol.ShardLost(False, failed.detail))
+                attempt.deliver(protocol.ShardLost(False, failure.detail))
 
     async def _check_idle_lanes(self) -> None:
         """Wake idle lanes with a closed connection, so that they reconnect."""
@@ -261,7 +261,7 @@
             for idle in list(self._idle):
                 if not idle.connection.is_usable:
                     self._idle.remove(idle)
-                    idle.slot.set_result(None)
+                    idle.assignment.set_result(None)
 
     async def _exchange(
         self,
@@ -318,10 +318,10 @@
     def _record_reply(
         self, attempt: attempts.Attempt, reply: protocol.ShardReply
     ) -> None:
-        elapsed = self._clock.now() - attempt.sent_at
+        elapsed_s = self._clock.now() - attempt.sent_at
         match reply:
             case protocol.ShardAnswer():
-                self._record_success(elapsed, reply.load)
+                self._record_success(elapsed_s, reply.load)
             case protocol.ShardRejected(kind=protocol.RejectionKind.SHED):
                 self.health.record_shed(reply.retry_after_s)
             case protocol.ShardRejected(kind=protocol.RejectionKind.LEAVING):
@@ -337,13 +337,13 @@
             case protocol.ShardRejected():
                 pass
             case protocol.ShardTimeout():
-                self._record_ejection(self.health.record_timeout(elapsed))
+                self._record_ejection(self.health.record_timeout(elapsed_s))
             case protocol.ShardLost():
                 self._record_ejection(self.health.record_failure())
 
-    def _record_success(self, elapsed: float, load: protocol.Load) -> None:
+    def _record_success(self, elapsed_s: float, load: protocol.Load) -> None:
         self.health.record_success(
-            elapsed, load, self.in_flight, len(self._lanes)
+            elapsed_s, load, self.in_flight, len(self._lanes)
         )
         if self.state is UpstreamState.EJECTED:
             self._set_state(UpstreamState.UP, 'answered again')
--- a/rudderrock/coordination/_members.py
+++ b/rudderrock/coordination/_members.py
@@ -174,9 +174,9 @@
     ) -> None:
         """Merge a digest received from a peer.
 
-        `at` is the loop time of the contact that a reply proves, which is
-        the time when its probe was sent. It is None for a digest that was
-        received in a probe.
+        `at` is the loop time at which the peer was known to be reachable:
+        for a reply, the time when its probe was sent. It is None for a
+        digest received in a probe.
         """
         if at is not None:
             self.last_contact_at = max(at, self.last_contact_at or at)
@@ -188,17 +188,17 @@
             self._merge_member(member)
         self._on_digest(digest)
 
-    def announce_leaving(self) -> None:
+    def mark_leaving(self) -> None:
         """Mark this host as leaving, for the digests sent from now on."""
         self._set_own_state(protocol.MemberState.LEAVING)
 
-    def _set_own_state(self, new: protocol.MemberState) -> None:
+    def _set_own_state(self, new_state: protocol.MemberState) -> None:
         self.me = protocol.Member(
             host=self.me.host,
             zone=self.me.zone,
             control=self.me.control,
             incarnation=self.me.incarnation + 1,
-            state=new,
+            state=new_state,
         )
         self._pending_updates[self.me.host] = self._get_send_count()
 
@@ -250,7 +250,7 @@
         self._on_change()
 
     def _change_state(
-        self, member: protocol.Member, new: protocol.MemberState
+        self, member: protocol.Member, new_state: protocol.MemberState
     ) -> None:
         self._set_member(
             protocol.Member(
@@ -258,7 +258,7 @@
                 zone=member.zone,
                 control=member.control,
                 incarnation=member.incarnation,
-                state=new,
+                state=new_state,
             )
         )
 
--- a/rudderrock/coordination/_shares.py
+++ b/rudderrock/coordination/_shares.py
@@ -18,7 +18,7 @@
 # Fractions kept beyond twice the number of teams with demand.
 _FRACTIONS_SLACK = 64
 # Age from which the demand reported by a host is dropped.
-_DEMAND_MAX_AGE_S = 60.0
+_MAX_DEMAND_AGE_S = 60.0
 
 
 class ShareBook:
@@ -43,7 +43,7 @@
         self._demands: dict[state.HostId, protocol.Demand] = {}
         self._fractions: dict[state.TeamId, tuple[float, float]] = {}
         self._received_at: dict[state.HostId, float] = {}
-        self._count = 0
+        self._report_number = 0
         self._demand_updated_at = clock.now()
         self._host_count = 1
 
@@ -83,10 +83,12 @@
                 for team, known in self._fractions.items()
                 if team in self._rates
             }
-        self._count += 1
+        self._report_number += 1
         self._drop_expired(now)
         demand = protocol.Demand(
-            host=self._host, count=self._count, rates=self._get_top_rates()
+            host=self._host,
+            count=self._report_number,
+            rates=self._get_top_rates(),
         )
         self._demands[self._host] = demand
         return demand
@@ -156,7 +158,7 @@
     def _drop_expired(self, now: float) -> None:
         """Drop the demand of hosts that have not reported recently."""
         for host, received_at in list(self._received_at.items()):
-            if now - received_at > _DEMAND_MAX_AGE_S:
+            if now - received_at > _MAX_DEMAND_AGE_S:
                 del self._received_at[host]
                 self._demands.pop(host, None)
 
