--- a/rudderrock/coordination/_host.py
+++ b/rudderrock/coordination/_host.py
@@ -1,4 +1,4 @@
-"""One entry host: what it does with a request, and its own life."""
+"""Entry host: request handling, startup and planned stop."""
 
 import asyncio
 import contextlib
@@ -21,12 +21,15 @@
 from rudderrock.coordination import _shares as shares
 from rudderrock.coordination import _ticket as tickets
 
-_DRAIN_POLL_S = 0.02
+_DRAIN_POLL_PERIOD_S = 0.02
 _NOT_READY_RETRY_S = 1.0
 
 
 class EntryHost:
-    """All parts of one host, as the composition root has wired them."""
+    """One host, assembled from its components by the composition root.
+
+    `run` serves until a planned stop (`stop`) has finished.
+    """
 
     def __init__(
         self,
@@ -58,61 +61,65 @@
         self._clock = clock
         self._source = source
         self._book = book
-        self._hurry = asyncio.Event()
+        self._skip_waits = asyncio.Event()
         self._active: set[asyncio.Task] = set()
 
-    # Life
+    # Startup and stop
 
     async def run(self) -> None:
-        """Serve until a planned stop has ended."""
+        """Serve until a planned stop has finished."""
         async with contextlib.AsyncExitStack() as stack:
-            # Each by itself, so that all are closed even if this task is
-            # cancelled again while one of them is waited for.
+            # Separate callbacks, so that all are closed even if this task is
+            # cancelled again while it waits for one of them.
             stack.push_async_callback(self.dispatcher.close)
             stack.push_async_callback(self.command_runner.close)
             stack.push_async_callback(self.lease.close)
             stack.push_async_callback(self.config.close)
-            group = await stack.enter_async_context(_task_group())
+            group = await stack.enter_async_context(_run_background_tasks())
             group.create_task(self.config.table.run())
             group.create_task(self.config.layout.run())
             group.create_task(self.membership.run())
             group.create_task(self.lease.run())
-            group.create_task(self._clean_claims())
-            group.create_task(self.config.keep_in_touch())
-            group.create_task(self._state_demand())
+            group.create_task(self._delete_expired_claims())
+            group.create_task(self.config.confirm_periodically())
+            group.create_task(self._update_demand())
             group.create_task(self._serve_when_ready())
             await self.lifecycle.wait_until_stopped()
 
     async def stop(self) -> None:
-        """Stop as planned: cut nothing that is in flight.
+        """Stop as planned, letting requests in flight finish.
 
-        Readiness falls first, and work is still taken while the balancer
-        lags; then what is in flight ends, up to the bound. `hurry` cuts
-        the waiting short.
+        The host first reports that it is not ready, but accepts requests
+        for `balancer_lag_s` more, until the balancer has reacted. It then
+        refuses new requests and waits up to `bound_s` for those in flight;
+        the rest is cancelled. `hurry` ends both waits.
         """
         if self.lifecycle.state in (
             lifecycle.HostState.STARTING,
             lifecycle.HostState.SERVING,
         ):
             self.lifecycle.leave()
-            self.membership.announce_leaving()
-            await self.membership.spread(configs.SPREAD_FANOUT)
+            self.membership.mark_leaving()
+            await self.membership.push_updates(configs.PUSH_FANOUT)
             lag_s = self.settings.drain.balancer_lag_s
-            await core.wait_for_event(self._hurry, lag_s)
+            await core.wait_for_event(self._skip_waits, lag_s)
             self.lifecycle.drain()
-            end = self._clock.now() + self.settings.drain.bound_s
-            while self._active and self._clock.now() < end:
-                if self._hurry.is_set():
+            drain_until = self._clock.now() + self.settings.drain.bound_s
+            while self._active and self._clock.now() < drain_until:
+                if self._skip_waits.is_set():
                     break
-                await asyncio.sleep(_DRAIN_POLL_S)
-            await self._cut()
+                await asyncio.sleep(_DRAIN_POLL_PERIOD_S)
+            await self._cancel_active()
             self.lifecycle.stop()
 
     def hurry(self) -> None:
-        """Stop without waiting; what is in flight is cut, truthfully."""
-        self._hurry.set()
+        """End the waits of a planned stop and cancel requests in flight.
+
+        A cancelled command that may have run has the outcome `Unknown`.
+        """
+        self._skip_waits.set()
 
-    async def _cut(self) -> None:
+    async def _cancel_active(self) -> None:
         for task in list(self._active):
             task.cancel()
         if self._active:
@@ -123,25 +130,25 @@
         if self.lifecycle.state is lifecycle.HostState.STARTING:
             self.lifecycle.serve()
 
-    async def _clean_claims(self) -> None:
-        """Delete old claims, this host's part of them, now and then."""
+    async def _delete_expired_claims(self) -> None:
+        """Delete this host's share of the expired claims periodically."""
         while True:
             await asyncio.sleep(self.settings.claims.clean_period_s)
             hosts = sorted(self.membership.list_sharing())
             index = hosts.index(self.membership.me.host)
             await self.command_runner.clean(index, len(hosts))
 
-    # Shares
+    # Shares of limits and connections
 
     def on_members(self) -> None:
-        """Divide limits and connections anew."""
+        """Recompute shares after the set of hosts has changed."""
         sharing = self.membership.list_sharing()
         self._book.set_hosts(sharing)
         self.dispatcher.set_host_count(len(sharing))
 
-    async def _state_demand(self) -> None:
+    async def _update_demand(self) -> None:
         while True:
-            self._book.state_demand()
+            self._book.update_demand()
             await asyncio.sleep(self.settings.membership.period_s)
 
     # Requests
@@ -149,12 +156,17 @@
     def authenticate(
         self, token: str | None
     ) -> result.Result[state.TeamRow, protocol.Refused]:
-        """Return the row of the team that a token belongs to."""
-        claimed = state.split_token(token or '')
-        row = self.config.rows.get(claimed.ok()) if claimed.is_ok() else None
-        known = row.token_hashes if row else ()
-        # Checked for unknown teams too: their absence takes no less time.
-        if state.check_token(token or '', known or ('none$none',)) and row:
+        """Return the row of the team that the token authenticates."""
+        claimed_team = state.split_token(token or '')
+        row = (
+            self.config.rows.get(claimed_team.ok())
+            if claimed_team.is_ok()
+            else None
+        )
+        hashes = row.token_hashes if row else ()
+        # The check also runs for unknown teams, so that the response time
+        # does not reveal which teams exist.
+        if state.check_token(token or '', hashes or ('none$none',)) and row:
             return result.Ok(row)
         return result.Err(
             protocol.Refused(
@@ -164,8 +176,8 @@
         )
 
     def check_serving(self) -> protocol.Refused | None:
-        """Return why no work is taken now, or None."""
-        if not self.lifecycle.takes_work:
+        """Return the refusal if no requests are accepted now, else None."""
+        if not self.lifecycle.accepts_requests:
             starting = self.lifecycle.state is lifecycle.HostState.STARTING
             reasons = protocol.RefusalReason
             return protocol.Refused(
@@ -176,8 +188,8 @@
         if self.config.is_isolated:
             return protocol.Refused(
                 reason=protocol.RefusalReason.ISOLATED,
-                detail='this host hears neither the key-value service nor '
-                'any peer',
+                detail='this host can reach neither the key-value service '
+                'nor any peer',
                 retry_after_s=_NOT_READY_RETRY_S,
             )
         return None
@@ -185,23 +197,23 @@
     async def query(
         self, row: state.TeamRow, query: protocol.Query
     ) -> protocol.Outcome:
-        """Answer a team's query, or refuse it before any of it runs."""
+        """Run a team's query, or refuse it before any part of it runs."""
         query_id = self._make_query_id()
-        began = self._clock.now()
-        with self._track():
+        started_at = self._clock.now()
+        with self._track_task():
             outcome = await self._query(row, query, query_id)
-        self._note_outcome(row, query_id, outcome, began)
+        self._record_outcome(row, query_id, outcome, started_at)
         return outcome
 
     async def command(
         self, row: state.TeamRow, command: protocol.Command, key: str
     ) -> protocol.Outcome:
-        """Run a team's non-idempotent request at most once."""
+        """Run a team's non-idempotent request at most once per key."""
         query_id = self._make_query_id()
-        began = self._clock.now()
-        with self._track():
+        started_at = self._clock.now()
+        with self._track_task():
             outcome = await self._command(row, command, key, query_id)
-        self._note_outcome(row, query_id, outcome, began)
+        self._record_outcome(row, query_id, outcome, started_at)
         return outcome
 
     async def _query(
@@ -277,7 +289,8 @@
         if refused is not None:
             return result.Err(refused)
         found = self.dispatcher.find_collection(collection)
-        # Not telling apart what is absent from what is another team's.
+        # The same refusal for an absent collection and for one of another
+        # team, so that it does not reveal which collections exist.
         if found is None or not row.may_query(collection):
             return result.Err(
                 protocol.Refused(
@@ -292,8 +305,8 @@
         return state.QueryId(f'{self.settings.host.id}-{number:016x}')
 
     @contextlib.contextmanager
-    def _track(self):
-        """Let a planned stop wait for the request that this task serves."""
+    def _track_task(self):
+        """Register the current task, so that a planned stop waits for it."""
         task = asyncio.current_task()
         self._active.add(task)
         try:
@@ -301,15 +314,17 @@
         finally:
             self._active.discard(task)
 
-    def _note_outcome(
+    def _record_outcome(
         self,
         row: state.TeamRow,
         query_id: state.QueryId,
         outcome: protocol.Outcome,
-        began: float,
+        started_at: float,
     ) -> None:
         team = state.TeamId(row.team)
-        self.metrics.note(team, outcome, self._clock.now() - began)
+        self.metrics.record_outcome(
+            team, outcome, self._clock.now() - started_at
+        )
         kind, detail = describe_outcome(outcome)
         self.ring.record(kind, team=team, query=query_id, detail=detail)
 
@@ -317,7 +332,7 @@
 def describe_outcome(
     outcome: protocol.Outcome,
 ) -> tuple[state.EventKind, str]:
-    """Return the time line's kind and detail for an outcome."""
+    """Return the event kind and the event detail for an outcome."""
     match outcome:
         case protocol.Answered(coverage=coverage, version=version):
             detail = (
@@ -334,22 +349,22 @@
 
 
 @contextlib.asynccontextmanager
-async def _task_group():
-    """Run tasks beside the body and cancel them when the body ends."""
+async def _run_background_tasks():
+    """Run tasks concurrently with the body and cancel them at its end."""
     async with asyncio.TaskGroup() as group:
         tasks: list[asyncio.Task] = []
-        yield _Group(group, tasks)
+        yield _BackgroundTasks(group, tasks)
         for task in tasks:
             task.cancel()
 
 
-class _Group:
-    """Creates tasks of a group and remembers them."""
+class _BackgroundTasks:
+    """Starts tasks in a task group and collects them for cancellation."""
 
     def __init__(self, group: asyncio.TaskGroup, tasks: list[asyncio.Task]):
         self._group = group
         self._tasks = tasks
 
     def create_task(self, coroutine) -> None:
-        """Start a task that ends with the group's body at the latest."""
+        """Start a task that is cancelled when the body ends."""
         self._tasks.append(self._group.create_task(coroutine))
--- a/rudderrock/coordination/_operators.py
+++ b/rudderrock/coordination/_operators.py
@@ -1,8 +1,8 @@
-"""The operators' side of the table: edits that are never misreported.
+"""Edits of the table by operators, with a reliable outcome.
 
-An edit is one compare-and-swap of the whole table. When its reply is lost,
-the same swap is tried again: either it succeeds, or the conflict shows the
-table as it is, in which the edit's own id stands if it took effect.
+An edit is one compare-and-swap of the whole table. If the reply is lost,
+the same swap is retried: it either succeeds, or the conflict returns the
+current table, whose history contains the edit id if the edit took effect.
 """
 
 import asyncio
@@ -16,14 +16,14 @@
 from rudderrock import transport
 from rudderrock.coordination import _follow as follow
 
-_FIRST_PAUSE_S = 0.05
-_LONGEST_PAUSE_S = 1.0
+_INITIAL_PAUSE_S = 0.05
+_MAX_PAUSE_S = 1.0
 _TOO_LARGE = f'the table would have more than {state.MAX_TABLE_BYTES} bytes'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EditAccepted:
-    """The edit took effect, as this revision."""
+    """The edit took effect; `edit` holds its revision."""
 
     edit: state.Edit
 
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EditInvalid:
-    """The row fails its checks; nothing was changed."""
+    """The row or the whole table fails its checks; nothing was changed."""
 
     problems: state.Problems
 
@@ -46,7 +46,7 @@
 class EditUncertain:
     """The service did not answer in time; the edit may have taken effect.
 
-    Trying again with the same edit id is safe and settles it.
+    Retrying with the same edit id is safe and returns a definite outcome.
     """
 
     detail: str
@@ -58,8 +58,9 @@
 class TableEditor:
     """Reads and edits the table for an operator.
 
-    Parameters: `kv` is the key-value service; `source` makes edit ids,
-    which must not repeat, so outside tests it is the system's.
+    Parameters: `kv` is the port to the key-value service. `source`
+    generates edit ids, which must be unique, so outside tests it is the
+    random source of the operating system.
     """
 
     def __init__(
@@ -75,9 +76,9 @@
     async def read(
         self,
     ) -> result.Result[state.Table, str]:
-        """Read the table as the service has it now."""
+        """Return the current table of the key-value service."""
         entry = await self._kv.get(follow.TABLE_KEY)
-        return entry.map_err(lambda err: err.detail).and_then(_decode)
+        return entry.map_err(lambda err: err.detail).and_then(_decode_table)
 
     def make_edit_id(self) -> state.EditId:
         """Return a new edit id."""
@@ -86,41 +87,49 @@
     async def edit(
         self, change: state.Change, timeout_s: float
     ) -> EditOutcome:
-        """Apply one change; tell truthfully what became of it."""
+        """Apply one change to the table and return its outcome.
+
+        Without an answer of the service, retry for up to `timeout_s`
+        seconds.
+        """
         problems = _check_change(change)
         if problems:
             return EditInvalid(problems)
-        end = self._clock.now() + timeout_s
-        pause_s = _FIRST_PAUSE_S
+        deadline = self._clock.now() + timeout_s
+        pause_s = _INITIAL_PAUSE_S
         entry: protocol.Entry | None = None
         while True:
             if entry is None:
                 read = await self._kv.get(follow.TABLE_KEY)
                 entry = read.ok()
             if entry is not None:
-                settled = await self._try(change, entry)
-                if not isinstance(settled, protocol.Entry | None):
-                    return settled
-                entry = settled
+                outcome = await self._try_swap(change, entry)
+                if not isinstance(outcome, protocol.Entry | None):
+                    return outcome
+                entry = outcome
                 if entry is not None:
                     continue
-            if self._clock.now() + pause_s >= end:
-                return EditUncertain('the key-value service is silent')
+            if self._clock.now() + pause_s >= deadline:
+                return EditUncertain('no answer from the key-value service')
             await asyncio.sleep(pause_s * self._source.uniform(0.5, 1.0))
-            pause_s = min(pause_s * 2, _LONGEST_PAUSE_S)
+            pause_s = min(pause_s * 2, _MAX_PAUSE_S)
 
-    async def _try(
+    async def _try_swap(
         self, change: state.Change, entry: protocol.Entry
     ) -> EditOutcome | protocol.Entry | None:
-        """Try one swap; return the outcome, a newer entry, or None."""
-        decoded = _decode(entry)
+        """Try one swap.
+
+        Return the outcome, the newer entry that conflicts with it, or None
+        if the service did not answer.
+        """
+        decoded = _decode_table(entry)
         if decoded.is_err():
             problem = state.Problem('table', decoded.unwrap_err())
             return EditInvalid((problem,))
         table = decoded.unwrap()
-        earlier = table.find_edit(change.edit_id)
-        if earlier is not None:
-            return EditAccepted(earlier)
+        accepted_edit = table.find_edit(change.edit_id)
+        if accepted_edit is not None:
+            return EditAccepted(accepted_edit)
         applied = state.apply_change(table, change, self._clock.wall())
         if applied.is_err():
             return EditLost(applied.unwrap_err().current)
@@ -140,7 +149,7 @@
         return None
 
 
-def _decode(entry: protocol.Entry) -> result.Result[state.Table, str]:
+def _decode_table(entry: protocol.Entry) -> result.Result[state.Table, str]:
     if entry.value is None:
         return result.Ok(state.Table())
     return protocol.decode(state.Table, entry.value)
