--- a/rudderrock/coordination/_admission.py
+++ b/rudderrock/coordination/_admission.py
@@ -2,8 +2,9 @@
 
 Cost is counted in shard requests, so a query over many shards costs more than
 one over few. An admitted query is not refused later: it is answered with the
-coverage that it reached. Every check that can refuse a request is therefore
-made here, and each refusal carries the time after which a retry is worthwhile.
+coverage that it reached. All checks of limits are therefore made here, before
+a request runs, and each refusal carries the seconds after which a retry may
+succeed.
 """
 
 import dataclasses
@@ -55,7 +56,7 @@
         """
         team = state.TeamId(row.team)
         self._book.note(team, cost)
-        fraction = self._book.get_fraction(team)
+        fraction = self._book.update_fraction(team)
         usage = self._get_usage(row, fraction)
         refusal = (
             self._check_concurrency(row.concurrency * fraction, usage, cost)
@@ -136,10 +137,12 @@
     def _check_queue_wait(
         self, row: state.TeamRow, deadline: float
     ) -> protocol.Refused | None:
-        """Refuse a request that would wait too long for a slot.
+        """Return the refusal if a queue is too long for a team, else None.
 
-        A request may wait for `queue_fraction` of the time to its deadline.
-        All services with queued requests are checked.
+        The team may have fewer than `max_queued` requests in a queue, and a
+        request may wait for `queue_fraction` of the time to its deadline. The
+        shards of the request are not known here, so every service with queued
+        requests is checked.
         """
         if not self._settings.refuse_late:
             return None
--- a/rudderrock/coordination/_attempt.py
+++ b/rudderrock/coordination/_attempt.py
@@ -65,7 +65,7 @@
     `deadline` is in loop time. `grace_s` is how long after it the reply is
     still read, in seconds. `sent_at` is the loop time at which a lane took the
     attempt, or None while the attempt is queued; an attempt abandoned while
-    queued is certain not to have run. `base_s` is the least latency of the
+    queued is certain not to have run. `base_s` is the base latency of the
     upstream in seconds: network and processing time without random delays.
     `note_late` records at the link to the upstream whether the attempt was
     late.
--- a/rudderrock/coordination/_budget.py
+++ b/rudderrock/coordination/_budget.py
@@ -9,8 +9,9 @@
     Parameters: `rate` is in tokens per second; `burst` is the capacity in
     tokens.
 
-    A cost above the burst is allowed once the bucket is full and makes its
-    balance negative, so a wide query is delayed rather than refused forever.
+    A cost above the burst may be taken when the bucket is full. The number of
+    tokens then falls below 0, and later requests wait longer. Without this
+    rule, such a cost would never be allowed.
     """
 
     def __init__(self, clock: state.Clock, rate: float, burst: float):
@@ -45,12 +46,13 @@
 
 
 class Budget:
-    """A token bucket filled by first requests and spent on extra ones.
+    """A token bucket that limits extra requests, which are hedges and retries.
 
-    Apart from the burst, extra requests cannot exceed the given fraction of
-    first requests, as with the retry budgets of Finagle.
+    Each requested shard adds `ratio` tokens; each extra request takes one.
+    Beyond the burst, extra requests therefore cannot exceed this fraction of
+    the requested shards, as with the retry budgets of Finagle.
 
-    Parameters: `ratio` is the number of tokens earned by each first request;
+    Parameters: `ratio` is the number of tokens added for each requested shard;
     `burst` is the capacity in tokens.
     """
 
@@ -60,7 +62,7 @@
         self._tokens = burst
 
     def earn(self, count: int = 1) -> None:
-        """Add the tokens earned by `count` first requests."""
+        """Add the tokens for `count` requested shards."""
         self._tokens = min(self._burst, self._tokens + self._ratio * count)
 
     def can_spend(self) -> bool:
--- a/rudderrock/coordination/_claims.py
+++ b/rudderrock/coordination/_claims.py
@@ -2,9 +2,10 @@
 
 A host claims the idempotency key by compare-and-swap before it sends the first
 byte of a request, so only one of the hosts that receive a key runs the
-request. Keys are divided into partitions. The claims of a partition are one
-stored value, and each host has one writer task for it. Changes submitted
-during a write are batched into the next write.
+request. Keys are divided into partitions. A partition is named after the epoch
+in which its keys were created (a period of `epoch_s`) and a hash of the key.
+The claims of a partition are one stored value, and each host has one writer
+task for it. Changes submitted during a write are batched into the next write.
 """
 
 import asyncio
@@ -82,16 +83,16 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Operation:
-    """A change to the claim on one key that waits to be written.
+    """One queued change: store `claim` for `key`, or delete the stored claim.
 
-    If `claim` is None, the key is released, provided that it is still claimed
-    with `nonce`.
+    It is deleted if `claim` is None. A stored claim with another nonce than
+    `nonce` conflicts with the change and stays.
     """
 
     key: str
     nonce: str
     claim: Claim | None
-    done: asyncio.Future[Won | Taken]
+    result_future: asyncio.Future[Won | Taken]
 
     def apply(self, claims: Claims) -> Taken | None:
         """Apply the change; return the conflicting claim, if any."""
@@ -105,8 +106,8 @@
         return None
 
 
-class _Partition:
-    """The only writer at this host of the claims of one partition."""
+class _PartitionWriter:
+    """Reads and writes the claims of one partition for this host."""
 
     def __init__(
         self,
@@ -137,7 +138,7 @@
             self._task = asyncio.create_task(self._write_queued())
 
     async def read(self) -> result.Result[Claims, transport.KvUnavailable]:
-        """Return the claims that the service holds now."""
+        """Read the claims from the key-value service."""
         entry = await self._kv.get(self._key)
         match entry:
             case result.Ok(current):
@@ -159,15 +160,17 @@
         backoff_s = _INITIAL_BACKOFF_S
         while self._queued:
             await self._wait_for_batch()
-            batch = [each for each in self._queued if not each.done.done()]
+            batch = [
+                each for each in self._queued if not each.result_future.done()
+            ]
             self._queued = []
             self._urgent.clear()
             if await self._write_batch(batch):
                 backoff_s = _INITIAL_BACKOFF_S
                 continue
-            # The write may have taken effect. Writing the same changes again
-            # resolves this: either the write succeeds, or the conflicting
-            # value already holds the claims with the nonces of this batch.
+            # The write may have taken effect, so the same changes are applied
+            # again to the value that is then stored. A change that is already
+            # stored has the same nonce there and is no conflict.
             self._queued = batch + self._queued
             self._urgent.set()
             await asyncio.sleep(backoff_s)
@@ -204,6 +207,7 @@
             before = dict(claims)
             conflicts = {each: each.apply(claims) for each in batch}
             if claims == before:
+                # Every change conflicts or has already taken effect.
                 _resolve(batch, conflicts)
                 return True
             swapped = await self._swap(claims)
@@ -252,13 +256,14 @@
         self._kv = kv
         self._settings = settings
         self._clock = clock
-        self._partitions: dict[str, _Partition] = {}
+        self._writers: dict[str, _PartitionWriter] = {}
 
     def check_key(self, key: str) -> result.Result[None, protocol.Refused]:
         """Refuse a key that is malformed, expired or dated in the future.
 
-        A key starts with the Unix time at which it was created. The time
-        distinguishes a new key from one whose claim has been deleted.
+        A key starts with the Unix time at which it was created. A key older
+        than the retention is refused, because its claim may have been deleted
+        and the request could run twice.
         """
         match = _KEY_PATTERN.match(key)
         if match is None:
@@ -286,10 +291,10 @@
         self, key: str, claim: Claim, until: float
     ) -> Won | Taken | NotCommitted:
         """Claim a key, waiting until loop time `until` at most."""
-        done = self._submit(key, claim.nonce, claim, urgent=True)
+        result_future = self._submit(key, claim.nonce, claim, urgent=True)
         try:
             async with asyncio.timeout_at(until):
-                return await done
+                return await result_future
         except TimeoutError:
             return NotCommitted(
                 'the key-value service did not confirm the claim in time'
@@ -313,8 +318,8 @@
     async def read(
         self, key: str
     ) -> result.Result[Claim | None, transport.KvUnavailable]:
-        """Return the claim on a key that the service holds now."""
-        claims = await self._get_partition(key).read()
+        """Read the claim on a key from the key-value service."""
+        claims = await self._get_writer(key).read()
         return claims.map(lambda known: known.get(key))
 
     async def clean(self, index: int, hosts: int) -> None:
@@ -328,8 +333,8 @@
         newest_epoch = (
             int((self._clock.wall() - kept_s) // settings.epoch_s) - 1
         )
-        # Covers twice the cleaning period, in case the last cleaning was
-        # missed.
+        # Twice the cleaning period: also delete the epochs of the period
+        # before, in case that run was missed.
         count = math.ceil(2 * settings.clean_period_s / settings.epoch_s)
         for epoch in range(newest_epoch, newest_epoch - count, -1):
             for number in range(settings.partitions):
@@ -338,18 +343,18 @@
 
     async def close(self) -> None:
         """Discard the changes that are not yet written."""
-        for partition in self._partitions.values():
-            await partition.close()
+        for writer in self._writers.values():
+            await writer.close()
 
     def _submit(
         self, key: str, nonce: str, claim: Claim | None, urgent: bool
     ) -> asyncio.Future[Won | Taken]:
         rate = self._settings.writes_per_s / max(1, self._count_hosts())
         self._write_limit.set_rate(rate, _WRITE_BURST)
-        done = asyncio.get_running_loop().create_future()
-        operation = _Operation(key, nonce, claim, done)
-        self._get_partition(key).submit(operation, urgent)
-        return done
+        result_future = asyncio.get_running_loop().create_future()
+        operation = _Operation(key, nonce, claim, result_future)
+        self._get_writer(key).submit(operation, urgent)
+        return result_future
 
     async def _delete(self, key: str) -> None:
         entry = await self._kv.get(key)
@@ -359,7 +364,7 @@
                     protocol.SwapRequest(key=key, value=None, expected=version)
                 )
 
-    def _get_partition(self, key: str) -> _Partition:
+    def _get_writer(self, key: str) -> _PartitionWriter:
         team, _, caller_key = key.partition('/')
         epoch = int(
             int(caller_key.partition('-')[0]) // self._settings.epoch_s
@@ -368,23 +373,23 @@
             xxhash.xxh64_intdigest(key.encode()) % self._settings.partitions
         )
         name = f'{_PREFIX}/{epoch}/{number}'
-        partition = self._partitions.get(name)
-        if partition is None:
+        writer = self._writers.get(name)
+        if writer is None:
             self._remove_idle()
-            partition = _Partition(
+            writer = _PartitionWriter(
                 name, self._kv, self._settings, self._write_limit
             )
-            self._partitions[name] = partition
-        return partition
+            self._writers[name] = writer
+        return writer
 
     def _remove_idle(self) -> None:
         """Remove idle writers; a new writer reads its partition again."""
-        if len(self._partitions) < _IDLE_REMOVAL_THRESHOLD:
+        if len(self._writers) < _IDLE_REMOVAL_THRESHOLD:
             return
-        self._partitions = {
-            name: partition
-            for name, partition in self._partitions.items()
-            if not partition.is_idle
+        self._writers = {
+            name: writer
+            for name, writer in self._writers.items()
+            if not writer.is_idle
         }
 
 
@@ -402,8 +407,8 @@
     batch: list[_Operation], conflicts: dict[_Operation, Taken | None]
 ) -> None:
     for operation in batch:
-        if not operation.done.done():
-            operation.done.set_result(conflicts[operation] or Won())
+        if not operation.result_future.done():
+            operation.result_future.set_result(conflicts[operation] or Won())
 
 
 def _decode_claims(entry: protocol.Entry) -> Claims:
--- a/rudderrock/coordination/_commands.py
+++ b/rudderrock/coordination/_commands.py
@@ -2,8 +2,10 @@
 
 A command is claimed, then sent, and then its outcome is recorded. A command is
 never sent without a claim, never sent again once its bytes may have left, and
-never hedged. If it is certain not to have run, the claim is released and the
-refusal says "not run". Otherwise the outcome is "unknown" and remains so.
+never hedged. If a claimed command is certain not to have run, its claim is
+released and the request is refused with reason `UPSTREAM`. If the upstream
+answers, its answer is recorded. In every other case the outcome is "unknown",
+for this call and for repeated ones.
 """
 
 import asyncio
@@ -88,8 +90,8 @@
             case claims.Taken(earlier):
                 return await self._answer_repeat(ticket, claim, earlier)
             case claims.NotCommitted(detail):
-                # Nothing was sent. The claim may have taken effect all the
-                # same, so it is released to make the key usable again.
+                # Nothing was sent. The claim may still be stored later, so it
+                # is released to make the key usable again.
                 self._store.release(ticket.claim_key, claim)
                 return _refuse_unclaimed(ticket, detail)
             case claims.Won():
@@ -170,7 +172,8 @@
             outcome = await self._send(ticket, collection)
         except asyncio.CancelledError:
             # Cancelled by an operator, or because the caller disconnected. The
-            # claim is kept, so that no host runs the command again.
+            # claim is kept, so that no host runs the command again. The
+            # cancellation ends here, so that this outcome is returned.
             asyncio.current_task().uncancel()
             return protocol.Unknown(
                 query=ticket.query_id, detail='cancelled while in flight'
--- a/rudderrock/coordination/_config.py
+++ b/rudderrock/coordination/_config.py
@@ -1,4 +1,4 @@
-"""Configuration in force on a host: its freshness and distribution.
+"""Keeps the configuration of a host up to date and exchanges it with peers.
 
 The configuration is the table of teams and the layout of the upstreams.
 """
@@ -20,12 +20,14 @@
 
 # Number of peers that a host sends a change to at once.
 PUSH_FANOUT = 3
-# Reads attempted within `isolation_s` before a host counts as isolated.
+# The pause between two checks is `isolation_s` divided by this, so that a host
+# without contact reads the table before it counts as isolated.
 _CHECKS_BEFORE_ISOLATION = 4
 _MAX_CHECK_PAUSE_S = 8.0
-# How often the order in which hosts read the table changes.
+# Period after which hosts read the table in a new random order.
 _READ_ORDER_EPOCH_S = 60.0
-# Highest rank in that order; bounds how long the last hosts wait.
+# Highest position in that order, which also bounds the age of the table at
+# which the last hosts read it.
 _MAX_READ_RANK = 6
 _FETCH_TIMEOUT_S = 1.0
 
@@ -34,9 +36,9 @@
     """The table and the layout in force on one host.
 
     Parameters: `table` and `layout` watch the key-value service. The
-    composition root connects them to `apply_table` and `apply_layout`,
-    which put new values in force. `peers` is the port through which newer
-    revisions are fetched from other hosts.
+    composition root (`rudderrock.root`) connects them to `apply_table` and
+    `apply_layout`, which put new values in force. `peers` is the port
+    through which newer revisions are fetched from other hosts.
     """
 
     def __init__(
@@ -70,10 +72,10 @@
         self._closed = False
         self._started_at = clock.now()
 
-    async def wait_until_read(self) -> None:
+    async def wait_until_in_force(self) -> None:
         """Wait until a table and a layout are in force."""
-        await self.table.wait_until_read()
-        await self.layout.wait_until_read()
+        await self.table.wait_until_in_force()
+        await self.layout.wait_until_in_force()
 
     async def close(self) -> None:
         """Cancel fetches from peers and pushes to peers."""
@@ -183,15 +185,16 @@
         return self._clock.now() - max(last_contact, self._started_at)
 
     async def confirm_periodically(self) -> None:
-        """Read the table if its revision was not confirmed recently.
-
-        A read by one host confirms the revision for all, because digests
-        carry the age of the last confirmation. Hosts read in a
-        pseudo-random order: each waits `recheck_s` longer than the one
-        before it, so the number of reads does not grow with the number of
-        hosts. A host without recent contact reads regardless of the order,
-        so that it does not count as isolated. While the service does not
-        answer, the pauses between reads grow.
+        """Read the table whenever its revision was not confirmed recently.
+
+        This runs until cancelled. A read by one host confirms the revision for
+        all, because digests carry the age of the last confirmation. Hosts read
+        in a pseudo-random order: the first at an age of `recheck_s`, the next
+        at twice that age, and so on. Once the first has read, the others need
+        not, so the number of reads does not grow with the number of hosts. A
+        host without recent contact reads regardless of the order, so that it
+        does not count as isolated. While the service does not answer, the
+        pauses between reads grow.
         """
         min_pause_s = (
             self._settings.membership.isolation_s / _CHECKS_BEFORE_ISOLATION
@@ -211,7 +214,7 @@
                 pause_s = min(2 * pause_s, _MAX_CHECK_PAUSE_S)
 
     def _get_read_rank(self) -> int:
-        """Return how many hosts read before this one, at most the maximum."""
+        """Return how many hosts read first, `_MAX_READ_RANK` at most."""
         epoch = int(self._clock.wall() // _READ_ORDER_EPOCH_S)
         own_hash = _hash_read_order(self._membership.me.host, epoch)
         rank = sum(
--- a/rudderrock/coordination/_dispatch.py
+++ b/rudderrock/coordination/_dispatch.py
@@ -44,14 +44,15 @@
             elapsed - self.mean_exchange_s
         )
 
-    def can_hedge(
+    def has_fast_replica(
         self, avoid: frozenset[state.UpstreamId], pause_above: float
     ) -> bool:
-        """Return whether another reachable replica is rarely late.
+        """Return whether some reachable replica not in `avoid` is rarely late.
 
-        `pause_above` is the highest fraction of late requests that such a
-        replica may have. If all replicas exceed it, the service as a whole is
-        slow, and more requests would slow it further.
+        Only then is a hedge expected to help. `pause_above` is the highest
+        fraction of late requests that such a replica may have. If all
+        replicas exceed it, the service as a whole is slow, and more requests
+        would slow it further.
         """
         return any(
             link.is_reachable and link.health.late <= pause_above
@@ -59,7 +60,9 @@
             if link.upstream.upstream not in avoid
         )
 
-    def can_serve(self, version: state.IndexVersion, now: float) -> bool:
+    def may_hold_version(
+        self, version: state.IndexVersion, now: float
+    ) -> bool:
         """Return whether some reachable replica may hold a version.
 
         Only replicas that recently rejected the version are ruled out.
@@ -72,7 +75,7 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Return whether any replica is expected to take work soon."""
+        """Return whether any replica is reachable."""
         return any(link.is_reachable for link in self.links)
 
     @property
@@ -84,19 +87,19 @@
         """Return the expected wait of one more request of a team in seconds.
 
         The estimate assumes that the queued requests of the team and the new
-        one each take the mean duration of an exchange, on the fraction of the
-        slots that the weight of the team gives it.
+        one each take the mean duration of an exchange, on the team's share of
+        `capacity`.
         """
         if not len(self.queue):
             return 0.0
         ahead = self.queue.count(row.team) + 1
         share = self.queue.get_share(row)
-        slots = max(1, self.capacity) * share
-        return ahead * max(self.mean_exchange_s, 1e-4) / slots
+        team_capacity = max(1, self.capacity) * share
+        return ahead * max(self.mean_exchange_s, 1e-4) / team_capacity
 
 
 class Dispatcher:
-    """The services of one host and its links to all upstreams.
+    """Sends shard requests to replicas and queues them while none is free.
 
     Parameters: `zone` is the availability zone of this host; `port` opens
     connections to upstreams; `settings` give the policies; `source` draws the
@@ -164,7 +167,7 @@
         """Return the services that have queued requests."""
         return [each for each in self._services.values() if len(each.queue)]
 
-    def probably_serves(
+    def probably_holds_version(
         self, shard: state.ShardId, version: state.IndexVersion
     ) -> bool:
         """Return whether some reachable replica probably holds a version.
@@ -209,12 +212,15 @@
     def _choose_replica(
         self, service: Service, attempt: attempts.Attempt
     ) -> links.UpstreamLink | None:
-        """Return the better of two free replicas drawn at random, or None.
+        """Return the cheaper of two free replicas drawn at random, or None.
+
+        This is the power of two choices (Mitzenmacher, 2001). With
+        `ReplicaChoice.RANDOM`, return either of the two instead.
 
-        This is the power of two choices (Mitzenmacher, 2001). Ejected or
-        shedding replicas, and those that probably lack the version, are
-        considered only if there are no others, so these temporary conditions
-        never leave a shard without replicas.
+        Ejected or shedding replicas, and those that probably lack the version,
+        are considered only if every eligible replica is one of them, so these
+        temporary conditions never leave a shard without replicas. While
+        another one is merely busy, the attempt waits.
         """
         now = self._clock.now()
         request = attempt.request
@@ -256,22 +262,25 @@
                     break
 
     def _send_next(self, service: Service) -> bool:
-        """Take the next queued attempt and send it if possible.
+        """Take one attempt from the queue and send, reject or drop it.
 
-        Return False if it cannot be sent now and is queued again.
+        Return False if it was put back because no replica can take it now.
         """
         attempt = service.queue.pop()
         if attempt.given_up:
             return True
         link = self._choose_replica(service, attempt)
         if link is None:
-            # The only free replica is one that the attempt should avoid.
+            # No replica is free, except perhaps one to avoid: use that one
+            # rather than wait.
             attempt.avoid = frozenset()
             link = self._choose_replica(service, attempt)
         if link is not None:
             link.send(attempt)
             return True
-        if not service.can_serve(attempt.request.version, self._clock.now()):
+        if not service.may_hold_version(
+            attempt.request.version, self._clock.now()
+        ):
             # The last replica with this version dropped it while the attempt
             # was queued.
             attempt.deliver(
--- a/rudderrock/coordination/_extra.py
+++ b/rudderrock/coordination/_extra.py
@@ -6,8 +6,8 @@
 from rudderrock.coordination import _budget as budgets
 from rudderrock.coordination import _dispatch as dispatch
 
-# Hedge delay while the least latency of an upstream is unknown, and the
-# threshold from which a collection starts.
+# Shortest hedge delay while the base latency of an upstream is unknown, and
+# lower bound of the initial hedge threshold of a collection.
 UNKNOWN_PATIENCE_S = 0.05
 _MAX_HEDGE_THRESHOLD_S = 10.0
 
@@ -16,9 +16,15 @@
 class QueryCounters:
     """Totals since the start of the host, for its metrics.
 
-    `first`, `hedges` and `retries` count requests sent to upstreams; `shards`
-    counts the shards that queries asked for. Extra load is what was sent
-    beyond one request per shard.
+    `shards` counts the shards that queries asked for. `first` and `retries`
+    count requests that were sent or queued; `hedges` counts those sent. Extra
+    load is what exceeds one request per shard.
+
+    `hedge_wins`: hedges that answered while another attempt for their shard
+    was in flight. `hedges_denied` and `retries_denied`: times that a hedge or
+    retry was not allowed. `sends_postponed`: times that a hedge, or the retry
+    of a request presumed lost, was put off because no replica was free.
+    `restarts`: queries started again with another version.
     """
 
     shards: int = 0
@@ -27,7 +33,7 @@
     retries: int = 0
     hedge_wins: int = 0
     hedges_denied: int = 0
-    hedges_postponed: int = 0
+    sends_postponed: int = 0
     retries_denied: int = 0
     restarts: int = 0
 
@@ -40,9 +46,9 @@
 class ExtraRequests:
     """Budgets for hedges and retries, and the hedge thresholds.
 
-    A hedge takes a token from the budgets of the host and of the service; a
-    retry from those of the team and of the service. No team or service can
-    therefore use up the budget of another.
+    A hedge needs a token of the host and one of the service; a retry needs one
+    of the team and one of the service. This bounds the retries of each team
+    and the extra requests to each service.
     """
 
     def __init__(self, settings: state.Settings):
@@ -55,10 +61,10 @@
         self._team_retry_budgets: dict[state.TeamId, budgets.Budget] = {}
         self._hedge_thresholds: dict[state.CollectionId, state.LatePoint] = {}
 
-    def count_first_request(
+    def count_shard(
         self, service: dispatch.Service, team: state.TeamId
     ) -> None:
-        """Count the first request for a shard, which fills the budgets."""
+        """Count a requested shard and add its tokens to the budgets."""
         self.counters.shards += 1
         self._host_hedge_budget.earn()
         service.hedges.earn()
@@ -84,7 +90,7 @@
     def charge_retry(
         self, service: dispatch.Service, team: state.TeamId
     ) -> None:
-        """Count a retry that was sent, and charge its budgets."""
+        """Count a retry that was sent or queued, and charge its budgets."""
         budgets.spend_all((service.retries, self._get_team_budget(team)))
         self.counters.retries += 1
 
@@ -93,10 +99,10 @@
     ) -> state.LatePoint:
         """Return the hedge threshold of a collection.
 
-        A request is late if it exceeds the least latency of its upstream by
-        more than the threshold. All services of a collection share one
+        A request is late if it takes longer than the base latency of its
+        upstream plus the threshold. All services of a collection share one
         threshold: a host sends few requests to a single service, and the
-        causes of lateness are the same for all of them. The least latency is
+        causes of lateness are the same for all of them. The base latency is
         kept for each upstream.
         """
         threshold = self._hedge_thresholds.get(collection)
--- a/rudderrock/coordination/_fair_queue.py
+++ b/rudderrock/coordination/_fair_queue.py
@@ -3,8 +3,8 @@
 Start-time fair queueing (Goyal, Vin and Cheng, SIGCOMM 1996) gives each team
 with queued requests a share proportional to its weight. Priorities use
 borrowed virtual time (Duda and Cheriton, SOSP 1999): a team of higher priority
-is served earlier by a bounded amount of virtual time, which it pays back. The
-long-term share of each team is unchanged.
+gets a constant lead in virtual time. Its virtual time advances as for any
+other team, so its long-term share is unchanged.
 """
 
 import collections
@@ -16,9 +16,10 @@
 
 T = TypeVar('T')
 
-# Virtual time by which one step of priority brings a team forward, in requests
-# of a team of weight 1.
+# Lead in virtual time for each step of priority. One unit is one request of a
+# team of weight 1.
 _LEAD_PER_PRIORITY = 1.0
+# Priorities run from 0 (first) to 9 (last).
 _LOWEST_PRIORITY = 9
 _SHARED_QUEUE = state.TeamId('')
 
@@ -36,6 +37,7 @@
 
     @property
     def rank(self) -> float:
+        """Return the sort key; the team with the smallest is served next."""
         steps = _LOWEST_PRIORITY - self.priority
         return self.virtual_start - steps * _LEAD_PER_PRIORITY
 
@@ -45,8 +47,8 @@
 
     Each request has a cost of 1, since each takes one slot.
 
-    Parameters: with `order` `FIFO`, all teams share one first-in, first-out
-    queue, which serves as a baseline for comparisons.
+    Parameters: `order` is `FAIR`, or `FIFO` for a single first-in, first-out
+    queue of all teams, as a baseline for comparisons.
     """
 
     def __init__(self, order: state.QueueOrder = state.QueueOrder.FAIR):
@@ -105,9 +107,10 @@
         return team if self._order is state.QueueOrder.FAIR else _SHARED_QUEUE
 
     def _remove_idle(self) -> None:
-        """Remove the teams that have no virtual time to pay back.
+        """Remove the teams whose virtual start has been reached.
 
-        This frees the memory of teams that stay idle.
+        They would start anew with the same value. This frees the memory of
+        teams that stay idle.
         """
         self._queues = {
             team: queue
--- a/rudderrock/coordination/_follow.py
+++ b/rudderrock/coordination/_follow.py
@@ -3,7 +3,7 @@
 A new value is applied if it passes its checks and has a higher revision
 than the one in force. While the service is down, or holds an invalid
 value, the last valid one stays in force. If the service was restored from
-an older copy, the value that it has lost is written again.
+an older copy, the edits that it has lost are written again.
 """
 
 import asyncio
@@ -39,9 +39,9 @@
     reason why it is invalid; `get_revision` returns its revision; `apply`
     puts it in force. `kinds` are the event kinds for a value put in force
     and for a rejected one. `watch_s` is the longest time that one watch
-    waits, in seconds. `reunite` takes the value in force and the one that
-    the service holds; where the service has lost part of the former, it
-    returns the value to write, else None.
+    waits, in seconds. `reunite(kept, found)` returns the value to write if
+    `found`, from the service, lacks edits that `kept`, the value in force,
+    has; else None.
     """
 
     def __init__(
@@ -97,6 +97,7 @@
                     self._process_entry(entry, sent_at)
                     await self._restore(entry)
                     pause_s = _INITIAL_PAUSE_S
+                    # An absent key cannot be watched, so it is polled.
                     if entry.version != protocol.ABSENT:
                         continue
                 case result.Err(failure):
@@ -107,9 +108,8 @@
     async def read_now(self) -> bool:
         """Read the key now; return whether the service answered.
 
-        A watch may miss events, so only a read confirms that a revision is
-        the latest. The watch in flight only shows that the service was
-        reachable when the watch was sent.
+        A read confirms the revision in force even if the key is unchanged. A
+        watch may miss events, so it does so only when it returns a new value.
         """
         sent_at = self._clock.now()
         match await self._kv.get(self._key):
@@ -119,7 +119,7 @@
                 return True
         return False
 
-    async def wait_until_read(self) -> None:
+    async def wait_until_in_force(self) -> None:
         """Wait until a value is in force, from the service or from a peer."""
         await self._value_available.wait()
 
@@ -159,8 +159,9 @@
     def _process_entry(self, entry: protocol.Entry, sent_at: float) -> None:
         """Process the reply to a call that was sent at loop time `sent_at`.
 
-        The value is known to be current only at that time: after a pause
-        of this process, the reply may have waited long before it was read.
+        The service is known to have been reachable, and the value current,
+        only at that time: after a pause of this process, the reply may have
+        waited long before it was read.
         """
         self.last_contact_at = max(sent_at, self.last_contact_at or sent_at)
         if entry.version == self._version or entry.value is None:
@@ -174,31 +175,32 @@
                 self.confirm(self._clock.now() - sent_at)
 
     async def _restore(self, entry: protocol.Entry) -> None:
-        """Write the value in force again if the service has lost it.
+        """Write again the edits that the service has lost, if any.
 
         The write is a compare-and-swap against the version found, so only
         one of several hosts succeeds and no concurrent edit is overwritten.
         """
-        lost_value = self._find_lost_value(entry)
-        if lost_value is None:
+        restored_value = self._make_value_to_restore(entry)
+        if restored_value is None:
             return
         delay_s = _MAX_RESTORE_DELAY_S * self._source.random()
+        # Wait, but stop if another host writes first.
         watched = await self._kv.watch(self._key, entry.version, delay_s)
         if watched.is_err() or watched.unwrap().version != entry.version:
             return
         request = protocol.SwapRequest(
             key=self._key,
-            value=protocol.encode(lost_value),
+            value=protocol.encode(restored_value),
             expected=entry.version,
         )
         if (await self._kv.swap(request)).is_ok():
             self._ring.record(
                 state.EventKind.TABLE_RESTORED,
-                detail=f'revision {self._get_revision(lost_value)}',
+                detail=f'revision {self._get_revision(restored_value)}',
             )
 
-    def _find_lost_value(self, entry: protocol.Entry) -> T | None:
-        """Return the value to write again, or None if nothing was lost."""
+    def _make_value_to_restore(self, entry: protocol.Entry) -> T | None:
+        """Return the value with the lost edits, or None if none was lost."""
         if entry.value is None or self._value is None:
             return None
         match self._read(entry.value):
--- a/rudderrock/coordination/_gather.py
+++ b/rudderrock/coordination/_gather.py
@@ -24,8 +24,8 @@
 # A check that runs this much later than planned, in seconds, shows that the
 # process stalled: an event loop with spare capacity is less than 1 ms late.
 _STALL_THRESHOLD_S = 0.005
-# A request still unanswered after this many hedge delays is hedged from the
-# retry budget if the hedge budget is exhausted.
+# A request still unanswered after this many hedge delays is presumed lost. It
+# is then sent again as a retry if the hedge budget is exhausted.
 _LOST_FACTOR = 10.0
 _EVENT_KINDS = {
     attempts.AttemptKind.HEDGE: state.EventKind.HEDGE,
@@ -79,7 +79,9 @@
         )
 
     async def run(self, may_restart: bool) -> bool:
-        """Gather answers until all shards are closed or the time is up.
+        """Gather answers until the time is up or no shard is left to wait for.
+
+        A shard is closed once it has an answer or is counted as missing.
 
         With `may_restart`, stop and return True as soon as no replica of some
         shard can serve the version. Return False otherwise.
@@ -120,7 +122,7 @@
             call = calls.ShardCall(service=service)
             self._calls[shard] = call
             self._open_count += 1
-            self._extra.count_first_request(service, self._team)
+            self._extra.count_shard(service, self._team)
             self._send_first(call)
 
     def _send_first(self, call: calls.ShardCall) -> None:
@@ -181,21 +183,21 @@
         for due in self._checks.take_due():
             if due.retry_reason is not None:
                 self._retry(due.call, due.retry_reason)
-            elif self._has_stalled(due):
+            elif self._should_postpone(due):
                 due.call.check_postponed = True
                 self._check_later(due.call, self._hedge_delay_s)
             else:
                 self._hedge_if_late(due.call)
 
-    def _has_stalled(self, due: calls.Due) -> bool:
-        """Return whether this process may have caused the delay of an answer.
+    def _should_postpone(self, due: calls.Due) -> bool:
+        """Return whether to postpone a check because this process ran it late.
 
         If the process stalled, the answer may have arrived without having been
-        read, and a hedge would load another replica for nothing. With 26 busy
-        processes on 8 cores, three hedges were sent 2 ms before the three
-        answers were read, in 25 of 150 queries. The shard therefore gets the
-        hedge delay a second time, but only once, so that a host that is always
-        behind still hedges.
+        read, and a hedge would load another replica for nothing. For example,
+        three hedges were sent 2 ms before the three answers were read in 25 of
+        150 queries, with 26 busy processes on 8 cores. The shard therefore
+        gets the hedge delay a second time, but only once, so that a host that
+        is always behind still hedges.
         """
         overdue_s = self._clock.now() - due.when
         return overdue_s > _STALL_THRESHOLD_S and not due.call.check_postponed
@@ -220,11 +222,13 @@
 
     def _hedge(self, call: calls.ShardCall, first: attempts.Attempt) -> None:
         service = call.service
-        if not call.hedged:
+        if not call.found_late:
             self._record_lateness(first, True)
-            call.hedged = True
+            call.found_late = True
         avoid = call.excluded | {first.upstream}
-        if not service.can_hedge(avoid, self._settings.hedging.pause_above):
+        if not service.has_fast_replica(
+            avoid, self._settings.hedging.pause_above
+        ):
             self._deny_hedge(call)
         elif self._extra.can_hedge(service):
             if self._try_send(call, attempts.AttemptKind.HEDGE, avoid):
@@ -238,6 +242,7 @@
             self._deny_hedge(call)
 
     def _deny_hedge(self, call: calls.ShardCall) -> None:
+        """Count a hedge that is not allowed now, and check again later."""
         self._counters.hedges_denied += 1
         self._check_later(call, self._hedge_delay_s)
 
@@ -263,14 +268,14 @@
             return True
         call.in_flight.remove(attempt)
         call.attempt_count -= 1
-        self._counters.hedges_postponed += 1
+        self._counters.sends_postponed += 1
         self._check_later(call, _HEDGE_RECHECK_S)
         return False
 
     def _record_lateness(self, attempt: attempts.Attempt, late: bool) -> None:
         """Record whether a first attempt was late.
 
-        Nothing is recorded while the least latency of the upstream is unknown,
+        Nothing is recorded while the base latency of the upstream is unknown,
         because a long network distance would then count as lateness.
         """
         if attempt.base_s > 0.0:
@@ -304,8 +309,9 @@
     ) -> None:
         elapsed = self._clock.now() - attempt.sent_at
         if attempt.kind is attempts.AttemptKind.HEDGE:
+            # The hedge wins if the attempt that it hedges is still unanswered.
             self._counters.hedge_wins += bool(call.in_flight)
-        elif not call.hedged:
+        elif not call.found_late:
             late = elapsed > attempt.base_s + self._hedge_delay_s
             call.service.record_answer(elapsed)
             self._record_lateness(attempt, late)
@@ -342,10 +348,11 @@
         reason: protocol.MissReason,
         retry_after_s: float = 0.0,
     ) -> None:
-        """Retry a shard unless another attempt for it is in flight.
+        """Retry a shard, or close it, unless an attempt for it is in flight.
 
-        Another replica is tried at once. If none is left, the same replicas
-        are tried again after a pause.
+        A reachable replica that has not failed is tried at once; if there is
+        none, the failed ones are tried again after a pause. The shard is
+        closed as missing if no retry is possible or allowed.
         """
         if call.in_flight:
             return
@@ -412,7 +419,7 @@
             self._close_as_missing(call, protocol.MissReason.LOST)
             return True
         now = self._clock.now()
-        if not call.service.can_serve(self._placement.version, now):
+        if not call.service.may_hold_version(self._placement.version, now):
             self._close_as_missing(call, protocol.MissReason.VERSION)
             return True
         return False
@@ -431,13 +438,13 @@
         call.in_flight.clear()
 
     def _cancel_all(self) -> None:
-        """Abort all attempts in flight by closing their connections."""
+        """Cancel all attempts, queued or sent."""
         for call in self._calls.values():
             for attempt in call.in_flight:
                 attempt.cancel()
 
     def _close_remaining(self) -> None:
-        """Mark the shards that are still open as missing."""
+        """Close the shards that have no answer yet as missing."""
         at_deadline = self._clock.has_reached(self._ticket.deadline)
         for call in self._calls.values():
             if call.is_closed:
@@ -447,7 +454,8 @@
             else:
                 call.miss_reason = protocol.MissReason.EARLY
             for attempt in call.in_flight:
-                # At the deadline the upstreams stop by themselves.
+                # Upstreams stop at the deadline by themselves, so the
+                # connection stays open.
                 if at_deadline:
                     attempt.detach()
                 else:
--- a/rudderrock/coordination/_health.py
+++ b/rudderrock/coordination/_health.py
@@ -21,11 +21,12 @@
 _LATENCY_OFFSET_S = 1e-4
 # Factor on the concurrency limit when the upstream sheds an attempt.
 _SHED_BACKOFF = 0.7
-# Factor on the pause after shedding when the upstream answers.
+# The pause after shedding is multiplied by this for each answer.
 _SHED_RECOVERY = 0.8
 _MAX_SHED_PAUSE_S = 5.0
-# The limit is lowered when both the number of queued requests and the ratio of
-# the latency to the unloaded latency exceed this.
+# The limit is lowered when more than this many requests are estimated to wait
+# at the upstream and the mean latency is more than this many times the
+# unloaded latency.
 _QUEUEING_THRESHOLD = 2.0
 # Growth of the unloaded latency per answer, so that it follows a lasting rise.
 _UNLOADED_DRIFT = 1.0005
@@ -33,8 +34,9 @@
 _BASE_LATENCY_GAIN = 0.02
 # Weight of one first attempt in the moving fraction of late ones.
 _LATE_WEIGHT = 0.04
-# Shortest run of failures that leads to ejection. Failures within one stall of
-# this process or of the network are no evidence against the upstream.
+# Failures in a row lead to ejection only if they span this many seconds.
+# Failures within one stall of this process or of the network are no evidence
+# against the upstream.
 _MIN_FAILURE_SPAN_S = 0.25
 # Bounds the exponent of the ejection time.
 _MAX_EJECTIONS = 10
@@ -46,9 +48,9 @@
     """Latency, failures, shedding and index versions of one upstream.
 
     `limit` is the number of attempts that may be in flight. `late` is the
-    moving fraction of first attempts that were late. `base_s` is the
-    lowest latency observed, in seconds, 0 while unknown; it slowly follows
-    a lasting rise.
+    moving fraction of first attempts that were late. `base_s` is the base
+    latency in seconds: the lowest latency observed, 0 while unknown; it
+    slowly follows a lasting rise.
     """
 
     def __init__(self, settings: state.RoutingSettings, clock: state.Clock):
@@ -70,19 +72,19 @@
         self._missing_versions: dict[tuple[state.ShardId, int], float] = {}
 
     def is_favoured(self, now: float) -> bool:
-        """Return whether it is neither ejected nor paused after shedding."""
+        """Return whether no ejection or pause after shedding is in effect."""
         return now >= self._ejected_until and now >= self._shed_until
 
     def lacks(
         self, shard: state.ShardId, version: state.IndexVersion, now: float
     ) -> bool:
-        """Return whether it recently rejected this version of a shard."""
+        """Return whether the upstream recently rejected this version."""
         return self._missing_versions.get((shard, version), -math.inf) > now
 
     def seems_to_lack(
         self, shard: state.ShardId, version: state.IndexVersion, now: float
     ) -> bool:
-        """Return whether it probably does not have this version.
+        """Return whether the upstream probably does not have this version.
 
         In addition to `lacks`, the versions that the upstream reports with
         its load are taken as a hint.
@@ -95,9 +97,10 @@
     def get_cost(self, in_flight: int, slots: int, now: float) -> float:
         """Return the expected cost of one more attempt; lower is better.
 
-        The cost is the observed latency times the attempts of this host in
-        flight. The queue that the upstream reports has little weight,
-        because the report may be outdated or wrong.
+        The cost is the mean latency times the attempts of this host in
+        flight, the new one included; it is higher during the warm-up and if
+        the upstream reports a queue. The queue has little weight, because the
+        report may be outdated or wrong.
         """
         cost = (self._latency.get() + _LATENCY_OFFSET_S) * (in_flight + 1)
         if now < self._cold_until:
@@ -139,21 +142,21 @@
             self._adapt_limit(in_flight, lanes)
 
     def record_timeout(self, elapsed_s: float) -> float | None:
-        """Record that no answer arrived in `elapsed_s` seconds, as a failure.
+        """Record that no answer arrived in `elapsed_s` seconds.
 
-        This includes an attempt that was cancelled because its hedge was
-        faster; the elapsed time is then a lower bound of its latency.
-        Return the ejection time as `record_failure` does.
+        This counts as a failure, also for an attempt that was cancelled
+        because its hedge was faster; the elapsed time is then a lower bound
+        of its latency. Return the ejection time as `record_failure` does.
         """
         self._latency.record(max(elapsed_s, self._latency.get()))
         return self.record_failure()
 
     def record_shed(self, retry_after_s: float) -> None:
-        """Record that it shed an attempt because of overload.
+        """Record that the upstream shed an attempt because of overload.
 
         Lower the limit and pause sending. The pause doubles with each
-        rejection and shrinks with each answer, so that rejections do not
-        become the steady state.
+        rejection, so that rejections become rare, and shrinks with each
+        answer.
         """
         self.limit = max(MIN_LIMIT, self.limit * _SHED_BACKOFF)
         pause_s = max(retry_after_s, 2 * self._shed_pause_s)
@@ -166,7 +169,7 @@
         version: state.IndexVersion,
         held_versions: tuple[state.IndexVersion, ...],
     ) -> None:
-        """Record that it does not have a version, and which ones it has."""
+        """Record that the upstream lacks a version, and which ones it has."""
         now = self._clock.now()
         if len(self._missing_versions) >= _MAX_MISSING_VERSIONS:
             self._missing_versions = {
@@ -202,9 +205,9 @@
     def _adapt_limit(self, in_flight: int, lanes: int) -> None:
         """Raise the limit when it is reached, lower it when a queue forms.
 
-        This is the rule of TCP Vegas (Brakmo and Peterson, 1995): the ratio
-        of the latency to the unloaded latency gives the number of requests
-        of this host that wait at the upstream.
+        This is the rule of TCP Vegas (Brakmo and Peterson, 1995): the number
+        of requests of this host that wait at the upstream is estimated as
+        `limit * (1 - unloaded latency / mean latency)`.
         """
         mean_latency = self._latency.get()
         self._unloaded_latency = min(
--- a/rudderrock/coordination/_host.py
+++ b/rudderrock/coordination/_host.py
@@ -1,4 +1,4 @@
-"""Entry host: request handling, startup and planned stop."""
+"""The host that receives requests: request handling, startup, planned stop."""
 
 import asyncio
 import contextlib
@@ -26,7 +26,7 @@
 
 
 class EntryHost:
-    """One host, assembled from its components by the composition root.
+    """One host, assembled by the composition root (`rudderrock.root`).
 
     `run` serves until a planned stop (`stop`) has finished.
     """
@@ -87,12 +87,13 @@
             await self.lifecycle.wait_until_stopped()
 
     async def stop(self) -> None:
-        """Stop as planned, letting requests in flight finish.
+        """Stop as planned: refuse new requests and wait for those in flight.
 
         The host first reports that it is not ready, but accepts requests
         for `balancer_lag_s` more, until the balancer has reacted. It then
         refuses new requests and waits up to `bound_s` for those in flight;
-        the rest is cancelled. `hurry` ends both waits.
+        the rest is cancelled. `hurry` ends both waits. A further call of
+        `stop` does nothing.
         """
         if self.lifecycle.state in (
             lifecycle.HostState.STARTING,
@@ -126,7 +127,7 @@
             await asyncio.wait(self._active, timeout=1.0)
 
     async def _serve_when_ready(self) -> None:
-        await self.config.wait_until_read()
+        await self.config.wait_until_in_force()
         if self.lifecycle.state is lifecycle.HostState.STARTING:
             self.lifecycle.serve()
 
@@ -156,7 +157,7 @@
     def authenticate(
         self, token: str | None
     ) -> result.Result[state.TeamRow, protocol.Refused]:
-        """Return the row of the team that the token authenticates."""
+        """Return the row of the team that has this token, or the refusal."""
         claimed_team = state.split_token(token or '')
         row = (
             self.config.rows.get(claimed_team.ok())
@@ -165,7 +166,7 @@
         )
         hashes = row.token_hashes if row else ()
         # The check also runs for unknown teams, so that the response time
-        # does not reveal which teams exist.
+        # does not reveal which teams exist. No token matches 'none$none'.
         if state.check_token(token or '', hashes or ('none$none',)) and row:
             return result.Ok(row)
         return result.Err(
@@ -350,7 +351,7 @@
 
 @contextlib.asynccontextmanager
 async def _run_background_tasks():
-    """Run tasks concurrently with the body and cancel them at its end."""
+    """Return a context manager that cancels its tasks at the block's end."""
     async with asyncio.TaskGroup() as group:
         tasks: list[asyncio.Task] = []
         yield _BackgroundTasks(group, tasks)
@@ -366,5 +367,5 @@
         self._tasks = tasks
 
     def create_task(self, coroutine) -> None:
-        """Start a task that is cancelled when the body ends."""
+        """Start a task that is cancelled when the `async with` block ends."""
         self._tasks.append(self._group.create_task(coroutine))
--- a/rudderrock/coordination/_leases.py
+++ b/rudderrock/coordination/_leases.py
@@ -24,11 +24,11 @@
 
 
 class HostLease:
-    """Keeps a leased key named after this host.
+    """Keeps this host's key in the key-value service while the host runs.
 
     Parameters: `member` is the value of the key. `count_hosts` returns the
-    number of hosts. The lease time grows with it, so that the calls of all
-    hosts together are limited by `lease_calls_per_s`.
+    number of hosts. The more hosts there are, the longer is the lease, so
+    that the calls of all hosts together are limited by `lease_calls_per_s`.
     """
 
     def __init__(
@@ -48,8 +48,8 @@
         self._clock = clock
         self._source = source
         self._ring = ring
-        self._lease: str | None = None
-        self._ttl_s = settings.lease_s
+        self._lease_id: str | None = None
+        self._lease_duration_s = settings.lease_s
         self._held_until = clock.now()
 
     @property
@@ -59,16 +59,16 @@
         The time counts from when the last renewal was sent, so the lease
         never ends later here than at the service.
         """
-        return self._lease is not None and (
+        return self._lease_id is not None and (
             self._clock.now() < self._held_until
         )
 
     async def run(self) -> None:
         """Acquire the lease and renew it until cancelled."""
         while True:
-            if self._lease is not None and not self.is_held:
+            if self._lease_id is not None and not self.is_held:
                 self._record_lapse('not renewed in time')
-            if self._lease is None:
+            if self._lease_id is None:
                 await self._acquire()
             else:
                 await self._renew()
@@ -76,9 +76,9 @@
 
     async def close(self) -> None:
         """Revoke the lease, so that others need not wait for its expiry."""
-        lease, self._lease = self._lease, None
-        if lease is not None:
-            await self._kv.revoke(lease)
+        lease_id, self._lease_id = self._lease_id, None
+        if lease_id is not None:
+            await self._kv.revoke(lease_id)
 
     async def has_lease(
         self, host: state.HostId
@@ -88,26 +88,26 @@
         return entry.map(lambda found: found.value is not None)
 
     def _get_pause_s(self) -> float:
-        if self._lease is None:
+        if self._lease_id is None:
             return _RETRY_PAUSE_S * self._source.uniform(0.5, 1.0)
         jitter = self._source.uniform(0.8, 1.0)
-        return self._ttl_s / _RENEWALS_PER_LEASE * jitter
+        return self._lease_duration_s / _RENEWALS_PER_LEASE * jitter
 
     async def _acquire(self) -> None:
         min_interval_s = self._count_hosts() / self._settings.lease_calls_per_s
-        self._ttl_s = max(
+        self._lease_duration_s = max(
             self._settings.lease_s, min_interval_s * _RENEWALS_PER_LEASE
         )
         sent_at = self._clock.now()
-        granted = await self._kv.grant(self._ttl_s)
+        granted = await self._kv.grant(self._lease_duration_s)
         if granted.is_err():
             return
-        lease = granted.unwrap()
-        if await self._put_key(lease):
-            self._lease = lease
-            self._held_until = sent_at + self._ttl_s
+        lease_id = granted.unwrap()
+        if await self._put_key(lease_id):
+            self._lease_id = lease_id
+            self._held_until = sent_at + self._lease_duration_s
 
-    async def _put_key(self, lease: str) -> bool:
+    async def _put_key(self, lease_id: str) -> bool:
         """Attach this host's key to the lease; return whether it succeeded.
 
         A key left by an earlier process of this host is replaced. Without
@@ -122,18 +122,18 @@
             key=key,
             value=protocol.encode(self._member),
             expected=found.unwrap().version,
-            lease=lease,
+            lease=lease_id,
         )
         return (await self._kv.swap(request)).is_ok()
 
     async def _renew(self) -> None:
         sent_at = self._clock.now()
-        match await self._kv.renew(self._lease):
+        match await self._kv.renew(self._lease_id):
             case result.Ok(_):
-                self._held_until = sent_at + self._ttl_s
+                self._held_until = sent_at + self._lease_duration_s
             case result.Err(transport.LeaseGone()):
                 self._record_lapse('unknown to the key-value service')
 
     def _record_lapse(self, detail: str) -> None:
-        self._lease = None
+        self._lease_id = None
         self._ring.record(state.EventKind.LEASE_LAPSED, detail=detail)
--- a/rudderrock/coordination/_lifecycle.py
+++ b/rudderrock/coordination/_lifecycle.py
@@ -39,7 +39,12 @@
 
 
 class Lifecycle:
-    """State machine of a host; records each change of state as an event."""
+    """State machine of a host; records each change of state as an event.
+
+    The library `transitions` adds the attribute `state` and the methods
+    `serve`, `leave`, `drain` and `stop`; each raises
+    `transitions.MachineError` if the state does not allow it.
+    """
 
     def __init__(self, ring: state.EventRing):
         self._ring = ring
@@ -54,7 +59,7 @@
         )
 
     def record(self) -> None:
-        """Record an event for the new state."""
+        """Record the new state; if it is `STOPPED`, wake the waiting tasks."""
         self._ring.record(state.EventKind.HOST_STATE, detail=self.state.value)
         if self.state is HostState.STOPPED:
             self._stopped.set()
--- a/rudderrock/coordination/_link.py
+++ b/rudderrock/coordination/_link.py
@@ -29,9 +29,9 @@
     """State of an upstream as seen by this host.
 
     `CONNECTING`: no connection was made yet. `UP`: connected and used.
-    `EJECTED`: avoided after repeated failures. `DOWN`: no connection can
-    be made. `LEAVING`: is about to stop and gets no new attempts.
-    `CLOSED`: this host has closed its link.
+    `EJECTED`: failed repeatedly and has not answered since. `DOWN`: no
+    connection can be made. `LEAVING`: is about to stop and gets no new
+    attempts. `CLOSED`: this host has closed its link.
     """
 
     CONNECTING = 'connecting'
@@ -59,6 +59,11 @@
     Parameters: `upstream` is its description; `port` opens connections;
     `ring` records an event for each change of state; `on_free` is called
     when a lane becomes idle.
+
+    `upstream.slots` is how many requests the upstream runs at once. The
+    lanes are the connections of this host to it, `health.limit` is an
+    adaptive limit of the attempts in flight, and `capacity` is the smaller
+    of these two.
     """
 
     def __init__(
@@ -105,7 +110,7 @@
         self.health.limit = min(limit, max(count, 1))
 
     def start(self, lanes: int) -> None:
-        """Open the first lanes, with a limit that lets all be used."""
+        """Start `lanes` lanes and set the concurrency limit to this number."""
         self.health.limit = float(lanes)
         self.set_lanes(lanes)
         self._idle_check_task = asyncio.create_task(self._check_idle_lanes())
@@ -139,7 +144,7 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Return whether it accepts attempts or is expected to soon."""
+        """Return whether the upstream takes attempts or is expected to."""
         return self.takes_new_work and self.state is not UpstreamState.DOWN
 
     def get_cost(self, now: float) -> float:
@@ -270,8 +275,8 @@
     ) -> bool:
         """Run one exchange; return whether the connection can be reused."""
         if attempt.given_up or self._clock.now() >= attempt.deadline:
-            # The deadline may also have passed during a pause of the whole
-            # process; nothing is sent after it.
+            # Nothing is sent for an abandoned attempt or after the deadline,
+            # which may also have passed during a pause of the whole process.
             self.in_flight -= 1
             attempt.deliver(protocol.ShardLost(False, 'deadline passed'))
             return True
@@ -290,6 +295,7 @@
     def _on_lane_done(self, lane: asyncio.Task[None]) -> None:
         self._lanes.remove(lane)
         if not lane.cancelled() and lane.exception() is not None:
+            # A defect, which the event loop's exception handler logs.
             raise lane.exception()
 
     def _record_connected(self) -> None:
@@ -304,9 +310,8 @@
         The state changes only if no other lane has a connection, and not
         while the layout marks the upstream as leaving.
 
-        An upstream that reported itself as leaving has then stopped. Once
-        it accepts connections again it has restarted, and gets attempts
-        again.
+        This also ends `LEAVING` for an upstream that reported it: the
+        upstream has stopped, and is `UP` again after its restart.
         """
         if (
             self.in_flight == 0
@@ -348,7 +353,10 @@
         if self.state is UpstreamState.EJECTED:
             self._set_state(UpstreamState.UP, 'answered again')
         if load.leaving:
-            self._set_state(UpstreamState.LEAVING, 'reported with its load')
+            self._set_state(
+                UpstreamState.LEAVING,
+                'the upstream reported that it is leaving',
+            )
 
     def _record_ejection(self, ejection_s: float | None) -> None:
         if ejection_s is not None and self.state is UpstreamState.UP:
--- a/rudderrock/coordination/_members.py
+++ b/rudderrock/coordination/_members.py
@@ -3,11 +3,12 @@
 The protocol follows SWIM (Das, Gupta and Motivala, DSN 2002). Each host
 probes one peer per period and asks other hosts to probe a peer that does
 not answer. Membership updates are carried by the probes, so the traffic of
-a host does not grow with the number of hosts. A host that is suspected
-refutes it with a higher incarnation.
+a host does not grow with the number of hosts. A suspected host refutes the
+suspicion by raising its incarnation, a number that orders the updates about
+a host.
 
-The platform's host list adds hosts that are not yet known, and is
-consulted before a failed host is removed. Neither source decides alone.
+The platform's host list adds hosts that are not yet known. A failed host is
+removed only if the platform does not list it and it has no lease.
 """
 
 import asyncio
@@ -23,12 +24,14 @@
 from rudderrock import transport
 from rudderrock.coordination import _shares as shares
 
-# Each update is sent this many times log2 of the number of hosts.
+# An update is sent this many times for each step of log2 of the number of
+# hosts, rounded up.
 _UPDATE_REPEATS = 3
 _MS_PER_S = 1000
 # Probe periods between two reads of the platform's host list.
 _PERIODS_PER_HOST_LIST = 10
 _DIRECT_PROBES = 2
+# Sent instead of infinity for a table that was never confirmed.
 _MAX_TABLE_AGE_S = 1e9
 
 LeaseCheck = Callable[
@@ -59,7 +62,7 @@
     `has_lease` asks the key-value service whether a host has a lease;
     `get_config` returns the revisions in force, for digests; `on_digest`
     is called with each digest received; `on_change` is called when the set
-    of hosts has changed.
+    of hosts has changed; `hybrid` is the hybrid clock that stamps digests.
     """
 
     def __init__(
@@ -157,7 +160,10 @@
         return protocol.ProbeReply(digest=self.make_digest(), reached=reached)
 
     def make_digest(self) -> protocol.Digest:
-        """Return the digest for the next message."""
+        """Make the digest for one message.
+
+        Each call uses up one sending of the pending updates in the digest.
+        """
         config = self._get_config()
         return protocol.Digest(
             sender=self.me,
@@ -215,7 +221,7 @@
         self._set_member(member)
 
     def _refute(self, member: protocol.Member) -> None:
-        """Refute an update that reports this host as suspect or failed."""
+        """Raise this host's incarnation above an update with another state."""
         differs = member.state is not self.me.state
         if differs and member.incarnation >= self.me.incarnation:
             self.me = protocol.Member(
@@ -266,7 +272,7 @@
         """Expire suspected and failed members.
 
         A member suspected for `suspect_s` is marked as failed. One failed
-        for `forget_s` is removed if the other sources agree.
+        for `forget_s` is removed if it is also unlisted and has no lease.
         """
         for member in list(self._members.values()):
             in_state_s = self._clock.now() - self._updated_at[member.host]
@@ -281,9 +287,8 @@
     async def _remove_if_gone(self, member: protocol.Member) -> None:
         """Remove a failed host if it is also unlisted and without a lease.
 
-        Until all three sources agree, the host may still be serving where
-        this host cannot reach it, and it keeps its share of limits and
-        connections.
+        Until then, the host may still be serving where this host cannot reach
+        it, and it keeps its share of limits and connections.
         """
         if not self._host_list_read or member.host in self._listed_hosts:
             return
@@ -334,16 +339,19 @@
 
     async def _send_probe(
         self,
-        address: protocol.Member,
+        receiver: protocol.Member,
         target: protocol.Member | None = None,
     ) -> bool:
-        """Send one probe; return whether the probed host was reached."""
+        """Send one probe; return whether `target` answered.
+
+        Without a target, return whether `receiver` itself answered.
+        """
         timeout_s = self._settings.probe_timeout_s
         if target is not None:
             timeout_s *= 2
         probe = protocol.Probe(digest=self.make_digest(), target=target)
         sent_at = self._clock.now()
-        reply = await self._peers.probe(address.control, probe, timeout_s)
+        reply = await self._peers.probe(receiver.control, probe, timeout_s)
         match reply:
             case result.Ok(answer):
                 self.merge_digest(answer.digest, sent_at)
--- a/rudderrock/coordination/_metrics.py
+++ b/rudderrock/coordination/_metrics.py
@@ -46,7 +46,7 @@
     def record_outcome(
         self, team: state.TeamId, outcome: protocol.Outcome, latency_s: float
     ) -> None:
-        """Count one outcome that took `latency_s` seconds."""
+        """Count an outcome; record the latency if it is an answered query."""
         metrics = self._teams.setdefault(team, TeamMetrics())
         metrics.outcomes[_get_outcome_label(outcome)] += 1
         match outcome:
--- a/rudderrock/coordination/_operators.py
+++ b/rudderrock/coordination/_operators.py
@@ -1,4 +1,4 @@
-"""Edits of the table by operators, with a reliable outcome.
+"""Edits of the table by operators; a retried edit is applied only once.
 
 An edit is one compare-and-swap of the whole table. If the reply is lost,
 the same swap is retried: it either succeeds, or the conflict returns the
@@ -37,7 +37,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EditInvalid:
-    """The row or the whole table fails its checks; nothing was changed."""
+    """The row or the whole table is invalid; nothing was changed.
+
+    This is also the outcome if the stored table cannot be decoded.
+    """
 
     problems: state.Problems
 
@@ -58,9 +61,9 @@
 class TableEditor:
     """Reads and edits the table for an operator.
 
-    Parameters: `kv` is the port to the key-value service. `source`
-    generates edit ids, which must be unique, so outside tests it is the
-    random source of the operating system.
+    Parameters: `kv` is the port to the key-value service. `source` makes edit
+    ids. They must be unique, so the programs for operators pass a
+    `random.SystemRandom`.
     """
 
     def __init__(
--- a/rudderrock/coordination/_query.py
+++ b/rudderrock/coordination/_query.py
@@ -8,13 +8,13 @@
 from rudderrock.coordination import _versions as versions
 
 _MAX_RESTARTS = 2
-# A query restarts with another version only if at least this fraction of its
-# time is left.
+# A query restarts with another version only if more than this fraction of its
+# team's `deadline_s` is left.
 _MIN_RESTART_TIME_FRACTION = 0.2
 
 
 class QueryRunner:
-    """Runs admitted queries against the services of one host."""
+    """Runs the admitted queries of one host on the upstreams."""
 
     def __init__(self, dependencies: gather.GatherParts):
         self._dependencies = dependencies
--- a/rudderrock/coordination/_shard_call.py
+++ b/rudderrock/coordination/_shard_call.py
@@ -1,4 +1,4 @@
-"""State of one shard within a query, and the schedule of its checks."""
+"""Requests of a query for one shard, and the schedule of their checks."""
 
 import dataclasses
 import heapq
@@ -13,12 +13,15 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
 class ShardCall:
-    """The state of one shard within one query.
-
-    It is closed once it has an answer or a reason for having none. `failed`
-    holds the replicas that failed since the last pause; `lacking_version`
-    holds those that rejected the version. `check_postponed` is set once its
-    hedge check has been postponed because this process stalled.
+    """The requests for one shard within one pass of a query, and their result.
+
+    The call is closed once it has an answer or a reason for having none.
+    `failed` holds the replicas that failed since the last pause before a
+    retry; `lacking_version` holds those that rejected the version.
+    `attempt_count` is the number of attempts sent or queued. `found_late` is
+    set once a hedge check has found an attempt late, so that lateness is
+    recorded only once. `check_postponed` is set once a hedge check has been
+    postponed because this process stalled.
     """
 
     service: dispatch.Service
@@ -28,7 +31,7 @@
         default_factory=set
     )
     attempt_count: int = 0
-    hedged: bool = False
+    found_late: bool = False
     check_postponed: bool = False
     miss_reason: protocol.MissReason | None = None
     answer: protocol.ShardAnswer | None = None
--- a/rudderrock/coordination/_shares.py
+++ b/rudderrock/coordination/_shares.py
@@ -2,9 +2,8 @@
 
 The fraction `floor` of each limit is split evenly, the rest in proportion
 to the demand that hosts report to one another. For its own demand a host
-uses the last value that it reported, not the current one, so that all
-hosts divide by the same numbers once they have received one another's
-reports.
+uses its last demand report, not the current rates, so that all hosts divide
+by the same numbers once they have received one another's demand reports.
 """
 
 import collections
@@ -13,11 +12,12 @@
 from rudderrock import protocol
 from rudderrock import state
 
-# Teams with a lower rate of shard requests are dropped.
+# Lower rates of shard requests are not reported.
 _MIN_RATE_PER_S = 0.01
-# Fractions kept beyond twice the number of teams with demand.
+# Stored fractions are cleaned up when they exceed twice the number of teams
+# with demand plus this.
 _FRACTIONS_SLACK = 64
-# Age from which the demand reported by a host is dropped.
+# Age from which the demand report of a host is dropped.
 _MAX_DEMAND_AGE_S = 60.0
 
 
@@ -58,7 +58,7 @@
             del self._demands[host]
 
     def update_demand(self) -> protocol.Demand:
-        """Update the moving averages of demand and return the new report.
+        """Update the moving averages of demand; return the new demand report.
 
         Rates are in shard requests per second.
         """
@@ -94,7 +94,7 @@
         return demand
 
     def hear(self, demand: protocol.Demand) -> None:
-        """Merge the demand of a peer, received directly or relayed."""
+        """Merge the demand report of a peer, received directly or relayed."""
         if demand.host == self._host:
             return
         known = self._demands.get(demand.host)
@@ -103,10 +103,10 @@
             self._received_at[demand.host] = self._clock.now()
 
     def pick_demands(self, source: random.Random) -> list[protocol.Demand]:
-        """Return reports for one message: this host's and some of others.
+        """Return demand reports for one message: this host's and some others.
 
-        Other reports are added in random order, up to the size that a
-        message may have.
+        The others are added in random order while the message has room. Its
+        room is a number of rates; each added report counts as one more.
         """
         picked = []
         rates_left = protocol.MAX_DEMANDS
@@ -124,8 +124,8 @@
                 rates_left -= 1 + len(demand.rates)
         return picked
 
-    def get_fraction(self, team: state.TeamId) -> float:
-        """Return the fraction of a team's limits that this host may use."""
+    def update_fraction(self, team: state.TeamId) -> float:
+        """Update and return the fraction of a team's limits for this host."""
         floor = self._settings.floor / self._host_count
         total = sum(
             demand.rates.get(team, 0.0) for demand in self._demands.values()
@@ -140,7 +140,7 @@
     def _limit_growth(self, team: state.TeamId, target: float) -> float:
         """Return the fraction, moved toward `target` at a limited rate.
 
-        It decreases at once. Above the even share it grows only by
+        The fraction decreases at once. Above the even share it grows only by
         `growth_per_s`: when a team starts to send to many hosts at once,
         each host sees its own demand before it receives that of the
         others, and would otherwise use the whole limit.
@@ -156,7 +156,7 @@
         return fraction
 
     def _drop_expired(self, now: float) -> None:
-        """Drop the demand of hosts that have not reported recently."""
+        """Drop the demand reports of hosts that have not reported recently."""
         for host, received_at in list(self._received_at.items()):
             if now - received_at > _MAX_DEMAND_AGE_S:
                 del self._received_at[host]
--- a/rudderrock/coordination/_versions.py
+++ b/rudderrock/coordination/_versions.py
@@ -9,7 +9,7 @@
 
 
 class VersionChooser:
-    """Chooses the version that the most shards can probably serve."""
+    """Chooses the version that most shards can probably serve."""
 
     def __init__(self, dispatcher: dispatch.Dispatcher, clock: state.Clock):
         self._dispatcher = dispatcher
@@ -25,10 +25,12 @@
         collection: state.Collection,
         rejected_versions: set[state.IndexVersion],
     ) -> state.Placement | None:
-        """Return the placement that the most shards can probably serve.
+        """Return the placement of the version to query, or None.
 
-        Among equals, the newest version is returned. Versions in
-        `rejected_versions` are excluded; None is returned if no other is left.
+        A placement is the shards and replicas of one version. The version is
+        the one that most shards can probably serve, among equals the newest.
+        Versions in `rejected_versions` are excluded; None is returned if no
+        other is left.
         """
         fractions = self._get_servable_fractions(collection)
         candidates = [
@@ -46,7 +48,7 @@
     def _get_servable_fractions(
         self, collection: state.Collection
     ) -> dict[state.IndexVersion, float]:
-        """Return the fraction of shards that can serve each version."""
+        """Return, by version, the fraction of shards that may serve it."""
         now = self._clock.now()
         cached = self._cache.get(collection.collection)
         if cached is not None and cached[0] > now:
@@ -63,7 +65,7 @@
 
     def _compute_servable_fraction(self, placement: state.Placement) -> float:
         servable_count = sum(
-            self._dispatcher.probably_serves(shard, placement.version)
+            self._dispatcher.probably_holds_version(shard, placement.version)
             for shard in placement.shards
         )
         return servable_count / max(1, len(placement.shards))
