--- a/rudderrock/coordination/_admission.py
+++ b/rudderrock/coordination/_admission.py
@@ -1,9 +1,10 @@
-"""What is refused at once, before any of it runs.
+"""Admission control: refuses requests before any part of them runs.
 
-Cost is counted in shard requests, so a wide query weighs what it costs.
-A query that is admitted is never refused later: it is answered with what
-coverage it got. So all that would fail is refused here, with the time
-after which it is worth coming back.
+Cost is counted in shard requests, so a query over many shards costs more than
+one over few. An admitted query is not refused later: it is answered with the
+coverage that it reached. All checks of limits are therefore made here, before
+a request runs, and each refusal carries the seconds after which a retry may
+succeed.
 """
 
 import dataclasses
@@ -21,15 +22,15 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Gate:
-    """One team's use of this host."""
+class _TeamUsage:
+    """Rate limit and shard requests in flight of one team."""
 
     rate: budgets.RateLimit
     in_flight: int = 0
 
 
 class Admission:
-    """Decides on each request of a team against its row and the load."""
+    """Admits or refuses requests by the limits of teams and of this host."""
 
     def __init__(
         self,
@@ -42,98 +43,107 @@
         self._book = book
         self._dispatcher = dispatcher
         self._clock = clock
-        self._gates: dict[state.TeamId, _Gate] = {}
+        self._usage_by_team: dict[state.TeamId, _TeamUsage] = {}
         self._in_flight = 0
 
     def admit(
         self, row: state.TeamRow, cost: int, deadline: float
     ) -> result.Result[None, protocol.Refused]:
-        """Admit work of `cost` shard requests, or say why not.
+        """Admit work of `cost` shard requests, or return why it is refused.
 
-        `deadline` is in loop time. Admitted work must be given to
-        `release` when it ends, however it ends.
+        `deadline` is in loop time. For admitted work, the caller must call
+        `release` when the work ends, whatever its outcome.
         """
         team = state.TeamId(row.team)
         self._book.note(team, cost)
-        fraction = self._book.get_fraction(team)
-        gate = self._find_gate(row, fraction)
-        refused = (
-            self._check_concurrency(row.concurrency * fraction, gate, cost)
-            or self._check_host(cost)
-            or self._check_rate(gate, cost)
-            or self._check_queues(row, deadline)
+        fraction = self._book.update_fraction(team)
+        usage = self._get_usage(row, fraction)
+        refusal = (
+            self._check_concurrency(row.concurrency * fraction, usage, cost)
+            or self._check_host_limit(cost)
+            or self._check_rate(usage, cost)
+            or self._check_queue_wait(row, deadline)
         )
-        if refused is not None:
-            return result.Err(refused)
-        gate.rate.take(cost)
-        gate.in_flight += cost
+        if refusal is not None:
+            return result.Err(refusal)
+        usage.rate.take(cost)
+        usage.in_flight += cost
         self._in_flight += cost
         return result.Ok(None)
 
     def release(self, row: state.TeamRow, cost: int) -> None:
-        """Note that admitted work has ended."""
-        self._gates[state.TeamId(row.team)].in_flight -= cost
+        """Release the capacity used by admitted work that has ended."""
+        self._usage_by_team[state.TeamId(row.team)].in_flight -= cost
         self._in_flight -= cost
 
     @property
     def in_flight(self) -> int:
-        """Return the shard requests admitted and not ended."""
+        """Return the number of admitted shard requests still in flight."""
         return self._in_flight
 
     def forget_teams(self, rows: dict[state.TeamId, state.TeamRow]) -> None:
-        """Drop what is kept of teams that are no longer in the table."""
-        for team, gate in list(self._gates.items()):
-            if team not in rows and not gate.in_flight:
-                del self._gates[team]
+        """Remove the state of idle teams that are not in the table."""
+        for team, usage in list(self._usage_by_team.items()):
+            if team not in rows and not usage.in_flight:
+                del self._usage_by_team[team]
 
-    def _find_gate(self, row: state.TeamRow, fraction: float) -> _Gate:
+    def _get_usage(self, row: state.TeamRow, fraction: float) -> _TeamUsage:
         team = state.TeamId(row.team)
         rate = row.rate * fraction
         burst = max(1.0, rate * self._settings.rate_burst_s)
-        gate = self._gates.get(team)
-        if gate is None:
-            gate = _Gate(budgets.RateLimit(self._clock, rate, burst))
-            self._gates[team] = gate
+        usage = self._usage_by_team.get(team)
+        if usage is None:
+            usage = _TeamUsage(budgets.RateLimit(self._clock, rate, burst))
+            self._usage_by_team[team] = usage
         else:
-            gate.rate.set_rate(rate, burst)
-        return gate
+            usage.rate.set_rate(rate, burst)
+        return usage
 
     def _check_concurrency(
-        self, limit: float, gate: _Gate, cost: int
+        self, limit: float, usage: _TeamUsage, cost: int
     ) -> protocol.Refused | None:
-        # One query must pass however wide it is, or it never could.
-        if gate.in_flight == 0 or gate.in_flight + cost <= limit:
+        # A query that costs more than the limit is admitted when its team has
+        # nothing in flight; otherwise it could never run.
+        if usage.in_flight == 0 or usage.in_flight + cost <= limit:
             return None
         return protocol.Refused(
             reason=protocol.RefusalReason.CONCURRENCY,
-            detail=f'{gate.in_flight} shard requests are in flight and '
-            f'{limit:.0f} are allowed at this host',
+            detail=f'{usage.in_flight} shard requests of the team are in '
+            f'flight; {limit:.0f} are allowed at this host',
             retry_after_s=_BUSY_RETRY_AFTER_S,
         )
 
-    def _check_host(self, cost: int) -> protocol.Refused | None:
+    def _check_host_limit(self, cost: int) -> protocol.Refused | None:
         if self._in_flight + cost <= self._settings.max_shard_requests:
             return None
         return protocol.Refused(
             reason=protocol.RefusalReason.OVERLOAD,
-            detail='this host has as much in flight as it may',
+            detail='this host is at its limit of shard requests in flight',
             retry_after_s=_BUSY_RETRY_AFTER_S,
         )
 
-    def _check_rate(self, gate: _Gate, cost: int) -> protocol.Refused | None:
-        wait_s = gate.rate.get_wait_s(cost)
+    def _check_rate(
+        self, usage: _TeamUsage, cost: int
+    ) -> protocol.Refused | None:
+        wait_s = usage.rate.get_wait_s(cost)
         if wait_s <= 0:
             return None
         return protocol.Refused(
             reason=protocol.RefusalReason.RATE,
-            detail=f'{cost} shard requests are above the rate allowed',
+            detail=f'{cost} shard requests exceed the rate limit of the team',
             retry_after_s=max(wait_s, _MIN_RETRY_AFTER_S),
         )
 
-    def _check_queues(
+    def _check_queue_wait(
         self, row: state.TeamRow, deadline: float
     ) -> protocol.Refused | None:
-        """Refuse what would still wait for slots at its deadline."""
+        """Return the refusal if a queue is too long for a team, else None.
+
+        The team may have fewer than `max_queued` requests in a queue, and a
+        request may wait for `queue_fraction` of the time to its deadline. The
+        shards of the request are not known here, so every service with queued
+        requests is checked.
+        """
         if not self._settings.refuse_late:
             return None
         left_s = deadline - self._clock.now()
@@ -144,8 +154,8 @@
             if queued >= self._settings.max_queued or wait_s > allowed_s:
                 return protocol.Refused(
                     reason=protocol.RefusalReason.DEADLINE,
-                    detail=f'would wait {wait_s:.3f} s for {service.shard} '
-                    f'and may wait {max(allowed_s, 0):.3f} s',
+                    detail=f'would wait {wait_s:.3f} s for {service.shard}; '
+                    f'at most {max(allowed_s, 0):.3f} s is allowed',
                     retry_after_s=max(wait_s - allowed_s, _MIN_RETRY_AFTER_S),
                 )
         return None
--- a/rudderrock/coordination/_commands.py
+++ b/rudderrock/coordination/_commands.py
@@ -1,10 +1,11 @@
-"""Non-idempotent requests, each run at most once.
+"""Execution of non-idempotent requests, each at most once.
 
-The order is claim, send, record. Nothing is sent without a claim, nothing
-is sent a second time once its bytes may have left, and nothing is hedged.
-Where it is certain that the request did not run, the claim is released and
-the refusal says "not run"; where it is not certain, the outcome is
-"unknown" and stays so.
+A command is claimed, then sent, and then its outcome is recorded. A command is
+never sent without a claim, never sent again once its bytes may have left, and
+never hedged. If a claimed command is certain not to have run, its claim is
+released and the request is refused with reason `UPSTREAM`. If the upstream
+answers, its answer is recorded. In every other case the outcome is "unknown",
+for this call and for repeated ones.
 """
 
 import asyncio
@@ -20,13 +21,13 @@
 from rudderrock.coordination import _claims as claims
 from rudderrock.coordination import _dispatch as dispatch
 
-_MAX_TRIES = 3
+_MAX_ATTEMPTS = 3
 _RETRY_AFTER_S = 0.2
 _KV_RETRY_AFTER_S = 1.0
-_FIRST_POLL_S = 0.05
-# Of a result larger than this only that it ran is recorded.
+_INITIAL_POLL_S = 0.05
+# For a larger result, only the fact that the command ran is recorded.
 _MAX_RECORDED_BYTES = 2048
-# Part of the time to the deadline that claiming may use.
+# Fraction of the time to the deadline that claiming may take.
 _CLAIM_TIME_FRACTION = 0.5
 
 
@@ -42,13 +43,13 @@
 
     @property
     def claim_key(self) -> str:
-        """Return the key under which it is claimed, apart for each team."""
+        """Return the key to claim, prefixed with the team."""
         return f'{self.row.team}/{self.key}'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _NotRun:
-    """The upstreams proved that the request did not run."""
+    """The command is certain not to have run."""
 
     detail: str
 
@@ -77,7 +78,7 @@
     async def run(
         self, ticket: CommandTicket, collection: state.Collection
     ) -> protocol.Outcome:
-        """Run a command, or tell the outcome of its first run."""
+        """Run a command, or return the outcome recorded for its key."""
         checked = self._store.check_key(ticket.key)
         if checked.is_err():
             return checked.unwrap_err()
@@ -87,21 +88,21 @@
         claimed = await self._store.claim(ticket.claim_key, claim, until)
         match claimed:
             case claims.Taken(earlier):
-                return await self._repeat(ticket, claim, earlier)
+                return await self._answer_repeat(ticket, claim, earlier)
             case claims.NotCommitted(detail):
-                # Nothing was sent, and if the claim did take effect after
-                # all it is released, so the key can be used again.
+                # Nothing was sent. The claim may still be stored later, so it
+                # is released to make the key usable again.
                 self._store.release(ticket.claim_key, claim)
-                return _refuse_without_kv(ticket, detail)
+                return _refuse_unclaimed(ticket, detail)
             case claims.Won():
                 return await self._run_claimed(ticket, collection, claim)
 
     async def clean(self, index: int, hosts: int) -> None:
-        """Delete this host's part of the claims that are too old to use."""
+        """Delete this host's part of the expired claims."""
         await self._store.clean(index, hosts)
 
     async def close(self) -> None:
-        """Give up what is not yet written."""
+        """Discard the claims and outcomes that are not yet written."""
         await self._store.close()
 
     def _make_claim(self, ticket: CommandTicket) -> claims.Claim:
@@ -113,30 +114,30 @@
             expires=self._clock.wall() + left_s,
         )
 
-    async def _repeat(
+    async def _answer_repeat(
         self,
         ticket: CommandTicket,
         claim: claims.Claim,
         earlier: claims.Claim,
     ) -> protocol.Outcome:
-        """Tell the outcome of the first call, waiting for it if need be."""
+        """Return the outcome of the first call, waiting for it if needed."""
         if earlier.fingerprint != claim.fingerprint:
             return protocol.Refused(
                 reason=protocol.RefusalReason.KEY_REUSED,
                 detail='this key was used for a different request',
                 query=ticket.query_id,
             )
-        pause_s = _FIRST_POLL_S
+        poll_s = _INITIAL_POLL_S
         while earlier.state is claims.ClaimState.CLAIMED:
-            over = self._clock.wall() >= earlier.expires
-            if over or self._clock.now() + pause_s >= ticket.deadline:
+            is_expired = self._clock.wall() >= earlier.expires
+            if is_expired or self._clock.now() + poll_s >= ticket.deadline:
                 return protocol.Unknown(
                     query=ticket.query_id,
                     detail='an earlier call with this key may have run; '
                     'its outcome is not recorded',
                 )
-            await asyncio.sleep(pause_s)
-            pause_s *= 2
+            await asyncio.sleep(poll_s)
+            poll_s *= 2
             match await self._store.read(ticket.claim_key):
                 case result.Ok(claims.Claim() as current):
                     earlier = current
@@ -168,15 +169,16 @@
             detail=ticket.key,
         )
         try:
-            ran = await self._send(ticket, collection)
+            outcome = await self._send(ticket, collection)
         except asyncio.CancelledError:
-            # Cut by an impatient operator or a caller that went away. The
-            # claim stays, so nobody runs it again.
+            # Cancelled by an operator, or because the caller disconnected. The
+            # claim is kept, so that no host runs the command again. The
+            # cancellation ends here, so that this outcome is returned.
             asyncio.current_task().uncancel()
             return protocol.Unknown(
-                query=ticket.query_id, detail='cut while under way'
+                query=ticket.query_id, detail='cancelled while in flight'
             )
-        match ran:
+        match outcome:
             case _NotRun(detail):
                 self._store.release(ticket.claim_key, claim)
                 return protocol.Refused(
@@ -186,7 +188,7 @@
                     query=ticket.query_id,
                 )
             case protocol.ShardAnswer(hits=hits):
-                self._record(ticket, claim, hits)
+                self._record_outcome(ticket, claim, hits)
                 return protocol.Recorded(
                     query=ticket.query_id,
                     key=ticket.key,
@@ -194,37 +196,42 @@
                     repeat=False,
                 )
         return protocol.Unknown(
-            query=ticket.query_id, detail='the upstream gave no answer'
+            query=ticket.query_id, detail='the upstream did not answer'
         )
 
-    def _record(
+    def _record_outcome(
         self,
         ticket: CommandTicket,
         claim: claims.Claim,
         hits: list[protocol.Hit],
     ) -> None:
-        kept = hits
+        recorded_hits = hits
         if len(protocol.encode(hits)) > _MAX_RECORDED_BYTES:
-            # That it ran is what must last; a value holds 1 MB in all.
-            kept = []
+            # Only the fact that the command ran must be kept: the stored value
+            # of a partition is limited to 1 MB.
+            recorded_hits = []
         done = dataclasses.replace(
-            claim, state=claims.ClaimState.DONE, hits=kept
+            claim, state=claims.ClaimState.DONE, hits=recorded_hits
         )
-        self._store.finish(ticket.claim_key, done)
+        self._store.record_outcome(ticket.claim_key, done)
 
     async def _send(
         self, ticket: CommandTicket, collection: state.Collection
     ) -> protocol.ShardReply | _NotRun:
-        """Send to one replica; to another only if it provably did not run."""
+        """Send a command to one replica and return its reply.
+
+        Another replica is tried only if the reply proves that the command did
+        not run.
+        """
         placement = collection.placements[-1]
         shards = sorted(placement.shards)
         index = xxhash.xxh64_intdigest(ticket.command.routing_key.encode())
         service = self._dispatcher.find_service(shards[index % len(shards)])
         avoid: set[state.UpstreamId] = set()
         reply: protocol.ShardReply = protocol.ShardLost(False, 'not tried')
-        for number in range(_MAX_TRIES):
+        for number in range(_MAX_ATTEMPTS):
             if self._clock.now() >= ticket.deadline:
-                return _NotRun('the deadline came before it could be sent')
+                return _NotRun('the deadline passed before it could be sent')
             if not service.is_reachable:
                 return _NotRun(f'no replica of {service.shard} is reachable')
             attempt = self._make_attempt(
@@ -235,7 +242,9 @@
                 return reply
             if attempt.upstream is not None:
                 avoid.add(attempt.upstream)
-        return _NotRun(f'refused by {len(avoid)} replicas, last: {reply}')
+        return _NotRun(
+            f'refused by {len(avoid)} replicas, last reply: {reply}'
+        )
 
     def _make_attempt(
         self,
@@ -277,10 +286,10 @@
         return protocol.ShardLost(sent, 'deadline')
 
 
-def _refuse_without_kv(ticket: CommandTicket, detail: str) -> protocol.Refused:
+def _refuse_unclaimed(ticket: CommandTicket, detail: str) -> protocol.Refused:
     return protocol.Refused(
         reason=protocol.RefusalReason.KV_UNAVAILABLE,
-        detail=f'could not be claimed: {detail}',
+        detail=f'the key could not be claimed: {detail}',
         retry_after_s=_KV_RETRY_AFTER_S,
         query=ticket.query_id,
     )
--- a/rudderrock/coordination/_config.py
+++ b/rudderrock/coordination/_config.py
@@ -1,4 +1,7 @@
-"""What one host has in force, how fresh that is, and how it spreads."""
+"""Keeps the configuration of a host up to date and exchanges it with peers.
+
+The configuration is the table of teams and the layout of the upstreams.
+"""
 
 import asyncio
 from collections.abc import Coroutine
@@ -15,21 +18,27 @@
 from rudderrock.coordination import _follow as follow
 from rudderrock.coordination import _members as members
 
-SPREAD_FANOUT = 3
-_CHECKS_BEFORE_ALONE = 4
-_LONGEST_CHECK_PAUSE_S = 8.0
-# The order in which hosts read the table anew changes this often.
-_TURN_EPOCH_S = 60.0
-_LAST_TURN = 6
+# Number of peers that a host sends a change to at once.
+PUSH_FANOUT = 3
+# The pause between two checks is `isolation_s` divided by this, so that a host
+# without contact reads the table before it counts as isolated.
+_CHECKS_BEFORE_ISOLATION = 4
+_MAX_CHECK_PAUSE_S = 8.0
+# Period after which hosts read the table in a new random order.
+_READ_ORDER_EPOCH_S = 60.0
+# Highest position in that order, which also bounds the age of the table at
+# which the last hosts read it.
+_MAX_READ_RANK = 6
 _FETCH_TIMEOUT_S = 1.0
 
 
 class Configuration:
     """The table and the layout in force on one host.
 
-    Parameters: `table` and `layout` follow the key-value service; what
-    they find is put in force by `apply_table` and `apply_layout`, which
-    the root has given them. `peers` is where a later one is fetched.
+    Parameters: `table` and `layout` watch the key-value service. The
+    composition root (`rudderrock.root`) connects them to `apply_table` and
+    `apply_layout`, which put new values in force. `peers` is the port
+    through which newer revisions are fetched from other hosts.
     """
 
     def __init__(
@@ -57,33 +66,33 @@
         self._peers = peers
         self._clock = clock
         self._source = source
-        self._fetching: asyncio.Task | None = None
-        self._spreading: asyncio.Task | None = None
-        self._side_tasks: set[asyncio.Task] = set()
+        self._fetch_task: asyncio.Task | None = None
+        self._push_task: asyncio.Task | None = None
+        self._background_tasks: set[asyncio.Task] = set()
         self._closed = False
         self._started_at = clock.now()
 
-    async def wait_until_read(self) -> None:
+    async def wait_until_in_force(self) -> None:
         """Wait until a table and a layout are in force."""
-        await self.table.wait_until_read()
-        await self.layout.wait_until_read()
+        await self.table.wait_until_in_force()
+        await self.layout.wait_until_in_force()
 
     async def close(self) -> None:
-        """End what is being fetched or spread."""
+        """Cancel fetches from peers and pushes to peers."""
         self._closed = True
-        side_tasks = list(self._side_tasks)
-        for task in side_tasks:
+        background_tasks = list(self._background_tasks)
+        for task in background_tasks:
             task.cancel()
-        await asyncio.gather(*side_tasks, return_exceptions=True)
+        await asyncio.gather(*background_tasks, return_exceptions=True)
 
     def apply_table(self, table: state.Table) -> None:
-        """Put a table in force, and tell peers of it."""
+        """Put a table in force and push its revision to some peers."""
         self.rows = table.rows
         self.table_in_force = table
         self._gate.forget_teams(table.rows)
-        if self._spreading is None or self._spreading.done():
-            self._spreading = self._start_side_task(
-                self._membership.spread(SPREAD_FANOUT)
+        if self._push_task is None or self._push_task.done():
+            self._push_task = self._start_background_task(
+                self._membership.push_updates(PUSH_FANOUT)
             )
 
     def apply_layout(self, layout: state.Layout) -> None:
@@ -92,7 +101,7 @@
         self._dispatcher.apply_layout(layout)
 
     def get_config(self) -> members.ConfigInForce:
-        """Return what is in force, for digests."""
+        """Return the revisions in force, for digests."""
         return members.ConfigInForce(
             table_revision=self.table.revision,
             table_age_s=self.table.get_age_s(),
@@ -102,27 +111,31 @@
     def answer_config(
         self, request: protocol.ConfigRequest
     ) -> protocol.ConfigReply:
-        """Give a peer what it has not yet got."""
+        """Return the table and layout that are newer than a peer's."""
         table, layout = self.table_in_force, self.layout_in_force
-        new_table = table.revision > request.table_revision
-        new_layout = layout.revision > request.layout_revision
+        send_table = table.revision > request.table_revision
+        send_layout = layout.revision > request.layout_revision
         return protocol.ConfigReply(
-            table=table if new_table else None,
-            layout=layout if new_layout else None,
+            table=table if send_table else None,
+            layout=layout if send_layout else None,
         )
 
     def on_digest(self, digest: protocol.Digest) -> None:
-        """Compare what a peer has in force with ours; fetch what is later."""
+        """Compare a peer's revisions with those in force here.
+
+        An equal table revision confirms the table in force; a higher
+        revision of either is fetched from the peer.
+        """
         if digest.table_revision == self.table.revision:
             self.table.confirm(digest.table_age_s)
-        later = (
+        peer_is_newer = (
             digest.table_revision > self.table.revision
             or digest.layout_revision > self.layout.revision
         )
-        if self._closed or not later:
+        if self._closed or not peer_is_newer:
             return
-        if self._fetching is None or self._fetching.done():
-            self._fetching = self._start_side_task(
+        if self._fetch_task is None or self._fetch_task.done():
+            self._fetch_task = self._start_background_task(
                 self._fetch_config(digest.sender)
             )
 
@@ -138,72 +151,85 @@
             return
         reply = fetched.unwrap()
         origin = f'peer {peer.host}'
-        # Layout first: a table may name collections that are new in it.
+        # The layout goes first: the table may refer to collections that
+        # only the new layout defines.
         if reply.layout and not state.check_layout(reply.layout):
-            self.layout.offer(reply.layout, origin)
+            self.layout.apply_if_newer(reply.layout, origin)
         if reply.table and not state.check_table(reply.table):
-            self.table.offer(reply.table, origin)
+            self.table.apply_if_newer(reply.table, origin)
 
     @property
     def is_isolated(self) -> bool:
-        """Tell whether this host may be serving a table long replaced.
+        """Return whether this host may be serving an outdated table.
 
-        So it is when neither the key-value service nor any peer has been
-        heard of for `isolation_s`.
+        That is so when neither the key-value service nor any peer has
+        been reached for `isolation_s`. A host without peers is never
+        isolated.
         """
-        if self._membership.is_alone:
+        if self._membership.is_only_host:
             return False
-        return self._get_silence_s() > self._settings.membership.isolation_s
-
-    def _get_silence_s(self) -> float:
-        """Return for how long nobody has been heard of, in seconds."""
-        heard = max(
-            self.table.heard_at or -math.inf,
-            self._membership.heard_at or -math.inf,
+        return (
+            self._get_contact_age_s() > self._settings.membership.isolation_s
         )
-        return self._clock.now() - max(heard, self._started_at)
 
-    async def keep_in_touch(self) -> None:
-        """Read the table when its revision has not been confirmed lately.
+    def _get_contact_age_s(self) -> float:
+        """Return the seconds since the last contact.
 
-        One host's reading confirms it for all, since its age goes round
-        with the digests. Hosts take turns, the next one being due if the
-        first has not read, so the readings do not grow with the fleet. A
-        host that hears no peer reads by itself, lest it count as isolated.
-        While the service is silent the pauses grow.
+        A contact is a reply of the key-value service or of a peer. Without
+        any, the time counts from the start of this host.
         """
-        shortest_s = (
-            self._settings.membership.isolation_s / _CHECKS_BEFORE_ALONE
+        last_contact = max(
+            self.table.last_contact_at or -math.inf,
+            self._membership.last_contact_at or -math.inf,
         )
-        pause_s = shortest_s
+        return self._clock.now() - max(last_contact, self._started_at)
+
+    async def confirm_periodically(self) -> None:
+        """Read the table whenever its revision was not confirmed recently.
+
+        This runs until cancelled. A read by one host confirms the revision for
+        all, because digests carry the age of the last confirmation. Hosts read
+        in a pseudo-random order: the first at an age of `recheck_s`, the next
+        at twice that age, and so on. Once the first has read, the others need
+        not, so the number of reads does not grow with the number of hosts. A
+        host without recent contact reads regardless of the order, so that it
+        does not count as isolated. While the service does not answer, the
+        pauses between reads grow.
+        """
+        min_pause_s = (
+            self._settings.membership.isolation_s / _CHECKS_BEFORE_ISOLATION
+        )
+        pause_s = min_pause_s
         while True:
             await asyncio.sleep(pause_s * self._source.uniform(0.5, 1.0))
-            due_s = self._settings.platform.recheck_s * (1 + self._get_turn())
-            old = self.table.get_age_s() > due_s
-            if not old and self._get_silence_s() <= shortest_s:
+            max_age_s = self._settings.platform.recheck_s * (
+                1 + self._get_read_rank()
+            )
+            is_stale = self.table.get_age_s() > max_age_s
+            if not is_stale and self._get_contact_age_s() <= min_pause_s:
                 continue
-            if await self.table.check():
-                pause_s = shortest_s
+            if await self.table.read_now():
+                pause_s = min_pause_s
             else:
-                pause_s = min(2 * pause_s, _LONGEST_CHECK_PAUSE_S)
-
-    def _get_turn(self) -> int:
-        """Return how many hosts are to read the table before this one."""
-        epoch = int(self._clock.wall() // _TURN_EPOCH_S)
-        own = _hash_turn(self._membership.me.host, epoch)
-        before = sum(
-            _hash_turn(member.host, epoch) < own
+                pause_s = min(2 * pause_s, _MAX_CHECK_PAUSE_S)
+
+    def _get_read_rank(self) -> int:
+        """Return how many hosts read first, `_MAX_READ_RANK` at most."""
+        epoch = int(self._clock.wall() // _READ_ORDER_EPOCH_S)
+        own_hash = _hash_read_order(self._membership.me.host, epoch)
+        rank = sum(
+            _hash_read_order(member.host, epoch) < own_hash
             for member in self._membership.list_live()
         )
-        return min(before, _LAST_TURN)
+        return min(rank, _MAX_READ_RANK)
 
-    def _start_side_task(self, coroutine: Coroutine) -> asyncio.Task:
-        """Start a short task that ends with the host at the latest."""
+    def _start_background_task(self, coroutine: Coroutine) -> asyncio.Task:
+        """Start a short task that `close` cancels if it is still running."""
         task = asyncio.create_task(coroutine)
-        self._side_tasks.add(task)
-        task.add_done_callback(self._side_tasks.discard)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
         return task
 
 
-def _hash_turn(host: state.HostId, epoch: int) -> int:
+def _hash_read_order(host: state.HostId, epoch: int) -> int:
     return xxhash.xxh64_intdigest(host.encode(), epoch)
--- a/rudderrock/coordination/_dispatch.py
+++ b/rudderrock/coordination/_dispatch.py
@@ -1,9 +1,9 @@
-"""Which replica gets a shard request, and who waits when none is free.
+"""Choice of a replica for each shard request, and the queues before it.
 
-Each shard's replicas form a service. A request goes to the better of two
-replicas that are free; when none is, it waits in the service's fair queue,
-so waiting happens where teams can be weighed against each other and not in
-an upstream's own queue.
+The replicas of a shard form a service. A request is sent to the better of two
+free replicas. If none is free, the request waits in the fair queue of the
+service instead of the queue of an upstream, because an upstream cannot apply
+the weights of teams.
 """
 
 import asyncio
@@ -18,16 +18,17 @@
 from rudderrock.coordination import _fair_queue as fair_queue
 from rudderrock.coordination import _link as links
 
-_ZONE_PENALTY = 1.1
-# Weight of one answer in the moving mean of a service's exchanges.
-_WORK_WEIGHT = 0.1
+_REMOTE_ZONE_COST_FACTOR = 1.1
+# Weight of one answer in the moving mean of the exchange time.
+_EXCHANGE_WEIGHT = 0.1
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
 class Service:
-    """One shard's replicas, queue and budgets.
+    """The replicas, the queue and the budgets of one shard.
 
-    `work_s` is the moving mean of an exchange in seconds.
+    `mean_exchange_s` is the moving mean of the duration of an exchange, in
+    seconds.
     """
 
     shard: state.ShardId
@@ -35,19 +36,23 @@
     queue: fair_queue.FairQueue[attempts.Attempt]
     hedges: budgets.Budget
     retries: budgets.Budget
-    work_s: float = 0.0
+    mean_exchange_s: float = 0.0
 
-    def note_answer(self, elapsed: float) -> None:
-        """Take note of the time to an answer, in seconds."""
-        self.work_s += _WORK_WEIGHT * (elapsed - self.work_s)
+    def record_answer(self, elapsed: float) -> None:
+        """Update the mean with the duration of an exchange in seconds."""
+        self.mean_exchange_s += _EXCHANGE_WEIGHT * (
+            elapsed - self.mean_exchange_s
+        )
 
-    def can_hedge(
+    def has_fast_replica(
         self, avoid: frozenset[state.UpstreamId], pause_above: float
     ) -> bool:
-        """Tell whether some other replica is not late itself.
+        """Return whether some reachable replica not in `avoid` is rarely late.
 
-        Where all are, the service as a whole is slow, and more requests
-        would only make it slower.
+        Only then is a hedge expected to help. `pause_above` is the highest
+        fraction of late requests that such a replica may have. If all
+        replicas exceed it, the service as a whole is slow, and more requests
+        would slow it further.
         """
         return any(
             link.is_reachable and link.health.late <= pause_above
@@ -55,8 +60,13 @@
             if link.upstream.upstream not in avoid
         )
 
-    def can_serve(self, version: state.IndexVersion, now: float) -> bool:
-        """Tell whether some replica can be expected to have a version."""
+    def may_hold_version(
+        self, version: state.IndexVersion, now: float
+    ) -> bool:
+        """Return whether some reachable replica may hold a version.
+
+        Only replicas that recently rejected the version are ruled out.
+        """
         return any(
             link.is_reachable
             and not link.health.lacks(self.shard, version, now)
@@ -65,7 +75,7 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Tell whether any replica can take work before long."""
+        """Return whether any replica is reachable."""
         return any(link.is_reachable for link in self.links)
 
     @property
@@ -74,20 +84,26 @@
         return sum(link.capacity for link in self.links if link.is_reachable)
 
     def estimate_wait_s(self, row: state.TeamRow) -> float:
-        """Return how long one more request of a team would wait, seconds."""
+        """Return the expected wait of one more request of a team in seconds.
+
+        The estimate assumes that the queued requests of the team and the new
+        one each take the mean duration of an exchange, on the team's share of
+        `capacity`.
+        """
         if not len(self.queue):
             return 0.0
         ahead = self.queue.count(row.team) + 1
         share = self.queue.get_share(row)
-        slots = max(1, self.capacity) * share
-        return ahead * max(self.work_s, 1e-4) / slots
+        team_capacity = max(1, self.capacity) * share
+        return ahead * max(self.mean_exchange_s, 1e-4) / team_capacity
 
 
 class Dispatcher:
-    """All services and links of one host.
+    """Sends shard requests to replicas and queues them while none is free.
 
-    Parameters: `zone` is the host's own availability zone; `port` makes
-    connections to upstreams; the settings give the policies.
+    Parameters: `zone` is the availability zone of this host; `port` opens
+    connections to upstreams; `settings` give the policies; `source` draws the
+    replicas to compare; `ring` receives the events of the links.
     """
 
     def __init__(
@@ -107,26 +123,26 @@
         self._ring = ring
         self._links: dict[state.UpstreamId, links.UpstreamLink] = {}
         self._services: dict[state.ShardId, Service] = {}
-        self._by_link: dict[state.UpstreamId, list[Service]] = {}
+        self._services_by_link: dict[state.UpstreamId, list[Service]] = {}
         self._layout = state.Layout()
         self._hosts = 1
-        self._closing: set[asyncio.Task] = set()
+        self._closing_tasks: set[asyncio.Task] = set()
 
     def apply_layout(self, layout: state.Layout) -> None:
-        """Bring links and services into the shape of a layout."""
-        old, self._layout = self._layout, layout
-        for upstream, described in layout.upstreams.items():
-            if old.upstreams.get(upstream) != described:
-                self._drop_link(upstream)
-                self._add_link(described)
+        """Update links and services to match a layout."""
+        previous, self._layout = self._layout, layout
+        for upstream, description in layout.upstreams.items():
+            if previous.upstreams.get(upstream) != description:
+                self._close_link(upstream)
+                self._add_link(description)
         for upstream in set(self._links) - set(layout.upstreams):
-            self._drop_link(upstream)
+            self._close_link(upstream)
         for upstream, link in self._links.items():
             link.apply_layout(upstream in layout.leaving)
         self._rebuild_services()
 
     def set_host_count(self, hosts: int) -> None:
-        """Share each upstream's connections between this many hosts."""
+        """Divide each upstream's connections among this many hosts."""
         if hosts == self._hosts:
             return
         self._hosts = hosts
@@ -136,7 +152,7 @@
     def find_collection(
         self, collection: state.CollectionId
     ) -> state.Collection | None:
-        """Return a collection as the layout in force has it."""
+        """Return a collection of the layout in force, or None."""
         return self._layout.collections.get(collection)
 
     def find_service(self, shard: state.ShardId) -> Service:
@@ -148,13 +164,17 @@
         return list(self._links.values())
 
     def list_waiting(self) -> list[Service]:
-        """Return the services at which requests wait."""
+        """Return the services that have queued requests."""
         return [each for each in self._services.values() if len(each.queue)]
 
-    def seems_to_serve(
+    def probably_holds_version(
         self, shard: state.ShardId, version: state.IndexVersion
     ) -> bool:
-        """Tell whether some replica has a version by all signs."""
+        """Return whether some reachable replica probably holds a version.
+
+        Besides recent rejections, this considers the versions that replicas
+        last reported to hold.
+        """
         now = self._clock.now()
         return any(
             link.is_reachable
@@ -163,18 +183,21 @@
         )
 
     def submit(self, service: Service, attempt: attempts.Attempt) -> None:
-        """Send an attempt to a free replica, or let it wait its turn."""
-        link = self._choose(service, attempt)
+        """Send an attempt to a free replica, or queue it."""
+        link = self._choose_replica(service, attempt)
         if link is not None and not len(service.queue):
             link.send(attempt)
         else:
             service.queue.push(attempt.row, attempt)
 
-    def try_now(self, service: Service, attempt: attempts.Attempt) -> bool:
-        """Send an attempt only if a replica is free for it now."""
+    def try_send(self, service: Service, attempt: attempts.Attempt) -> bool:
+        """Send an attempt if a replica is free for it now.
+
+        Return whether it was sent. Queued requests take precedence.
+        """
         if len(service.queue):
             return False
-        link = self._choose(service, attempt)
+        link = self._choose_replica(service, attempt)
         if link is None:
             return False
         link.send(attempt)
@@ -183,36 +206,40 @@
     async def close(self) -> None:
         """Close all connections."""
         for upstream in list(self._links):
-            self._drop_link(upstream)
-        await asyncio.gather(*self._closing, return_exceptions=True)
+            self._close_link(upstream)
+        await asyncio.gather(*self._closing_tasks, return_exceptions=True)
 
-    def _choose(
+    def _choose_replica(
         self, service: Service, attempt: attempts.Attempt
     ) -> links.UpstreamLink | None:
-        """Take the better of two free replicas drawn at random.
+        """Return the cheaper of two free replicas drawn at random, or None.
 
-        Power of two choices (Mitzenmacher, 2001). What speaks against a
-        replica for the moment is set aside when it speaks against all of
-        them, so it can never leave a shard without replicas.
+        This is the power of two choices (Mitzenmacher, 2001). With
+        `ReplicaChoice.RANDOM`, return either of the two instead.
+
+        Ejected or shedding replicas, and those that probably lack the version,
+        are considered only if every eligible replica is one of them, so these
+        temporary conditions never leave a shard without replicas. While
+        another one is merely busy, the attempt waits.
         """
         now = self._clock.now()
         request = attempt.request
-        able = [
+        eligible = [
             link
             for link in service.links
             if link.takes_new_work
             and link.upstream.upstream not in attempt.avoid
             and not link.health.lacks(request.shard, request.version, now)
         ]
-        favoured = [
+        preferred = [
             link
-            for link in able
+            for link in eligible
             if link.health.is_favoured(now)
             and not link.health.seems_to_lack(
                 request.shard, request.version, now
             )
         ]
-        free = [link for link in favoured or able if link.is_free]
+        free = [link for link in preferred or eligible if link.is_free]
         if len(free) > 2:
             free = self._source.sample(free, 2)
         if not free:
@@ -224,31 +251,38 @@
     def _get_cost(self, link: links.UpstreamLink, now: float) -> float:
         cost = link.get_cost(now)
         if link.upstream.zone != self._zone:
-            cost *= _ZONE_PENALTY
+            cost *= _REMOTE_ZONE_COST_FACTOR
         return cost
 
-    def _on_free(self, link: links.UpstreamLink) -> None:
-        """Give a lane that became idle to who waits for it."""
-        for service in self._by_link.get(link.upstream.upstream, ()):
+    def _on_lane_free(self, link: links.UpstreamLink) -> None:
+        """Send queued attempts to a link with a free lane."""
+        for service in self._services_by_link.get(link.upstream.upstream, ()):
             while link.is_free and len(service.queue):
-                if not self._serve_next(service):
+                if not self._send_next(service):
                     break
 
-    def _serve_next(self, service: Service) -> bool:
-        """Send the next waiting attempt; False if it cannot be sent now."""
+    def _send_next(self, service: Service) -> bool:
+        """Take one attempt from the queue and send, reject or drop it.
+
+        Return False if it was put back because no replica can take it now.
+        """
         attempt = service.queue.pop()
         if attempt.given_up:
             return True
-        link = self._choose(service, attempt)
+        link = self._choose_replica(service, attempt)
         if link is None:
-            # The free lane is of a replica that it has to avoid.
+            # No replica is free, except perhaps one to avoid: use that one
+            # rather than wait.
             attempt.avoid = frozenset()
-            link = self._choose(service, attempt)
+            link = self._choose_replica(service, attempt)
         if link is not None:
             link.send(attempt)
             return True
-        if not service.can_serve(attempt.request.version, self._clock.now()):
-            # While it waited, the last replica has given up its version.
+        if not service.may_hold_version(
+            attempt.request.version, self._clock.now()
+        ):
+            # The last replica with this version dropped it while the attempt
+            # was queued.
             attempt.deliver(
                 protocol.ShardRejected(
                     request_id=attempt.request.request_id,
@@ -267,20 +301,20 @@
             self._clock,
             self._source,
             self._ring,
-            self._on_free,
+            self._on_lane_free,
         )
         self._links[upstream.upstream] = link
         link.start(self._count_lanes(upstream))
 
-    def _drop_link(self, upstream: state.UpstreamId) -> None:
+    def _close_link(self, upstream: state.UpstreamId) -> None:
         link = self._links.pop(upstream, None)
         if link is not None:
             task = asyncio.create_task(link.close())
-            self._closing.add(task)
-            task.add_done_callback(self._closing.discard)
+            self._closing_tasks.add(task)
+            task.add_done_callback(self._closing_tasks.discard)
 
     def _count_lanes(self, upstream: state.Upstream) -> int:
-        """Return this host's part of the connections of an upstream."""
+        """Return this host's share of the connections of an upstream."""
         reserve = self._settings.routing.connection_reserve
         allowed = upstream.connections * (1.0 - reserve) / self._hosts
         return max(1, min(int(allowed), self._settings.routing.max_lanes))
@@ -290,22 +324,25 @@
         for collection in self._layout.collections.values():
             for placement in collection.placements:
                 for shard, upstreams in placement.shards.items():
-                    known = replicas.setdefault(shard, {})
-                    known.update(dict.fromkeys(upstreams))
+                    shard_replicas = replicas.setdefault(shard, {})
+                    shard_replicas.update(dict.fromkeys(upstreams))
         self._services = {
-            shard: self._keep_service(shard, list(upstreams))
+            shard: self._get_or_create_service(shard, list(upstreams))
             for shard, upstreams in replicas.items()
         }
-        self._by_link = {}
+        self._services_by_link = {}
         for service in self._services.values():
             for link in service.links:
                 name = link.upstream.upstream
-                self._by_link.setdefault(name, []).append(service)
+                self._services_by_link.setdefault(name, []).append(service)
 
-    def _keep_service(
+    def _get_or_create_service(
         self, shard: state.ShardId, upstreams: list[state.UpstreamId]
     ) -> Service:
-        """Return the service as it was, with its replicas of now."""
+        """Return the service of a shard with its current replicas.
+
+        An existing service keeps its queue and its budgets.
+        """
         replicas = [self._links[upstream] for upstream in upstreams]
         service = self._services.get(shard)
         if service is None:
@@ -323,7 +360,7 @@
 
 
 def is_not_run(reply: protocol.ShardReply) -> bool:
-    """Tell whether a reply proves that its request did not run."""
+    """Return whether a reply proves that its request did not run."""
     match reply:
         case protocol.ShardRejected():
             return True
--- a/rudderrock/coordination/_extra.py
+++ b/rudderrock/coordination/_extra.py
@@ -1,4 +1,4 @@
-"""What a host may send beyond one request a shard, and what it has sent."""
+"""Budgets for hedges and retries, and counts of requests sent."""
 
 import dataclasses
 
@@ -6,17 +6,25 @@
 from rudderrock.coordination import _budget as budgets
 from rudderrock.coordination import _dispatch as dispatch
 
-# What is not yet late while nothing is known, and the longest there can be.
+# Shortest hedge delay while the base latency of an upstream is unknown, and
+# lower bound of the initial hedge threshold of a collection.
 UNKNOWN_PATIENCE_S = 0.05
-_LONGEST_PATIENCE_S = 10.0
+_MAX_HEDGE_THRESHOLD_S = 10.0
 
 
 @dataclasses.dataclass(slots=True)
 class QueryCounters:
-    """Counts over the life of a host, for its metrics.
+    """Totals since the start of the host, for its metrics.
 
-    `first`, `hedges` and `retries` are requests sent to upstreams;
-    `shards` is what was asked for. Extra load is what was sent beyond it.
+    `shards` counts the shards that queries asked for. `first` and `retries`
+    count requests that were sent or queued; `hedges` counts those sent. Extra
+    load is what exceeds one request per shard.
+
+    `hedge_wins`: hedges that answered while another attempt for their shard
+    was in flight. `hedges_denied` and `retries_denied`: times that a hedge or
+    retry was not allowed. `sends_postponed`: times that a hedge, or the retry
+    of a request presumed lost, was put off because no replica was free.
+    `restarts`: queries started again with another version.
     """
 
     shards: int = 0
@@ -25,86 +33,95 @@
     retries: int = 0
     hedge_wins: int = 0
     hedges_denied: int = 0
-    hedges_waiting: int = 0
+    sends_postponed: int = 0
     retries_denied: int = 0
     restarts: int = 0
 
     @property
     def extra_load(self) -> float:
-        """Return extra requests as a part of those asked for."""
+        """Return the ratio of extra requests to requested shards."""
         return (self.hedges + self.retries) / max(1, self.shards)
 
 
 class ExtraRequests:
-    """Budgets of hedges and retries, and when a request is late.
+    """Budgets for hedges and retries, and the hedge thresholds.
 
-    Hedges are paid for by the host and the service, retries by the team
-    and the service, so none of them can spend what is another's.
+    A hedge needs a token of the host and one of the service; a retry needs one
+    of the team and one of the service. This bounds the retries of each team
+    and the extra requests to each service.
     """
 
     def __init__(self, settings: state.Settings):
         self.counters = QueryCounters()
-        self._hedging = settings.hedging
-        self._retrying = settings.retries
-        self._hedges = budgets.Budget(
+        self._hedge_settings = settings.hedging
+        self._retry_settings = settings.retries
+        self._host_hedge_budget = budgets.Budget(
             settings.hedging.budget, settings.hedging.host_burst
         )
-        self._teams: dict[state.TeamId, budgets.Budget] = {}
-        self._late_points: dict[state.CollectionId, state.LatePoint] = {}
+        self._team_retry_budgets: dict[state.TeamId, budgets.Budget] = {}
+        self._hedge_thresholds: dict[state.CollectionId, state.LatePoint] = {}
 
-    def earn(self, service: dispatch.Service, team: state.TeamId) -> None:
-        """Note the first request for a shard, which earns for extra ones."""
+    def count_shard(
+        self, service: dispatch.Service, team: state.TeamId
+    ) -> None:
+        """Count a requested shard and add its tokens to the budgets."""
         self.counters.shards += 1
-        self._hedges.earn()
+        self._host_hedge_budget.earn()
         service.hedges.earn()
         service.retries.earn()
-        self._find_team(team).earn()
+        self._get_team_budget(team).earn()
 
     def can_hedge(self, service: dispatch.Service) -> bool:
-        """Tell whether there is budget for a hedge."""
-        return service.hedges.can_spend() and self._hedges.can_spend()
+        """Return whether the budgets allow a hedge."""
+        return (
+            service.hedges.can_spend() and self._host_hedge_budget.can_spend()
+        )
 
-    def pay_hedge(self, service: dispatch.Service) -> None:
-        """Pay for a hedge that has been sent."""
-        budgets.spend_all((service.hedges, self._hedges))
+    def charge_hedge(self, service: dispatch.Service) -> None:
+        """Count a hedge that was sent, and charge its budgets."""
+        budgets.spend_all((service.hedges, self._host_hedge_budget))
         self.counters.hedges += 1
 
     def can_retry(self, service: dispatch.Service, team: state.TeamId) -> bool:
-        """Tell whether there is budget for a retry."""
-        budget = self._find_team(team)
+        """Return whether the budgets allow a retry."""
+        budget = self._get_team_budget(team)
         return service.retries.can_spend() and budget.can_spend()
 
-    def pay_retry(self, service: dispatch.Service, team: state.TeamId) -> None:
-        """Pay for a retry that has been sent."""
-        budgets.spend_all((service.retries, self._find_team(team)))
+    def charge_retry(
+        self, service: dispatch.Service, team: state.TeamId
+    ) -> None:
+        """Count a retry that was sent or queued, and charge its budgets."""
+        budgets.spend_all((service.retries, self._get_team_budget(team)))
         self.counters.retries += 1
 
-    def find_late_point(
+    def get_hedge_threshold(
         self, collection: state.CollectionId
     ) -> state.LatePoint:
-        """Return what latency above the least makes a request late.
+        """Return the hedge threshold of a collection.
 
-        One point for all services of a collection, because one service
-        alone gives a host few requests, while what makes them late is
-        alike for all. The least latency is each upstream's own.
+        A request is late if it takes longer than the base latency of its
+        upstream plus the threshold. All services of a collection share one
+        threshold: a host sends few requests to a single service, and the
+        causes of lateness are the same for all of them. The base latency is
+        kept for each upstream.
         """
-        late_point = self._late_points.get(collection)
-        if late_point is None:
-            hedging = self._hedging
-            late_point = state.LatePoint(
+        threshold = self._hedge_thresholds.get(collection)
+        if threshold is None:
+            hedging = self._hedge_settings
+            threshold = state.LatePoint(
                 1.0 - hedging.percentile / 100.0,
                 start=max(UNKNOWN_PATIENCE_S, hedging.min_delay_s),
                 lowest=hedging.min_delay_s,
-                highest=_LONGEST_PATIENCE_S,
+                highest=_MAX_HEDGE_THRESHOLD_S,
             )
-            self._late_points[collection] = late_point
-        return late_point
+            self._hedge_thresholds[collection] = threshold
+        return threshold
 
-    def _find_team(self, team: state.TeamId) -> budgets.Budget:
-        budget = self._teams.get(team)
+    def _get_team_budget(self, team: state.TeamId) -> budgets.Budget:
+        budget = self._team_retry_budgets.get(team)
         if budget is None:
             budget = budgets.Budget(
-                self._retrying.budget, self._retrying.burst
+                self._retry_settings.budget, self._retry_settings.burst
             )
-            self._teams[team] = budget
+            self._team_retry_budgets[team] = budget
         return budget
--- a/rudderrock/coordination/_follow.py
+++ b/rudderrock/coordination/_follow.py
@@ -1,9 +1,9 @@
-"""Following one key of the key-value service.
+"""Watch of one key of the key-value service.
 
-A follower applies each later value that passes its checks, never an
-earlier one, and keeps the last good one in force when a bad one comes or
-the service is down. The service may come back from an older copy; what it
-has lost by that a follower writes again.
+A new value is applied if it passes its checks and has a higher revision
+than the one in force. While the service is down, or holds an invalid
+value, the last valid one stays in force. If the service was restored from
+an older copy, the edits that it has lost are written again.
 """
 
 import asyncio
@@ -24,22 +24,24 @@
 TABLE_KEY = 'rudderrock/table'
 LAYOUT_KEY = 'rudderrock/layout'
 
-_FIRST_PAUSE_S = 0.1
-_LONGEST_PAUSE_S = 5.0
-# A host that finds a value older than the one in force waits up to this long,
-# in seconds, for another to write it again: all of them find it at once.
-RESTORE_WITHIN_S = 2.0
+_INITIAL_PAUSE_S = 0.1
+_MAX_PAUSE_S = 5.0
+# Upper bound of the random delay before a lost value is written again. All
+# hosts detect the loss at the same time; the delay lets one of them write
+# first.
+_MAX_RESTORE_DELAY_S = 2.0
 
 
 class KeyFollower(Generic[T]):
-    """Keeps one value up to date and says when it was last confirmed.
-
-    Parameters: `read` turns bytes into a checked value or a reason;
-    `get_revision` reads its revision; `apply` puts it in force; `kinds`
-    are the events for in force and rejected; `watch_s` is how long one watch
-    may wait, in seconds. `reunite` returns what the service must hold where
-    it has lost part of the value in force, given that and what it holds, or
-    None.
+    """Keeps one value up to date and tracks when it was last confirmed.
+
+    Parameters: `read` decodes and checks a value, and returns it or the
+    reason why it is invalid; `get_revision` returns its revision; `apply`
+    puts it in force. `kinds` are the event kinds for a value put in force
+    and for a rejected one. `watch_s` is the longest time that one watch
+    waits, in seconds. `reunite(kept, found)` returns the value to write if
+    `found`, from the service, lacks edits that `kept`, the value in force,
+    has; else None.
     """
 
     def __init__(
@@ -59,14 +61,14 @@
     ):
         self.revision = state.NO_REVISION
         self.confirmed_at: float | None = None
-        self.heard_at: float | None = None
+        self.last_contact_at: float | None = None
         self.is_up = True
         self._kv = kv
         self._key = key
         self._read = read
         self._get_revision = get_revision
         self._apply = apply
-        self._in_force, self._rejected = kinds
+        self._applied_kind, self._rejected_kind = kinds
         self._watch_s = watch_s
         self._clock = clock
         self._source = source
@@ -74,15 +76,15 @@
         self._reunite = reunite
         self._value: T | None = None
         self._version = protocol.ABSENT
-        self._first_read = asyncio.Event()
+        self._value_available = asyncio.Event()
 
     async def run(self) -> None:
-        """Follow the key until cancelled."""
-        pause_s = _FIRST_PAUSE_S
+        """Watch the key until cancelled."""
+        pause_s = _INITIAL_PAUSE_S
         while True:
-            sent = self._clock.now()
-            # A service that was away may have come back with a lower version,
-            # which a watch would not tell of.
+            sent_at = self._clock.now()
+            # A service that was down may have been restored with a lower
+            # version, which a watch does not report.
             if self._version == protocol.ABSENT or not self.is_up:
                 outcome = await self._kv.get(self._key)
             else:
@@ -91,105 +93,114 @@
                 )
             match outcome:
                 case result.Ok(entry):
-                    self._note_up()
-                    self._take(entry, sent)
+                    self._record_up()
+                    self._process_entry(entry, sent_at)
                     await self._restore(entry)
-                    pause_s = _FIRST_PAUSE_S
+                    pause_s = _INITIAL_PAUSE_S
+                    # An absent key cannot be watched, so it is polled.
                     if entry.version != protocol.ABSENT:
                         continue
                 case result.Err(failure):
-                    self._note_down(failure.detail)
+                    self._record_down(failure.detail)
             await asyncio.sleep(pause_s * self._source.uniform(0.5, 1.0))
-            pause_s = min(pause_s * 2, _LONGEST_PAUSE_S)
+            pause_s = min(pause_s * 2, _MAX_PAUSE_S)
 
-    async def check(self) -> bool:
-        """Read the key, whatever the watch says; tell whether it answered.
+    async def read_now(self) -> bool:
+        """Read the key now; return whether the service answered.
 
-        A watch may miss what happens, so only a reading confirms that a
-        revision is the latest; and the watch under way proves only that
-        the service could be reached when it was sent.
+        A read confirms the revision in force even if the key is unchanged. A
+        watch may miss events, so it does so only when it returns a new value.
         """
-        sent = self._clock.now()
+        sent_at = self._clock.now()
         match await self._kv.get(self._key):
             case result.Ok(entry):
-                self._take(entry, sent)
-                self.confirm(self._clock.now() - sent)
+                self._process_entry(entry, sent_at)
+                self.confirm(self._clock.now() - sent_at)
                 return True
         return False
 
-    async def wait_until_read(self) -> None:
-        """Wait until a value is in force, from wherever it came."""
-        await self._first_read.wait()
+    async def wait_until_in_force(self) -> None:
+        """Wait until a value is in force, from the service or from a peer."""
+        await self._value_available.wait()
 
-    def offer(self, value: T, origin: str) -> bool:
-        """Put a checked value in force if it is later than the present."""
+    def apply_if_newer(self, value: T, origin: str) -> bool:
+        """Put a checked value in force if its revision is higher.
+
+        Return whether it was put in force. `origin` names its source in
+        the event.
+        """
         revision = self._get_revision(value)
         if revision <= self.revision:
             return False
         self.revision = revision
         self._value = value
         self._apply(value)
-        self._first_read.set()
+        self._value_available.set()
         self._ring.record(
-            self._in_force, detail=f'revision {revision} from {origin}'
+            self._applied_kind, detail=f'revision {revision} from {origin}'
         )
         return True
 
     def confirm(self, age_s: float) -> None:
-        """Note that the revision in force was the latest so long ago."""
-        at = self._clock.now() - age_s
-        if self.confirmed_at is None or at > self.confirmed_at:
-            self.confirmed_at = at
+        """Record that the revision in force was the latest `age_s` ago."""
+        confirmed_at = self._clock.now() - age_s
+        if self.confirmed_at is None or confirmed_at > self.confirmed_at:
+            self.confirmed_at = confirmed_at
 
     def get_age_s(self) -> float:
-        """Return how long ago the revision was known to be the latest."""
+        """Return the seconds since the revision was confirmed as the latest.
+
+        Infinite if it was never confirmed.
+        """
         if self.confirmed_at is None:
             return float('inf')
         return self._clock.now() - self.confirmed_at
 
-    def _take(self, entry: protocol.Entry, sent: float) -> None:
-        """Take in a reply to a call that was sent at loop time `sent`.
+    def _process_entry(self, entry: protocol.Entry, sent_at: float) -> None:
+        """Process the reply to a call that was sent at loop time `sent_at`.
 
-        It proves nothing later than that: after a pause of this process,
-        a reply that comes at once may have waited long.
+        The service is known to have been reachable, and the value current,
+        only at that time: after a pause of this process, the reply may have
+        waited long before it was read.
         """
-        self.heard_at = max(sent, self.heard_at or sent)
+        self.last_contact_at = max(sent_at, self.last_contact_at or sent_at)
         if entry.version == self._version or entry.value is None:
             return
         self._version = entry.version
         match self._read(entry.value):
             case result.Err(reason):
-                self._ring.record(self._rejected, detail=reason)
+                self._ring.record(self._rejected_kind, detail=reason)
             case result.Ok(value):
-                self.offer(value, 'key-value service')
-                self.confirm(self._clock.now() - sent)
+                self.apply_if_newer(value, 'key-value service')
+                self.confirm(self._clock.now() - sent_at)
 
     async def _restore(self, entry: protocol.Entry) -> None:
-        """Write the value in force again where the service has lost it.
+        """Write again the edits that the service has lost, if any.
 
-        Only where the service still holds what was found, so of several
-        hosts one does it, and no edit made meanwhile is lost.
+        The write is a compare-and-swap against the version found, so only
+        one of several hosts succeeds and no concurrent edit is overwritten.
         """
-        wanted = self._find_lost(entry)
-        if wanted is None:
+        restored_value = self._make_value_to_restore(entry)
+        if restored_value is None:
             return
-        wait_s = RESTORE_WITHIN_S * self._source.random()
-        watched = await self._kv.watch(self._key, entry.version, wait_s)
+        delay_s = _MAX_RESTORE_DELAY_S * self._source.random()
+        # Wait, but stop if another host writes first.
+        watched = await self._kv.watch(self._key, entry.version, delay_s)
         if watched.is_err() or watched.unwrap().version != entry.version:
             return
         request = protocol.SwapRequest(
             key=self._key,
-            value=protocol.encode(wanted),
+            value=protocol.encode(restored_value),
             expected=entry.version,
         )
         if (await self._kv.swap(request)).is_ok():
             self._ring.record(
                 state.EventKind.TABLE_RESTORED,
-                detail=f'revision {self._get_revision(wanted)}',
+                detail=f'revision {self._get_revision(restored_value)}',
             )
 
-    def _find_lost(self, entry: protocol.Entry) -> T | None:
-        """Return what must be written again, if anything."""
+    def _make_value_to_restore(self, entry: protocol.Entry) -> T | None:
+        """Return the value with the lost edits, or None if none was lost."""
         if entry.value is None or self._value is None:
             return None
         match self._read(entry.value):
@@ -197,12 +208,12 @@
                 return self._reunite(self._value, found)
         return None
 
-    def _note_up(self) -> None:
+    def _record_up(self) -> None:
         if not self.is_up:
             self.is_up = True
             self._ring.record(state.EventKind.KV_UP, detail=self._key)
 
-    def _note_down(self, detail: str) -> None:
+    def _record_down(self, detail: str) -> None:
         if self.is_up:
             self.is_up = False
             self._ring.record(
--- a/rudderrock/coordination/_link.py
+++ b/rudderrock/coordination/_link.py
@@ -1,8 +1,8 @@
-"""What one host holds of one upstream: its lanes and its state.
+"""Connections from a host to one upstream, and the state of the upstream.
 
-A lane is a task that owns one connection and carries one exchange at a
-time. Lanes connect before they are given work, so the milliseconds of a
-new connection are not on the path of a query.
+A lane is a task that owns one connection and runs one exchange at a time.
+Lanes connect before they are given an attempt, so the milliseconds needed
+for a new connection do not add to the latency of a query.
 """
 
 import asyncio
@@ -20,13 +20,19 @@
 from rudderrock.coordination import _attempt as attempts
 from rudderrock.coordination import _health as health
 
-_FIRST_RECONNECT_S = 0.02
-# How often idle lanes are looked at, in seconds.
-_TEND_PERIOD_S = 2.0
+_INITIAL_RECONNECT_PAUSE_S = 0.02
+# Interval at which idle lanes are checked for closed connections.
+_IDLE_CHECK_PERIOD_S = 2.0
 
 
 class UpstreamState(enum.Enum):
-    """How an upstream is being treated."""
+    """State of an upstream as seen by this host.
+
+    `CONNECTING`: no connection was made yet. `UP`: connected and used.
+    `EJECTED`: failed repeatedly and has not answered since. `DOWN`: no
+    connection can be made. `LEAVING`: is about to stop and gets no new
+    attempts. `CLOSED`: this host has closed its link.
+    """
 
     CONNECTING = 'connecting'
     UP = 'up'
@@ -38,21 +44,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, eq=False)
 class _IdleLane:
-    """A lane that waits for work, and the connection it has ready."""
+    """A lane that waits for an attempt, and its open connection."""
 
-    slot: asyncio.Future[attempts.Attempt | None]
+    assignment: asyncio.Future[attempts.Attempt | None]
     connection: transport.UpstreamConnection
 
 
-_NO_NEW_WORK = frozenset({UpstreamState.LEAVING, UpstreamState.CLOSED})
+_REFUSING_STATES = frozenset({UpstreamState.LEAVING, UpstreamState.CLOSED})
 
 
 class UpstreamLink:
-    """All that this host knows of one upstream, and its lanes to it.
+    """Lanes to one upstream, with its state and health.
 
-    Parameters: `upstream` describes it; `port` makes connections; `ring`
-    gets an event for each change of its state; `on_free` is called when a
-    lane may take more work.
+    Parameters: `upstream` is its description; `port` opens connections;
+    `ring` records an event for each change of state; `on_free` is called
+    when a lane becomes idle.
+
+    `upstream.slots` is how many requests the upstream runs at once. The
+    lanes are the connections of this host to it, `health.limit` is an
+    adaptive limit of the attempts in flight, and `capacity` is the smaller
+    of these two.
     """
 
     def __init__(
@@ -76,44 +87,47 @@
         self._ring = ring
         self._on_free = on_free
         self._idle: list[_IdleLane] = []
-        self._tending: asyncio.Task | None = None
+        self._idle_check_task: asyncio.Task | None = None
         self._lanes: list[asyncio.Task[None]] = []
-        self._retiring = 0
-        self._left_by_layout = False
+        self._lanes_to_retire = 0
+        self._leaving_in_layout = False
 
     def set_lanes(self, count: int) -> None:
-        """Grow or shrink to a number of lanes; busy lanes end their work."""
-        while len(self._lanes) - self._retiring < count:
+        """Change the number of lanes to `count`.
+
+        Surplus lanes that are busy finish their exchange first.
+        """
+        while len(self._lanes) - self._lanes_to_retire < count:
             lane = asyncio.create_task(self._run_lane())
             self._lanes.append(lane)
-            lane.add_done_callback(self._forget_lane)
-        surplus = len(self._lanes) - self._retiring - count
+            lane.add_done_callback(self._on_lane_done)
+        surplus = len(self._lanes) - self._lanes_to_retire - count
         for _ in range(surplus):
-            self._retiring += 1
+            self._lanes_to_retire += 1
             if self._idle:
-                self._idle.pop().slot.set_result(None)
+                self._idle.pop().assignment.set_result(None)
         limit = max(self.health.limit, health.MIN_LIMIT)
         self.health.limit = min(limit, max(count, 1))
 
     def start(self, lanes: int) -> None:
-        """Open the first lanes, with room to use them all."""
+        """Start `lanes` lanes and set the concurrency limit to this number."""
         self.health.limit = float(lanes)
         self.set_lanes(lanes)
-        self._tending = asyncio.create_task(self._tend())
+        self._idle_check_task = asyncio.create_task(self._check_idle_lanes())
 
     async def close(self) -> None:
-        """End all lanes now."""
+        """Cancel all lanes."""
         self.state = UpstreamState.CLOSED
         tasks = list(self._lanes)
-        if self._tending is not None:
-            tasks.append(self._tending)
+        if self._idle_check_task is not None:
+            tasks.append(self._idle_check_task)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     @property
     def is_free(self) -> bool:
-        """Tell whether one more attempt can start now."""
+        """Return whether one more attempt can start now."""
         return bool(self._idle) and self.in_flight < math.ceil(
             self.health.limit
         )
@@ -125,105 +139,114 @@
 
     @property
     def takes_new_work(self) -> bool:
-        """Tell whether new work may be sent at all."""
-        return self.state not in _NO_NEW_WORK
+        """Return whether new attempts may be sent to the upstream."""
+        return self.state not in _REFUSING_STATES
 
     @property
     def is_reachable(self) -> bool:
-        """Tell whether it can be expected to take work before long."""
+        """Return whether the upstream takes attempts or is expected to."""
         return self.takes_new_work and self.state is not UpstreamState.DOWN
 
     def get_cost(self, now: float) -> float:
-        """Return the expected cost of sending it one more; less is better."""
+        """Return the expected cost of one more attempt; lower is better."""
         return self.health.get_cost(self.in_flight, self.upstream.slots, now)
 
     def send(self, attempt: attempts.Attempt) -> None:
-        """Give an attempt to an idle lane; `is_free` must hold."""
+        """Pass an attempt to an idle lane; `is_free` must be true."""
         attempt.upstream = self.upstream.upstream
         attempt.sent_at = self._clock.now()
         attempt.base_s = self.health.base_s
         attempt.note_late = self.health.note_late
         self.in_flight += 1
-        self._idle.pop().slot.set_result(attempt)
+        self._idle.pop().assignment.set_result(attempt)
 
     def apply_layout(self, leaving: bool) -> None:
-        """Take note of whether the layout says that it leaves."""
+        """Set whether the layout marks the upstream as leaving."""
         if leaving:
-            self._set_state(UpstreamState.LEAVING, 'layout')
-        elif self._left_by_layout and self.state is UpstreamState.LEAVING:
-            self._set_state(UpstreamState.UP, 'back in the layout')
-        self._left_by_layout = leaving
-
-    def _set_state(self, new: UpstreamState, detail: str) -> None:
-        if new is self.state or self.state is UpstreamState.CLOSED:
+            self._set_state(UpstreamState.LEAVING, 'marked in the layout')
+        elif self._leaving_in_layout and self.state is UpstreamState.LEAVING:
+            self._set_state(
+                UpstreamState.UP, 'no longer leaving in the layout'
+            )
+        self._leaving_in_layout = leaving
+
+    def _set_state(self, new_state: UpstreamState, detail: str) -> None:
+        if new_state is self.state or self.state is UpstreamState.CLOSED:
             return
-        self.state = new
+        self.state = new_state
         self._ring.record(
             state.EventKind.UPSTREAM_STATE,
             upstream=self.upstream.upstream,
-            detail=f'{new.value}: {detail}',
+            detail=f'{new_state.value}: {detail}',
         )
 
     async def _run_lane(self) -> None:
-        """Own one connection: connect, then carry one exchange at a time."""
+        """Connect, run exchanges, and connect again until retired."""
         retired = False
         while not retired:
             connection = await self._connect()
             try:
-                retired = await self._carry(connection)
+                retired = await self._run_exchanges(connection)
             finally:
                 await connection.close()
 
     async def _connect(self) -> transport.UpstreamConnection:
-        """Try until there is a connection, ever less often."""
-        pause_s = _FIRST_RECONNECT_S
+        """Connect, with exponential backoff, until a connection is open."""
+        pause_s = _INITIAL_RECONNECT_PAUSE_S
         while True:
             connected = await self._port.connect(self.upstream)
             match connected:
                 case result.Ok(connection):
-                    self._note_connected()
+                    self._record_connected()
                     return connection
-                case result.Err(failed):
-                    self._note_unreachable(failed.detail)
+                case result.Err(failure):
+                    self._record_unreachable(failure.detail)
             await asyncio.sleep(pause_s * self._source.uniform(0.5, 1.0))
             pause_s = min(pause_s * 2, self._settings.reconnect_max_s)
 
-    async def _carry(self, connection: transport.UpstreamConnection) -> bool:
-        """Carry exchanges until one does not run to its end.
+    async def _run_exchanges(
+        self, connection: transport.UpstreamConnection
+    ) -> bool:
+        """Run exchanges until the connection can no longer be used.
 
-        Returns whether the lane is to retire instead of connecting again.
+        Return whether the lane is to retire instead of connecting again.
         """
         while connection.is_usable:
-            if self._retiring > 0:
-                self._retiring -= 1
+            if self._lanes_to_retire > 0:
+                self._lanes_to_retire -= 1
                 return True
-            attempt = await self._take_attempt(connection)
+            attempt = await self._wait_for_attempt(connection)
             if attempt is None:
                 continue
             if not connection.is_usable:
-                await self._hand_back(attempt)
+                await self._run_on_new_connection(attempt)
             elif not await self._exchange(connection, attempt):
                 return False
         return False
 
-    async def _take_attempt(
+    async def _wait_for_attempt(
         self, connection: transport.UpstreamConnection
     ) -> attempts.Attempt | None:
-        """Wait for work; None when woken to look at lane and connection."""
-        slot = asyncio.get_running_loop().create_future()
-        idle = _IdleLane(slot, connection)
+        """Wait for an attempt.
+
+        Return None when the lane is woken because it is to retire or its
+        connection was closed.
+        """
+        assignment = asyncio.get_running_loop().create_future()
+        idle = _IdleLane(assignment, connection)
         self._idle.append(idle)
         self._on_free(self)
         try:
-            return await slot
+            return await assignment
         finally:
             if idle in self._idle:
                 self._idle.remove(idle)
 
-    async def _hand_back(self, attempt: attempts.Attempt) -> None:
-        """Run an attempt over a new connection: this one was closed on us.
+    async def _run_on_new_connection(self, attempt: attempts.Attempt) -> None:
+        """Run an attempt over a new connection.
 
-        Nothing of the attempt has been sent, so this is safe for any.
+        Called when the upstream closed the lane's connection before the
+        attempt was sent, so this is safe for non-idempotent requests too.
         """
         connected = await self._port.connect(self.upstream)
         match connected:
@@ -232,27 +255,28 @@
                     await self._exchange(connection, attempt)
                 finally:
                     await connection.close()
-            case result.Err(failed):
+            case result.Err(failure):
                 self.in_flight -= 1
-                attempt.deliver(protocol.ShardLost(False, failed.detail))
+                attempt.deliver(protocol.ShardLost(False, failure.detail))
 
-    async def _tend(self) -> None:
-        """Let idle lanes renew connections that were closed on them."""
+    async def _check_idle_lanes(self) -> None:
+        """Wake idle lanes with a closed connection, so that they reconnect."""
         while True:
-            await asyncio.sleep(_TEND_PERIOD_S)
+            await asyncio.sleep(_IDLE_CHECK_PERIOD_S)
             for idle in list(self._idle):
                 if not idle.connection.is_usable:
                     self._idle.remove(idle)
-                    idle.slot.set_result(None)
+                    idle.assignment.set_result(None)
 
     async def _exchange(
         self,
         connection: transport.UpstreamConnection,
         attempt: attempts.Attempt,
     ) -> bool:
-        """Run one exchange; tell whether the connection can be kept."""
+        """Run one exchange; return whether the connection can be reused."""
         if attempt.given_up or self._clock.now() >= attempt.deadline:
-            # Also after a pause of the whole process: nothing runs late.
+            # Nothing is sent for an abandoned attempt or after the deadline,
+            # which may also have passed during a pause of the whole process.
             self.in_flight -= 1
             attempt.deliver(protocol.ShardLost(False, 'deadline passed'))
             return True
@@ -262,65 +286,79 @@
         finally:
             attempt.abort = None
             self.in_flight -= 1
-            self._note_reply(attempt, reply)
+            self._record_reply(attempt, reply)
             attempt.deliver(reply)
         return not isinstance(
             reply, protocol.ShardLost | protocol.ShardTimeout
         )
 
-    def _forget_lane(self, lane: asyncio.Task[None]) -> None:
+    def _on_lane_done(self, lane: asyncio.Task[None]) -> None:
         self._lanes.remove(lane)
         if not lane.cancelled() and lane.exception() is not None:
+            # A defect, which the event loop's exception handler logs.
             raise lane.exception()
 
-    def _note_connected(self) -> None:
+    def _record_connected(self) -> None:
         if self.state is UpstreamState.DOWN:
-            self.health.note_cold()
+            self.health.mark_cold()
         if self.state in (UpstreamState.DOWN, UpstreamState.CONNECTING):
             self._set_state(UpstreamState.UP, 'connected')
 
-    def _note_unreachable(self, detail: str) -> None:
-        """Take note that no connection can be made.
+    def _record_unreachable(self, detail: str) -> None:
+        """Record that no connection can be made.
 
-        One that said it leaves has then left; when it is back, it has
-        started anew and is given work again.
+        The state changes only if no other lane has a connection, and not
+        while the layout marks the upstream as leaving.
+
+        This also ends `LEAVING` for an upstream that reported it: the
+        upstream has stopped, and is `UP` again after its restart.
         """
-        if self.in_flight == 0 and not self._idle and not self._left_by_layout:
+        if (
+            self.in_flight == 0
+            and not self._idle
+            and not self._leaving_in_layout
+        ):
             self._set_state(UpstreamState.DOWN, detail)
 
-    def _note_reply(
+    def _record_reply(
         self, attempt: attempts.Attempt, reply: protocol.ShardReply
     ) -> None:
-        elapsed = self._clock.now() - attempt.sent_at
+        elapsed_s = self._clock.now() - attempt.sent_at
         match reply:
             case protocol.ShardAnswer():
-                self._note_success(elapsed, reply.load)
+                self._record_success(elapsed_s, reply.load)
             case protocol.ShardRejected(kind=protocol.RejectionKind.SHED):
-                self.health.note_shed(reply.retry_after_s)
+                self.health.record_shed(reply.retry_after_s)
             case protocol.ShardRejected(kind=protocol.RejectionKind.LEAVING):
-                self._set_state(UpstreamState.LEAVING, 'said so itself')
+                self._set_state(
+                    UpstreamState.LEAVING,
+                    'rejected an attempt because it is leaving',
+                )
             case protocol.ShardRejected(kind=protocol.RejectionKind.VERSION):
                 request = attempt.request
-                self.health.note_missing(
+                self.health.record_missing_version(
                     request.shard, request.version, reply.versions
                 )
             case protocol.ShardRejected():
                 pass
             case protocol.ShardTimeout():
-                self._note_ejected(self.health.note_timeout(elapsed))
+                self._record_ejection(self.health.record_timeout(elapsed_s))
             case protocol.ShardLost():
-                self._note_ejected(self.health.note_failure())
+                self._record_ejection(self.health.record_failure())
 
-    def _note_success(self, elapsed: float, load: protocol.Load) -> None:
-        self.health.note_success(
-            elapsed, load, self.in_flight, len(self._lanes)
+    def _record_success(self, elapsed_s: float, load: protocol.Load) -> None:
+        self.health.record_success(
+            elapsed_s, load, self.in_flight, len(self._lanes)
         )
         if self.state is UpstreamState.EJECTED:
-            self._set_state(UpstreamState.UP, 'answers again')
+            self._set_state(UpstreamState.UP, 'answered again')
         if load.leaving:
-            self._set_state(UpstreamState.LEAVING, 'reported by its load')
-
-    def _note_ejected(self, out_s: float | None) -> None:
-        if out_s is not None and self.state is UpstreamState.UP:
-            detail = f'for {out_s:.1f} s after repeated failures'
+            self._set_state(
+                UpstreamState.LEAVING,
+                'the upstream reported that it is leaving',
+            )
+
+    def _record_ejection(self, ejection_s: float | None) -> None:
+        if ejection_s is not None and self.state is UpstreamState.UP:
+            detail = f'for {ejection_s:.1f} s after repeated failures'
             self._set_state(UpstreamState.EJECTED, detail)
--- a/rudderrock/coordination/_shard_call.py
+++ b/rudderrock/coordination/_shard_call.py
@@ -1,4 +1,4 @@
-"""One shard within one query, and when to look at it again."""
+"""Requests of a query for one shard, and the schedule of their checks."""
 
 import dataclasses
 import heapq
@@ -13,57 +13,63 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
 class ShardCall:
-    """The state of one shard within one query.
-
-    It is over when it has an answer or a reason why there is none.
-    `failed` are replicas that failed since the last pause, `lacking` those
-    that said they have not the version. It is `excused` once it has been given
-    more time since this process stood still.
+    """The requests for one shard within one pass of a query, and their result.
+
+    The call is closed once it has an answer or a reason for having none.
+    `failed` holds the replicas that failed since the last pause before a
+    retry; `lacking_version` holds those that rejected the version.
+    `attempt_count` is the number of attempts sent or queued. `found_late` is
+    set once a hedge check has found an attempt late, so that lateness is
+    recorded only once. `check_postponed` is set once a hedge check has been
+    postponed because this process stalled.
     """
 
     service: dispatch.Service
     in_flight: list[attempts.Attempt] = dataclasses.field(default_factory=list)
     failed: set[state.UpstreamId] = dataclasses.field(default_factory=set)
-    lacking: set[state.UpstreamId] = dataclasses.field(default_factory=set)
-    tries: int = 0
-    hedged: bool = False
-    excused: bool = False
-    miss: protocol.MissReason | None = None
+    lacking_version: set[state.UpstreamId] = dataclasses.field(
+        default_factory=set
+    )
+    attempt_count: int = 0
+    found_late: bool = False
+    check_postponed: bool = False
+    miss_reason: protocol.MissReason | None = None
     answer: protocol.ShardAnswer | None = None
 
     @property
-    def is_over(self) -> bool:
-        """Tell whether nothing more is to come."""
-        return self.answer is not None or self.miss is not None
+    def is_closed(self) -> bool:
+        """Return whether the shard has an answer or is missing."""
+        return self.answer is not None or self.miss_reason is not None
 
     @property
-    def tried(self) -> frozenset[state.UpstreamId]:
-        """Return the replicas that are of no use just now."""
-        return frozenset(self.failed | self.lacking)
+    def excluded(self) -> frozenset[state.UpstreamId]:
+        """Return the replicas to exclude from the next attempt."""
+        return frozenset(self.failed | self.lacking_version)
 
-    def has_untried(self) -> bool:
-        """Tell whether some replica that can be reached is left to try."""
+    def has_remaining_replica(self) -> bool:
+        """Return whether some reachable replica is not excluded."""
         return any(
-            link.is_reachable and link.upstream.upstream not in self.tried
+            link.is_reachable and link.upstream.upstream not in self.excluded
             for link in self.service.links
         )
 
 
 class Due(typing.NamedTuple):
-    """A time at which a shard wants to be looked at again.
+    """A scheduled check of a shard.
 
-    `retry` is the reason of the last failure if it is to be tried again
-    then, None if it may be late.
+    `when` is in loop time; `order` breaks ties. `retry_reason` is the reason
+    of the last failure if the check is to retry the shard, or None if the
+    check is for lateness.
     """
 
     when: float
     order: int
     call: ShardCall
-    retry: protocol.MissReason | None
+    retry_reason: protocol.MissReason | None
 
 
 class Agenda:
-    """What a query has to look at again, the earliest first."""
+    """Scheduled checks of one query, ordered by time."""
 
     def __init__(self, clock: state.Clock):
         self._clock = clock
@@ -74,18 +80,20 @@
         self,
         call: ShardCall,
         when: float,
-        retry: protocol.MissReason | None = None,
+        retry_reason: protocol.MissReason | None = None,
     ) -> None:
-        """Look at a shard again at loop time `when`."""
-        heapq.heappush(self._due, Due(when, next(self._order), call, retry))
+        """Schedule a check of a shard at loop time `when`."""
+        heapq.heappush(
+            self._due, Due(when, next(self._order), call, retry_reason)
+        )
 
     def get_next_time(self, end: float) -> float:
-        """Return the loop time to wait for, `end` at the latest."""
+        """Return the loop time of the next check, at most `end`."""
         return min(end, self._due[0].when) if self._due else end
 
     def take_due(self) -> typing.Iterator[Due]:
-        """Yield, and forget, what is due now and not yet over."""
+        """Remove and yield the due checks of shards that are not closed."""
         while self._due and self._clock.has_reached(self._due[0].when):
             due = heapq.heappop(self._due)
-            if not due.call.is_over:
+            if not due.call.is_closed:
                 yield due
--- a/rudderrock/coordination/_shares.py
+++ b/rudderrock/coordination/_shares.py
@@ -1,9 +1,9 @@
-"""How much of a team's tier-wide limit one host may use.
+"""Division of a team's limits among the hosts.
 
-A part of each limit is split evenly, the rest by the demand that hosts
-state to one another. A host uses for itself what it has stated, not what
-it sees this instant, so that all hosts divide by the same numbers as soon
-as they have heard one another.
+The fraction `floor` of each limit is split evenly, the rest in proportion
+to the demand that hosts report to one another. For its own demand a host
+uses its last demand report, not the current rates, so that all hosts divide
+by the same numbers once they have received one another's demand reports.
 """
 
 import collections
@@ -12,15 +12,19 @@
 from rudderrock import protocol
 from rudderrock import state
 
-_MIN_RATE = 0.01
-_SPARE_FRACTIONS = 64
-_STATEMENT_MEMORY_S = 60.0
+# Lower rates of shard requests are not reported.
+_MIN_RATE_PER_S = 0.01
+# Stored fractions are cleaned up when they exceed twice the number of teams
+# with demand plus this.
+_FRACTIONS_SLACK = 64
+# Age from which the demand report of a host is dropped.
+_MAX_DEMAND_AGE_S = 60.0
 
 
 class ShareBook:
-    """Demand of teams at this host and, as stated, at its peers.
+    """Demand of teams at this host and at its peers, and its own shares.
 
-    Parameters: `host` is this host's id, `settings` the split.
+    Parameters: `host` is this host's id; `settings` define the division.
     """
 
     def __init__(
@@ -32,123 +36,134 @@
         self._host = host
         self._settings = settings
         self._clock = clock
-        self._asked: collections.Counter[state.TeamId] = collections.Counter()
+        self._requested: collections.Counter[state.TeamId] = (
+            collections.Counter()
+        )
         self._rates: dict[state.TeamId, float] = {}
-        self._stated: dict[state.HostId, protocol.Demand] = {}
+        self._demands: dict[state.HostId, protocol.Demand] = {}
         self._fractions: dict[state.TeamId, tuple[float, float]] = {}
-        self._heard_at: dict[state.HostId, float] = {}
-        self._count = 0
-        self._stated_at = clock.now()
-        self._hosts = 1
+        self._received_at: dict[state.HostId, float] = {}
+        self._report_number = 0
+        self._demand_updated_at = clock.now()
+        self._host_count = 1
 
     def note(self, team: state.TeamId, cost: int) -> None:
-        """Take note of shard requests asked for, also if refused."""
-        self._asked[team] += cost
+        """Count `cost` shard requests of a team, including refused ones."""
+        self._requested[team] += cost
 
     def set_hosts(self, hosts: set[state.HostId]) -> None:
-        """Set which hosts share the limits, this one among them."""
-        self._hosts = max(1, len(hosts))
-        for host in set(self._stated) - hosts - {self._host}:
-            del self._stated[host]
+        """Set the hosts that share the limits, including this one."""
+        self._host_count = max(1, len(hosts))
+        for host in set(self._demands) - hosts - {self._host}:
+            del self._demands[host]
+
+    def update_demand(self) -> protocol.Demand:
+        """Update the moving averages of demand; return the new demand report.
 
-    def state_demand(self) -> protocol.Demand:
-        """Average what was asked since the last statement, and state it."""
+        Rates are in shard requests per second.
+        """
         now = self._clock.now()
-        passed = now - self._stated_at
-        if passed > 0:
-            weight = min(1.0, passed / self._settings.demand_window_s)
-            for team in set(self._rates) | set(self._asked):
+        elapsed_s = now - self._demand_updated_at
+        if elapsed_s > 0:
+            weight = min(1.0, elapsed_s / self._settings.demand_window_s)
+            for team in set(self._rates) | set(self._requested):
                 rate = self._rates.get(team, 0.0)
-                rate += weight * (self._asked[team] / passed - rate)
+                rate += weight * (self._requested[team] / elapsed_s - rate)
                 self._rates[team] = rate
-            self._asked.clear()
-            self._stated_at = now
+            self._requested.clear()
+            self._demand_updated_at = now
         self._rates = {
             team: rate
             for team, rate in self._rates.items()
-            if rate >= _MIN_RATE
+            if rate >= _MIN_RATE_PER_S
         }
-        if len(self._fractions) > 2 * len(self._rates) + _SPARE_FRACTIONS:
+        if len(self._fractions) > 2 * len(self._rates) + _FRACTIONS_SLACK:
             self._fractions = {
                 team: known
                 for team, known in self._fractions.items()
                 if team in self._rates
             }
-        self._count += 1
-        self._forget_old(now)
+        self._report_number += 1
+        self._drop_expired(now)
         demand = protocol.Demand(
-            host=self._host, count=self._count, rates=self._get_top_rates()
+            host=self._host,
+            count=self._report_number,
+            rates=self._get_top_rates(),
         )
-        self._stated[self._host] = demand
+        self._demands[self._host] = demand
         return demand
 
     def hear(self, demand: protocol.Demand) -> None:
-        """Take note of what a peer states, directly or through others."""
+        """Merge the demand report of a peer, received directly or relayed."""
         if demand.host == self._host:
             return
-        known = self._stated.get(demand.host)
+        known = self._demands.get(demand.host)
         if known is None or known.count < demand.count:
-            self._stated[demand.host] = demand
-            self._heard_at[demand.host] = self._clock.now()
+            self._demands[demand.host] = demand
+            self._received_at[demand.host] = self._clock.now()
 
     def pick_demands(self, source: random.Random) -> list[protocol.Demand]:
-        """Return statements for one message: our own, and some others.
+        """Return demand reports for one message: this host's and some others.
 
-        As many as a message may carry, whichever the draw brings first.
+        The others are added in random order while the message has room. Its
+        room is a number of rates; each added report counts as one more.
         """
         picked = []
-        room = protocol.MAX_DEMANDS
-        others = [host for host in self._stated if host != self._host]
+        rates_left = protocol.MAX_DEMANDS
+        others = [host for host in self._demands if host != self._host]
         source.shuffle(others)
-        own = self._stated.get(self._host)
+        own = self._demands.get(self._host)
         if own is not None:
             picked.append(own)
-            room -= len(own.rates)
+            rates_left -= len(own.rates)
         for host in others:
-            demand = self._stated[host]
-            # That a host asks for nothing it says itself.
-            if demand.rates and len(demand.rates) < room:
+            demand = self._demands[host]
+            # An empty report is only sent by its own host, not relayed.
+            if demand.rates and len(demand.rates) < rates_left:
                 picked.append(demand)
-                room -= 1 + len(demand.rates)
+                rates_left -= 1 + len(demand.rates)
         return picked
 
-    def get_fraction(self, team: state.TeamId) -> float:
-        """Return the part of a team's limit that this host may use."""
-        floor = self._settings.floor / self._hosts
+    def update_fraction(self, team: state.TeamId) -> float:
+        """Update and return the fraction of a team's limits for this host."""
+        floor = self._settings.floor / self._host_count
         total = sum(
-            demand.rates.get(team, 0.0) for demand in self._stated.values()
+            demand.rates.get(team, 0.0) for demand in self._demands.values()
         )
-        own = self._stated.get(self._host)
-        mine = own.rates.get(team, 0.0) if own else 0.0
+        own = self._demands.get(self._host)
+        own_rate = own.rates.get(team, 0.0) if own else 0.0
         if total <= 0.0:
-            return self._approach(team, 1.0 / self._hosts)
-        part = (1.0 - self._settings.floor) * mine / total
-        return self._approach(team, floor + part)
+            return self._limit_growth(team, 1.0 / self._host_count)
+        demand_share = (1.0 - self._settings.floor) * own_rate / total
+        return self._limit_growth(team, floor + demand_share)
 
-    def _approach(self, team: state.TeamId, target: float) -> float:
-        """Return the fraction now, on its way to where it is to be.
+    def _limit_growth(self, team: state.TeamId, target: float) -> float:
+        """Return the fraction, moved toward `target` at a limited rate.
 
-        It falls at once and grows slowly. When a team starts to ask at
-        many hosts at once, each of them sees its own demand before it
-        hears of the others', and would take all of the limit.
+        The fraction decreases at once. Above the even share it grows only by
+        `growth_per_s`: when a team starts to send to many hosts at once,
+        each host sees its own demand before it receives that of the
+        others, and would otherwise use the whole limit.
         """
         now = self._clock.now()
-        even = 1.0 / self._hosts
-        fraction, at = self._fractions.get(team, (even, now))
-        grown = fraction + self._settings.growth_per_s * (now - at)
-        fraction = min(target, max(grown, min(even, target)))
+        even_share = 1.0 / self._host_count
+        fraction, set_at = self._fractions.get(team, (even_share, now))
+        grown_fraction = fraction + self._settings.growth_per_s * (
+            now - set_at
+        )
+        fraction = min(target, max(grown_fraction, min(even_share, target)))
         self._fractions[team] = (fraction, now)
         return fraction
 
-    def _forget_old(self, now: float) -> None:
-        """Drop statements that have not been renewed for long."""
-        for host, heard_at in list(self._heard_at.items()):
-            if now - heard_at > _STATEMENT_MEMORY_S:
-                del self._heard_at[host]
-                self._stated.pop(host, None)
+    def _drop_expired(self, now: float) -> None:
+        """Drop the demand reports of hosts that have not reported recently."""
+        for host, received_at in list(self._received_at.items()):
+            if now - received_at > _MAX_DEMAND_AGE_S:
+                del self._received_at[host]
+                self._demands.pop(host, None)
 
     def _get_top_rates(self) -> dict[state.TeamId, float]:
-        """Return the largest demands, as many as a message may carry."""
+        """Return the highest rates, as many as a message may carry."""
         top = sorted(self._rates.items(), key=lambda each: -each[1])
         limited = top[: protocol.MAX_DEMANDS - 1]
         return {team: round(rate, 2) for team, rate in limited}
