--- a/rudderrock/core/__init__.py
+++ b/rudderrock/core/__init__.py
@@ -1,7 +1,7 @@
-"""What every part uses: ids, time, randomness and latency estimates.
+"""Identifiers, clocks, random sources and latency estimates.
 
-It imports nothing beyond the standard library and one hash, so that a
-process that needs no more starts quickly.
+Shared by all other packages. Only the standard library and xxhash are
+imported, which keeps the start of small processes fast.
 """
 
 from rudderrock.core._addresses import split_address
--- a/rudderrock/core/_addresses.py
+++ b/rudderrock/core/_addresses.py
@@ -1,8 +1,8 @@
-"""Addresses as text."""
+"""Parsing of addresses."""
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return the IP number and the port of `IP:port`.
+    """Return the IP address and the port of `IP:port`.
 
     Raises ValueError if the port is not a number.
 
--- a/rudderrock/core/_clock.py
+++ b/rudderrock/core/_clock.py
@@ -1,7 +1,8 @@
-"""Time and randomness, the only two sources a process may use.
+"""Clocks and seeded random sources.
 
-Both are made once by the composition root and handed down, so that a
-scenario on a virtual-time loop with a given seed replays exactly.
+A process uses no other source of time or random numbers. The composition
+root makes both and passes them down, so that a scenario that runs on a
+virtual-time loop with a given seed is reproducible.
 """
 
 import asyncio
@@ -9,17 +10,18 @@
 
 import xxhash
 
-# A loop wakes timers that are due within its resolution, so a time this
-# close counts as reached; waiting for the rest of it would never end.
+# An event loop runs timers that are due within its clock resolution. A time
+# that is closer than this counts as reached, because a timer for the rest
+# would fire at once and the wait would never end.
 _RESOLUTION_S = 2e-6
 
 
 class Clock:
-    """The loop's steady time, and a wall time derived from it.
+    """Monotonic time of an event loop, and wall time derived from it.
 
-    Parameters: `loop` supplies the monotonic time in seconds; `wall_offset`
-    in seconds is what must be added to it to give Unix time. The offset is
-    read once, at start, so wall time never steps backwards in a process.
+    Parameters: `loop` provides the monotonic time in seconds; `wall_offset`
+    is added to it to get Unix time, in seconds. The offset is determined
+    once, at start, so wall time never steps backwards within a process.
     """
 
     def __init__(
@@ -29,23 +31,23 @@
         self._wall_offset = wall_offset
 
     def now(self) -> float:
-        """Return monotonic seconds; only differences have a meaning."""
+        """Return the monotonic time in seconds, from an arbitrary origin."""
         return self._loop.time()
 
     def has_reached(self, when: float) -> bool:
-        """Tell whether a loop time has come, as the loop's timers see it."""
+        """Return whether a timer for the loop time `when` would be due."""
         return self._loop.time() + _RESOLUTION_S >= when
 
     def wall(self) -> float:
-        """Return seconds since the Unix epoch."""
+        """Return the wall time in seconds since the Unix epoch."""
         return self._loop.time() + self._wall_offset
 
 
 def make_random(seed: int, name: str) -> random.Random:
-    """Make the stream of randomness that belongs to one named part.
+    """Return the random source of one named component.
 
-    Streams of one seed are independent, so a part that draws one number
-    more does not shift the numbers that another part sees.
+    Sources with the same seed and different names are independent: an
+    additional draw in one component doesn't change the numbers of another.
 
     >>> make_random(1, 'router').random() == make_random(1, 'router').random()
     True
--- a/rudderrock/core/_ids.py
+++ b/rudderrock/core/_ids.py
@@ -1,4 +1,4 @@
-"""Identifiers, each a type of its own so that they cannot be mixed up."""
+"""Identifiers as distinct types, so that a type checker finds mix-ups."""
 
 from typing import NewType
 
@@ -6,7 +6,7 @@
 ZoneId = NewType('ZoneId', str)
 TeamId = NewType('TeamId', str)
 UpstreamId = NewType('UpstreamId', str)
-# One life of an upstream: it may start again under its id.
+# One process lifetime of an upstream, which keeps its id over restarts.
 UpstreamLife = NewType('UpstreamLife', str)
 ShardId = NewType('ShardId', str)
 CollectionId = NewType('CollectionId', str)
--- a/rudderrock/core/_latency.py
+++ b/rudderrock/core/_latency.py
@@ -1,27 +1,31 @@
-"""Latency as observed by this host: when it is late, and its mean."""
+"""Estimators of the latency that this host observes."""
 
 import math
 
 from rudderrock.core import _clock
 
-# Gain of one request on the late point, once settled and at first.
+# Gain of one request on the logarithm of the threshold. It starts at the
+# maximum, falls with the square root of the number of requests and ends at
+# the minimum.
 _LATE_GAIN = 0.02
 _FIRST_GAIN = 3.0
 _HIGHEST_GAIN = 0.5
 
 
 class LatePoint:
-    """The latency that a given part of requests exceeds.
-
-    Found by stochastic approximation (Robbins and Monro, 1951) on its
-    logarithm: each request that is late raises it a little, each that is
-    not lowers it less. It needs only to know whether a request was late,
-    so it is not misled by requests whose true latency is never learned
-    because a hedge was faster. A histogram's high percentile is, and it
-    needs thousands of samples to hold still.
-
-    Parameters: `part` of the requests that shall be late, 0 to 1; `lowest`
-    and `highest` bound the point, in seconds, and it starts at `start`.
+    """Latency quantile that serves as the hedge threshold.
+
+    The quantile is estimated by stochastic approximation (Robbins and
+    Monro, 1951) on its logarithm: a request above the threshold raises it,
+    a request below it lowers it by a smaller step. The estimator only needs
+    to know whether a request exceeded the threshold, so it isn't biased by
+    requests whose full latency is never observed because a hedge returned
+    first. A high percentile of a histogram is biased by them, and takes
+    thousands of samples to become stable.
+
+    Parameters: `part` is the fraction of requests that shall exceed the
+    threshold, 0 to 1; `start` is its initial value, `lowest` and `highest`
+    are its bounds, all in seconds.
     """
 
     def __init__(
@@ -34,11 +38,11 @@
         self._count = 0
 
     def get(self) -> float:
-        """Return the point in seconds."""
+        """Return the threshold in seconds."""
         return self._point
 
     def note(self, late: bool) -> None:
-        """Take note of whether one request was later than the point."""
+        """Update the threshold by whether one request exceeded it."""
         self._count += 1
         gain = _FIRST_GAIN / math.sqrt(self._count)
         gain = min(max(gain, _LATE_GAIN), _HIGHEST_GAIN)
@@ -48,14 +52,15 @@
 
 
 class FadingMean:
-    """An exponentially weighted mean that also fades with idle time.
+    """Exponentially weighted mean that decays to zero without new samples.
 
-    A replica that was slow is not asked, so it would be remembered as slow
-    for ever; fading towards zero gives it another try (as Finagle's peak
-    EWMA does).
+    A slow replica is no longer selected, so it gets no new samples and its
+    mean would stay high for ever. With the decay it is selected again after
+    a time, as with the peak EWMA of Finagle.
 
-    Parameters: `weight` of a new sample, 0 to 1; `fade_s` is the time in
-    which an idle mean falls to 1/e.
+    Parameters: `weight` is the weight of a new sample, 0 to 1; `fade_s` is
+    the time constant of the decay in seconds, after which an idle mean has
+    fallen to 1/e.
     """
 
     def __init__(
@@ -73,6 +78,6 @@
         self._updated = self._clock.now()
 
     def get(self) -> float:
-        """Return the mean, faded by the time since the last sample."""
+        """Return the mean, decayed by the time since the last sample."""
         idle = self._clock.now() - self._updated
         return self._mean * math.exp(-idle / self._fade_s)
--- a/rudderrock/core/_loop.py
+++ b/rudderrock/core/_loop.py
@@ -1,26 +1,27 @@
-"""The event loop of the programs, whose time goes on while a host sleeps."""
+"""The event loop of the programs, whose clock includes suspended time."""
 
 import asyncio
 import time
 
 
 class SuspendAwareLoop(asyncio.SelectorEventLoop):
-    """A loop on the clock that counts time in which the host is suspended.
+    """Event loop whose clock also advances while the machine is suspended.
 
-    The monotonic clock stands still then, so every age, lease and deadline
-    would be taken for younger than it is by that time, and wall time derived
-    from it would lag until the process ends. On CLOCK_BOOTTIME
-    (clock_gettime(2), Linux) a suspension is to a process what a freeze is.
-    A timer that falls due meanwhile runs when the next one or a socket wakes
-    the loop; a gateway has a timer each 0.25 s.
+    The monotonic clock stops during a suspension. Ages, leases and
+    deadlines would then be off by the suspended time, and the wall time
+    derived from the clock would lag until the process ends. With
+    CLOCK_BOOTTIME (clock_gettime(2), Linux), a suspension has the same
+    effect as a paused process. A timer that becomes due during a suspension
+    runs when the next timer or socket event wakes the loop; a gateway has a
+    timer every 0.25 s.
     """
 
     def time(self) -> float:
-        """Return seconds since the host booted, suspensions included."""
+        """Return the time since boot in seconds, suspensions included."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def run_loop(main):
-    """Run a coroutine to its end, as `asyncio.run` does, on such a loop."""
+    """Run a coroutine like `asyncio.run`, on a `SuspendAwareLoop`."""
     with asyncio.Runner(loop_factory=SuspendAwareLoop) as runner:
         return runner.run(main)
--- a/rudderrock/frontend/__init__.py
+++ b/rudderrock/frontend/__init__.py
@@ -1,4 +1,4 @@
-"""The HTTP applications of a host: for callers, peers and operators."""
+"""The HTTP applications of a host for callers, peers and operators."""
 
 from rudderrock.frontend._body import decode_body
 from rudderrock.frontend._body import make_json
--- a/rudderrock/frontend/_body.py
+++ b/rudderrock/frontend/_body.py
@@ -1,4 +1,4 @@
-"""Reading requests within bounds, and answering them."""
+"""Reading of request bodies within limits, and encoding of responses."""
 
 import asyncio
 from typing import Any
@@ -16,7 +16,11 @@
 async def read_body(
     request: requests.Request, settings: state.IntakeSettings
 ) -> result.Result[bytes, protocol.Refused]:
-    """Read a body of bounded size in bounded time."""
+    """Return the body, or a refusal if it is too large or too slow.
+
+    The limits are `max_body_bytes` and `body_timeout_s` of the settings. A
+    body that ends early because the client disconnects is malformed.
+    """
     chunks = []
     size = 0
     try:
@@ -45,7 +49,7 @@
 
 
 def read_token(request: requests.Request) -> str | None:
-    """Return the bearer token of a request (RFC 6750), if it has one."""
+    """Return the bearer token of a request (RFC 6750), or None."""
     value = request.headers.get('authorization', '')
     if value[: len(_BEARER)].lower() != _BEARER:
         return None
@@ -53,7 +57,7 @@
 
 
 def decode_body(cls: type, body: bytes) -> result.Result[Any, Any]:
-    """Decode a body, or return the refusal for a malformed one."""
+    """Return the decoded body, or a refusal if it is malformed."""
     decoded = protocol.decode(cls, body)
     return decoded.map_err(
         lambda detail: protocol.Refused(
@@ -69,7 +73,7 @@
 
 
 def make_json(message: Any, status: int = 200) -> responses.Response:
-    """Return a message as an HTTP response."""
+    """Return the HTTP response with a message as JSON."""
     return responses.Response(
         protocol.encode(message), status, media_type=protocol.JSON_TYPE
     )
--- a/rudderrock/frontend/_callers.py
+++ b/rudderrock/frontend/_callers.py
@@ -1,4 +1,4 @@
-"""The HTTP application for callers, and the health of a host."""
+"""The HTTP application for callers, and the health endpoints of a host."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -22,7 +22,7 @@
 def make_caller_app(
     host: coordination.EntryHost,
 ) -> applications.Starlette:
-    """Make what callers of one host talk to."""
+    """Return the HTTP application that serves the callers of a host."""
     settings = host.settings.intake
 
     async def query(request: requests.Request) -> responses.Response:
@@ -39,8 +39,8 @@
             return body.make_response(opened.unwrap_err())
         row, message = opened.unwrap()
         key = request.headers.get(protocol.IDEMPOTENCY_HEADER, '')
-        # A command is seen through even if its caller goes away, so that
-        # its outcome is recorded for the caller's next try.
+        # A command isn't cancelled when its caller disconnects. Its outcome
+        # is recorded and returned when the caller retries.
         return body.make_response(await host.command(row, message, key))
 
     return applications.Starlette(
@@ -54,10 +54,10 @@
 
 
 def make_health_routes(host: coordination.EntryHost) -> list[routing.Route]:
-    """Make the endpoints by which the platform watches a host.
+    """Return the routes of the health checks of a host.
 
-    Live means that the loop turns. Ready means that the host serves, that
-    it is not isolated, and that it is not stopping.
+    A host is live while its event loop runs. It is ready while it serves
+    requests, isn't isolated and isn't stopping.
     """
 
     async def live(request: requests.Request) -> responses.Response:
@@ -83,7 +83,11 @@
     settings: state.IntakeSettings,
     cls: type,
 ) -> result.Result[tuple[state.TeamRow, object], protocol.Refused]:
-    """Tell who asks before reading what; strangers get little work."""
+    """Return the row of the team and the decoded message, or a refusal.
+
+    The caller is authenticated before the body is read, which limits the
+    work that an unauthenticated request causes.
+    """
     refused = host.check_serving()
     if refused is not None:
         return result.Err(refused)
@@ -100,7 +104,7 @@
 async def _finish(
     request: requests.Request, work: Awaitable[protocol.Outcome]
 ) -> responses.Response:
-    """Answer when the work ends; cancel it if the caller goes away."""
+    """Return the response, or cancel the work if the caller disconnects."""
     task = asyncio.ensure_future(work)
     watch = asyncio.ensure_future(transport.wait_for_disconnect(request))
     try:
@@ -109,7 +113,8 @@
             task.cancel()
         return body.make_response(await task)
     except asyncio.CancelledError:
-        # Nobody is there to read it; the status is that of nginx's log.
+        # 499 is the status that nginx logs if the client has closed the
+        # connection. No client receives it.
         return responses.Response(status_code=499)
     finally:
         watch.cancel()
--- a/rudderrock/frontend/_control.py
+++ b/rudderrock/frontend/_control.py
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Secrets:
-    """What peers and operators show; never logged."""
+    """Shared secrets that authenticate peers and operators; never logged."""
 
     peer: str = dataclasses.field(repr=False)
     operator: str = dataclasses.field(repr=False)
@@ -30,10 +30,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class HostStatus:
-    """What a host tells operators of itself.
+    """Status of a host, as returned to operators.
 
-    `table_age_s` is how long ago the table was confirmed to be the
-    latest, in seconds; None if it never was.
+    `table_age_s` is the time since the table was last confirmed to be
+    current, in seconds, or None if it never was.
     """
 
     host: state.HostId
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class EventsRequest:
-    """Ask for a host's events later than a stamp."""
+    """Request for the events of a host after a stamp."""
 
     since: state.Stamp = state.Stamp()
 
@@ -57,7 +57,7 @@
 def make_control_app(
     host: coordination.EntryHost, secrets: Secrets
 ) -> applications.Starlette:
-    """Make what peers and operators of one host talk to."""
+    """Return the HTTP application for the peers and operators of a host."""
 
     def for_peer(handle, cls):
         async def endpoint(request: requests.Request) -> responses.Response:
@@ -137,12 +137,13 @@
     )
 
 
-# Peers' messages are bounded by the protocol; a table may be 1 MB.
+# The protocol bounds the size of messages between peers; a table may have up
+# to 1 MB.
 _LIMITS = state.IntakeSettings(max_body_bytes=2**20)
 
 
 def make_status(host: coordination.EntryHost) -> HostStatus:
-    """Return what a host tells operators of itself."""
+    """Return the current status of a host."""
     age_s = host.config.table.get_age_s()
     return HostStatus(
         host=state.HostId(host.settings.host.id),
@@ -160,7 +161,7 @@
 def list_samples(
     host: coordination.EntryHost,
 ) -> list[coordination.Sample]:
-    """Return all figures of a host."""
+    """Return the current samples of all metrics of a host."""
     counters = host.runner.counters
     plain = {
         'rudderrock_upstream_first_total': counters.first,
--- a/rudderrock/protocol/__init__.py
+++ b/rudderrock/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""The messages, their encoding, and what they mean over HTTP."""
+"""Messages, their JSON encoding, and their mapping to HTTP responses."""
 
 from rudderrock.protocol._caller import Answered
 from rudderrock.protocol._caller import Command
--- a/rudderrock/protocol/_caller.py
+++ b/rudderrock/protocol/_caller.py
@@ -1,4 +1,4 @@
-"""Messages between a caller and a host, and the three outcomes."""
+"""Requests of callers, and the outcomes that a host returns."""
 
 import dataclasses
 import enum
@@ -18,11 +18,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Query:
-    """A question to every shard of a collection.
+    """Query to all shards of a collection.
 
-    `body` is handed to the shards as it is. `limit` is the number of best
-    hits wanted. `deadline_s` is in seconds from now and can only shorten
-    the team's own deadline.
+    `body` is sent to the shards unchanged. `limit` is the maximum number of
+    hits to return, best first. `deadline_s` is in seconds from the receipt
+    of the query; it can shorten the deadline of the team but not extend it.
     """
 
     collection: state.CollectionId
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Command:
-    """A non-idempotent request to the one shard that holds `routing_key`."""
+    """Non-idempotent request to the shard that owns `routing_key`."""
 
     collection: state.CollectionId
     routing_key: str
@@ -42,7 +42,7 @@
 
 
 class MissReason(enum.Enum):
-    """Why a shard's answer is missing from a result."""
+    """Reason why a result contains no answer from a shard."""
 
     TIMEOUT = 'timeout'
     SHED = 'shed'
@@ -54,10 +54,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Coverage:
-    """Which shards contributed to a result.
+    """Coverage of a result by the shards of the index version.
 
-    `shards` is how many the index version has, `answered` how many
-    contributed; `missing` has each other one with its reason.
+    `shards` is the number of shards of the version and `answered` the number
+    of those that contributed; `missing` maps each other shard to the reason.
     """
 
     shards: int
@@ -66,13 +66,13 @@
 
     @property
     def fraction(self) -> float:
-        """Return the part of the shards that contributed, 0 to 1."""
+        """Return the fraction of the shards that contributed, 0 to 1."""
         return self.answered / self.shards if self.shards else 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Answered:
-    """A result, all of it from one index version."""
+    """Result of a query, computed from one index version."""
 
     query: state.QueryId
     version: state.IndexVersion
@@ -82,7 +82,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Recorded:
-    """A command ran, once; `repeat` tells that it ran for an earlier call."""
+    """Result of a command, which ran exactly once.
+
+    `repeat` is True if it ran for an earlier call with the same key.
+    """
 
     query: state.QueryId
     key: str
@@ -91,7 +94,7 @@
 
 
 class RefusalReason(enum.Enum):
-    """Why a request did not run."""
+    """Reason why a request was refused without being run."""
 
     UNAUTHENTICATED = 'unauthenticated'
     FORBIDDEN = 'forbidden'
@@ -114,10 +117,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Refused:
-    """The request did not run.
+    """Refusal of a request, which did not run.
 
-    `retry_after_s` tells when to come back, in seconds; None where coming
-    back with the same request will not help.
+    `retry_after_s` is the time in seconds after which to retry, or None if a
+    retry of the same request can't succeed.
     """
 
     reason: RefusalReason
@@ -128,7 +131,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Unknown:
-    """The command may have run, and it will not be run again."""
+    """Unknown outcome: the command may have run and will not be retried."""
 
     query: state.QueryId
     detail: str
--- a/rudderrock/protocol/_codec.py
+++ b/rudderrock/protocol/_codec.py
@@ -1,7 +1,7 @@
-"""JSON encoding of messages, by msgspec, with failures as values.
+"""JSON encoding of messages with msgspec; errors are returned, not raised.
 
-Messages are plain data classes, so that code can `match` on them. Unknown
-keys are skipped, so that a newer peer may add some.
+Messages are plain data classes, which `match` statements can destructure.
+Unknown keys are ignored, so that a newer peer may add fields.
 """
 
 import functools
@@ -22,12 +22,12 @@
 
 
 def encode(message: Any) -> bytes:
-    """Return a message as JSON."""
+    """Return a message encoded as JSON."""
     return _ENCODER.encode(message)
 
 
 def decode(cls: type[T], data: bytes) -> result.Result[T, str]:
-    """Read a message of a known class, or say what is wrong with it."""
+    """Return the decoded message of class `cls`, or the decoder's error."""
     try:
         return result.Ok(_decoder(cls).decode(data))
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
--- a/rudderrock/protocol/_kv.py
+++ b/rudderrock/protocol/_kv.py
@@ -1,7 +1,7 @@
 """Messages to and from the platform's key-value service.
 
-Every call is a POST, because the HTTP client repeats other methods by
-itself when a kept connection turns out closed, which would double a write.
+Every call is a POST. The HTTP client automatically retries other methods if
+a kept-alive connection turns out to be closed, which could repeat a write.
 """
 
 import dataclasses
@@ -18,14 +18,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class GetRequest:
-    """Read one key."""
+    """Request to read one key."""
 
     key: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class WatchRequest:
-    """Wait up to `timeout_s` seconds for a version later than `after`."""
+    """Request to wait up to `timeout_s` seconds for a version > `after`."""
 
     key: str
     after: int
@@ -34,10 +34,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class SwapRequest:
-    """Replace a key if it still has the version `expected`.
+    """Request to replace a value if its version is still `expected`.
 
-    `expected` is `ABSENT` (0) where the key must not exist; `value` is None
-    to delete. A key under a `lease` goes when the lease does.
+    `expected` is `ABSENT` (0) if the key must not exist; `value` is None to
+    delete the key. A key with a `lease` is deleted when the lease ends.
     """
 
     key: str
@@ -48,9 +48,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Entry:
-    """A key's value and version; versions only grow, also over deletion.
+    """Value and version of a key.
 
-    `version` is `ABSENT` and `value` None where the key does not exist.
+    The version of a key increases with every write, also if the key is
+    deleted and created again. If the key doesn't exist, `version` is
+    `ABSENT` and `value` is None.
     """
 
     value: bytes | None
@@ -59,13 +61,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class GrantRequest:
-    """Ask for a lease of `ttl_s` seconds."""
+    """Request for a lease with a time to live of `ttl_s` seconds."""
 
     ttl_s: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Lease:
-    """A lease by its id."""
+    """Message that carries the id of a lease."""
 
     lease: str
--- a/rudderrock/protocol/_peers.py
+++ b/rudderrock/protocol/_peers.py
@@ -1,8 +1,9 @@
 """Messages between hosts.
 
-A probe and its reply both carry a `Digest`: what the sender believes of
-some members, the revision of the table it has in force, and demand. That
-is all the periodic traffic there is, so its size is bounded here.
+A probe and its reply both carry a `Digest`: the states of some members as
+known to the sender, the revision of its active table, and the demand of
+teams. Probes are the only periodic traffic between hosts, so the size of a
+digest is bounded.
 """
 
 import dataclasses
@@ -14,14 +15,15 @@
 CONFIG_PATH = '/v1/peer/config'
 SECRET_HEADER = 'x-rudderrock-peer'
 
-# Members and demand entries (of all hosts together) in one digest. With
-# these it stays under 3 KB, so eight a second keep within 24 KB a second.
+# Maximum number of members, and of demand entries of all hosts together, in
+# one digest. These bounds keep a digest below 3 KB, so that eight digests a
+# second need at most 24 KB/s.
 MAX_NEWS = 8
 MAX_DEMANDS = 64
 
 
 class MemberState(enum.Enum):
-    """What a host believes of another."""
+    """State of a host in the view of another host."""
 
     ALIVE = 'alive'
     SUSPECT = 'suspect'
@@ -31,10 +33,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Member:
-    """One host as others know it.
+    """Membership record of one host.
 
-    `incarnation` is raised only by the host itself, to refute a suspicion.
-    `control` is the address for peers.
+    `incarnation` is incremented only by the host itself, to refute a
+    suspicion. `control` is its address for peers and operators.
     """
 
     host: state.HostId
@@ -46,10 +48,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Demand:
-    """What teams ask of one host, in shard requests a second.
+    """Demand of each team at one host, in shard requests a second.
 
-    `count` grows with every new statement of the host, so the later of
-    two is known.
+    `count` increases with every record that the host sends, so that the
+    receiver can identify the latest one.
     """
 
     host: state.HostId
@@ -59,10 +61,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Digest:
-    """What travels on every probe and reply.
+    """State that is sent with every probe and every reply.
 
-    `table_age_s` is how long ago, in seconds, the sender or someone it
-    heard from had the revision confirmed by the key-value service.
+    `table_age_s` is the time in seconds since the key-value service last
+    confirmed the table revision, to the sender or to a host whose digest
+    reached the sender. `news` holds membership records, those that
+    changed recently first.
     """
 
     sender: Member
@@ -76,7 +80,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Probe:
-    """Are you there? `target` is set to have another host asked instead."""
+    """Probe of a host, or an indirect probe of another host, `target`."""
 
     digest: Digest
     target: Member | None = None
@@ -84,7 +88,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ProbeReply:
-    """`reached` is False where the target of an indirect probe was not."""
+    """Reply to a probe.
+
+    `reached` is False if the target of an indirect probe didn't answer.
+    """
 
     digest: Digest
     reached: bool = True
@@ -92,7 +99,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ConfigRequest:
-    """Send me your table and layout where they are later than these."""
+    """Request for the table and the layout if their revisions are later."""
 
     table_revision: state.Revision
     layout_revision: state.Revision
@@ -100,7 +107,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ConfigReply:
-    """The sender's table and layout, each None if it is no later."""
+    """Table and layout of the sender, each None if it isn't later."""
 
     table: state.Table | None
     layout: state.Layout | None
--- a/rudderrock/protocol/_problems.py
+++ b/rudderrock/protocol/_problems.py
@@ -1,4 +1,4 @@
-"""Outcomes as HTTP: status, headers and problem details (RFC 9457)."""
+"""HTTP responses for outcomes, with problem details (RFC 9457)."""
 
 import dataclasses
 import enum
@@ -35,7 +35,7 @@
 
 
 class Ran(enum.Enum):
-    """Whether a request that got no result ran."""
+    """Whether a request without a result was run."""
 
     NOT_RUN = 'not_run'
     UNKNOWN = 'unknown'
@@ -43,9 +43,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Problem:
-    """The body of a refusal, in the shape of RFC 9457.
+    """Problem details of RFC 9457, the body of a response without a result.
 
-    `outcome` says whether the request ran; `retry_after_s` is in seconds.
+    `outcome` states whether the request ran; `retry_after_s` is in seconds.
     """
 
     type: str
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class HttpReply:
-    """An outcome as it goes over HTTP."""
+    """Status, headers and body of an HTTP response."""
 
     status: int
     headers: dict[str, str]
@@ -67,7 +67,7 @@
 
 
 def make_http_reply(outcome: caller.Outcome) -> HttpReply:
-    """Return the HTTP form of an outcome."""
+    """Return the HTTP response for an outcome."""
     match outcome:
         case caller.Answered() | caller.Recorded():
             return HttpReply(
@@ -112,7 +112,8 @@
 def _make_problem_reply(problem: Problem) -> HttpReply:
     headers = {'content-type': PROBLEM_TYPE}
     if problem.retry_after_s is not None:
-        # RFC 9110 allows whole seconds only; the body has the exact time.
+        # RFC 9110 allows only whole seconds in this header. The body
+        # contains the exact time.
         headers['retry-after'] = str(math.ceil(problem.retry_after_s))
     if problem.status == 401:
         headers['www-authenticate'] = 'Bearer'
--- a/rudderrock/protocol/_upstream.py
+++ b/rudderrock/protocol/_upstream.py
@@ -1,7 +1,7 @@
 """Messages between a host and an upstream.
 
-One HTTP exchange carries one shard request. Every reply echoes the
-request's id, and a reply with another id is never used.
+One HTTP exchange carries one shard request. Every reply echoes the id of
+its request; a reply with a different id is discarded.
 """
 
 import dataclasses
@@ -17,11 +17,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ShardRequest:
-    """What an upstream is asked.
+    """Request to an upstream for one shard.
 
-    `deadline` is in Unix seconds; an upstream that reaches it before
-    starting must not start. `write` marks a request that is not
-    idempotent.
+    `deadline` is in Unix seconds; an upstream must not start a request after
+    its deadline. `write` marks a request that isn't idempotent.
     """
 
     request_id: state.RequestId
@@ -35,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Hit:
-    """One result; `document` is passed on as it came."""
+    """One search result; `document` is forwarded unchanged."""
 
     id: str
     score: float
@@ -44,10 +43,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Load:
-    """What an upstream says of itself; it may lag or mislead.
+    """Load that an upstream reports, which may be outdated or wrong.
 
-    `versions` are the index versions that it holds, or none if it does
-    not say.
+    `versions` are the index versions that it holds, or empty if it doesn't
+    report them.
     """
 
     in_flight: int = 0
@@ -58,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ShardAnswer:
-    """The whole answer of one shard at one version."""
+    """Complete answer of one shard at one index version."""
 
     request_id: state.RequestId
     shard: state.ShardId
@@ -68,7 +67,7 @@
 
 
 class RejectionKind(enum.Enum):
-    """Why an upstream did not run a request."""
+    """Reason why an upstream did not run a request."""
 
     SHED = 'shed'
     VERSION = 'version'
@@ -79,11 +78,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ShardRejected:
-    """An upstream's word that the request did not run there.
+    """Statement of an upstream that it did not run the request.
 
-    `retry_after_s` tells when a shedding upstream may be asked again, in
-    seconds; `versions` are the index versions that it holds, or none if it
-    does not say.
+    `retry_after_s` is the time in seconds after which an upstream that shed
+    the request accepts another one; `versions` are the index versions that
+    it holds, or empty if it doesn't report them.
     """
 
     request_id: state.RequestId
@@ -95,10 +94,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ShardLost:
-    """No usable reply came.
+    """Failure of an exchange without a usable reply.
 
-    `sent` tells whether bytes of the request may have left, that is
-    whether it may have run.
+    `sent` is True if bytes of the request may have been sent, so that the
+    request may have run.
     """
 
     sent: bool
@@ -107,14 +106,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ShardTimeout:
-    """No reply came before the deadline; the request may have run."""
+    """Timeout of an exchange; the request may have run."""
 
     sent: bool = True
 
 
 ShardReply = ShardAnswer | ShardRejected | ShardLost | ShardTimeout
 
-# HTTP status of each rejection, as an upstream sends it.
+# HTTP status with which an upstream sends each kind of rejection.
 REJECTION_STATUS = {
     RejectionKind.SHED: 503,
     RejectionKind.VERSION: 409,
--- a/rudderrock/root.py
+++ b/rudderrock/root.py
@@ -1,7 +1,8 @@
-"""The composition root: where the parts of a host are wired together.
+"""The composition root, which constructs the components of a host.
 
-Nothing else constructs a part that another part uses. Time comes from the
-running loop and randomness from one seed, both handed down from here.
+A component receives its dependencies as arguments and doesn't construct
+them. Time comes from the running event loop and random numbers from one
+seed; both are passed to the components from here.
 """
 
 from collections.abc import Callable
@@ -15,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Ports:
-    """Everything outside a host."""
+    """Interfaces to the services outside a host."""
 
     kv: transport.KvPort
     upstreams: transport.UpstreamPort
@@ -30,10 +31,10 @@
     seed: int,
     sink: Callable[[state.Event], None] | None = None,
 ) -> coordination.EntryHost:
-    """Wire one entry host; it does nothing before `run` is awaited.
+    """Return an entry host, which does no work before `run` is awaited.
 
-    Must be called with a running loop, which `clock` must read. `sink` is
-    given each event of the time line, for the log.
+    Must be called inside the running event loop that `clock` reads. `sink`
+    is called with each event of the time line, to write it to the log.
     """
     host_id = state.HostId(settings.host.id)
     hybrid = state.HybridClock(clock)
@@ -72,8 +73,8 @@
         host_id, store, dispatcher, settings, clock, draw('claims'), ring
     )
 
-    # The followers and the membership call back into parts that are made
-    # after them; so their callbacks look these up when they are called.
+    # The key followers and the membership call objects that are constructed
+    # after them, so these callbacks resolve the names when they are called.
     def on_table(table: state.Table) -> None:
         config.apply_table(table)
 
--- a/rudderrock/state/__init__.py
+++ b/rudderrock/state/__init__.py
@@ -1,4 +1,4 @@
-"""What a host knows: ids, settings, the table, the layout, events."""
+"""Data of a host: settings, the table, the index layout and events."""
 
 from rudderrock.core import Clock
 from rudderrock.core import CollectionId
--- a/rudderrock/state/_constraints.py
+++ b/rudderrock/state/_constraints.py
@@ -1,10 +1,10 @@
-"""Checks of outside input against the constraints its classes declare.
+"""Validation of external input against the constraints of its classes.
 
-Settings, rows of the table and experiments are plain data classes whose
-fields carry their allowed range as `Annotated[..., Field(ge=..., le=...)]`.
-They are checked once, where they enter the process. The checking itself is
-pydantic's; this module turns its findings into messages that name the key,
-what is allowed and the value given, and suggests the nearest known key.
+Settings, table rows and experiments are plain data classes that declare the
+allowed range of a field as `Annotated[..., Field(ge=..., le=...)]`. They are
+validated once, where they enter the process. pydantic does the validation;
+this module converts its errors to messages with the key, the constraint and
+the actual value, and suggests the closest known key for an unknown one.
 """
 
 import dataclasses
@@ -28,10 +28,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing wrong with an input.
+    """A validation error of an input.
 
-    `key` is the dotted path inside the input, `message` says what is
-    allowed and what was given.
+    `key` is the dotted path of the value in the input; `message` describes
+    the constraint and the actual value.
     """
 
     key: str
@@ -50,11 +50,11 @@
 
 
 def make_checked(cls: type[T], raw: Any) -> result.Result[T, Problems]:
-    """Build a `cls` from plain data, or list every problem found.
+    """Return an instance of `cls`, or all problems of the input.
 
-    `raw` is what a TOML or JSON parser returns. Unknown keys, missing keys,
-    wrong types and values out of range are all reported, not only the
-    first.
+    `raw` is the output of a TOML or JSON parser. Unknown keys, missing keys,
+    wrong types and values out of range are reported, each of them and not
+    only the first.
     """
     try:
         return result.Ok(_adapter(cls).validate_python(raw))
@@ -88,7 +88,7 @@
 
 
 def _known_keys(cls: Any, path: list[str]) -> list[str]:
-    """List the keys that the class found by walking `path` declares."""
+    """Return the field names of the class that `path` leads to from `cls`."""
     for part in path:
         hints = typing.get_type_hints(cls) if _is_record(cls) else {}
         cls = _element(hints[part]) if part in hints else _element(cls)
@@ -102,7 +102,7 @@
 
 
 def _element(hint: Any) -> Any:
-    """Return the record type inside a container or an optional type."""
+    """Return the data class inside a container type or an optional type."""
     candidates = [hint, *typing.get_args(hint)]
     for candidate in candidates:
         if _is_record(candidate):
--- a/rudderrock/state/_events.py
+++ b/rudderrock/state/_events.py
@@ -1,9 +1,9 @@
-"""The time line's events, kept by every process in a bounded ring.
+"""Events of the time line, which each process keeps in a ring buffer.
 
-Stamps are of a hybrid logical clock (Kulkarni et al., "Logical Physical
-Clocks", OPODIS 2014): close to wall time, and never earlier than the stamp
-of anything the process has heard of, so merging the rings of all processes
-by stamp shows no effect before its cause.
+Events are stamped by a hybrid logical clock (Kulkarni et al., "Logical
+Physical Clocks", OPODIS 2014). A stamp is close to wall time and later than
+the stamps of all messages received before. If the events of all processes
+are merged in the order of their stamps, no effect precedes its cause.
 """
 
 import collections
@@ -13,15 +13,16 @@
 
 from rudderrock import core
 
-# A peer whose clock is further ahead than this does not drag ours along.
+# Stamps that are further ahead of the local clock than this are ignored, so
+# that a peer with a wrong clock doesn't advance the clocks of other hosts.
 MAX_DRIFT_S = 60.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Stamp:
-    """A time of the hybrid logical clock.
+    """Timestamp of the hybrid logical clock.
 
-    `wall` is in Unix seconds; `count` orders events of one wall time.
+    `wall` is in Unix seconds; `count` orders stamps with the same `wall`.
     """
 
     wall: float = 0.0
@@ -29,14 +30,14 @@
 
 
 class HybridClock:
-    """The hybrid logical clock of one process."""
+    """Hybrid logical clock of a process."""
 
     def __init__(self, source: core.Clock):
         self._source = source
         self._last = Stamp()
 
     def tick(self) -> Stamp:
-        """Return a stamp later than all given or heard of so far."""
+        """Return a stamp later than all stamps returned or accepted before."""
         wall = self._source.wall()
         if wall > self._last.wall:
             self._last = Stamp(wall, 0)
@@ -45,14 +46,17 @@
         return self._last
 
     def hear(self, stamp: Stamp) -> None:
-        """Take note of a stamp that came with a message."""
+        """Advance the clock to the stamp of a received message.
+
+        A stamp more than `MAX_DRIFT_S` ahead of the wall time is ignored.
+        """
         limit = self._source.wall() + MAX_DRIFT_S
         if self._last < stamp and stamp.wall <= limit:
             self._last = stamp
 
 
 class EventKind(enum.Enum):
-    """What happened."""
+    """Kind of an event."""
 
     HOST_STATE = 'host_state'
     PEER_STATE = 'peer_state'
@@ -76,7 +80,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Event:
-    """One entry of the time line."""
+    """Entry of the time line."""
 
     stamp: Stamp
     host: core.HostId
@@ -88,11 +92,12 @@
 
 
 class EventRing:
-    """The latest events of one process; older ones are dropped.
+    """Ring buffer of the latest events of a process.
 
-    Parameters: `host` names the process, `capacity` is in events, `sink`
-    is given each event too, for the log. An event takes about 300 bytes,
-    so the default ring stays near 1.2 MB.
+    Parameters: `host` identifies the process; `source` is the clock for the
+    stamps; `capacity` is the number of events to keep; `sink` is called with
+    each event, to write it to the log. An event takes about 300 bytes, so
+    the default capacity takes about 1.2 MB.
     """
 
     def __init__(
@@ -119,7 +124,7 @@
         upstream: core.UpstreamId | None = None,
         detail: str = '',
     ) -> Event:
-        """Stamp an event and keep it; return it for the log."""
+        """Add an event with the current stamp, and return it."""
         event = Event(
             stamp=self._source.tick(),
             host=self._host,
@@ -136,9 +141,9 @@
         return event
 
     def list_since(self, stamp: Stamp) -> list[Event]:
-        """Return the kept events later than a stamp, oldest first."""
+        """Return the events in the buffer after a stamp, oldest first."""
         return [event for event in self._events if event.stamp > stamp]
 
     def count(self, kind: EventKind) -> int:
-        """Return how many events of a kind there have ever been."""
+        """Return the number of events of a kind since the process started."""
         return self._counts[kind]
--- a/rudderrock/state/_layout.py
+++ b/rudderrock/state/_layout.py
@@ -1,4 +1,4 @@
-"""The index layout: which upstreams serve which shard at which version."""
+"""The index layout: the upstreams that serve each shard and version."""
 
 import dataclasses
 
@@ -8,10 +8,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Upstream:
-    """One server of shards.
+    """An upstream, which serves shards.
 
-    `address` is `IP:port`. `slots` is how many requests it works on at
-    once, `connections` how many it accepts from the whole tier.
+    `address` is `IP:port`. `slots` is the number of requests that it
+    processes concurrently; `connections` is the number of connections that
+    it accepts from all hosts together.
     """
 
     upstream: core.UpstreamId
@@ -23,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Placement:
-    """One version of a collection's index: its shards and their replicas."""
+    """Shards of one index version of a collection, and their replicas."""
 
     version: core.IndexVersion
     shards: dict[core.ShardId, tuple[core.UpstreamId, ...]]
@@ -31,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Collection:
-    """A searchable index with the versions that are being served."""
+    """A searchable index, with the versions that are currently served."""
 
     collection: core.CollectionId
     placements: tuple[Placement, ...]
@@ -39,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Layout:
-    """Everything the tier may query, at one revision."""
+    """All upstreams and collections that can be queried, at one revision."""
 
     revision: core.Revision = core.NO_REVISION
     upstreams: dict[core.UpstreamId, Upstream] = dataclasses.field(
@@ -52,7 +53,7 @@
 
 
 def check_layout(layout: Layout) -> constraints.Problems:
-    """List what is wrong with a layout that came from outside."""
+    """Return the problems of a layout that was read from outside."""
     problems: list[constraints.Problem] = []
     for name, collection in layout.collections.items():
         if not collection.placements:
--- a/rudderrock/state/_settings.py
+++ b/rudderrock/state/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the entry daemon, each with its unit, default and range."""
+"""Settings of the entry daemon, with their units, defaults and ranges."""
 
 import dataclasses
 import enum
@@ -11,7 +11,8 @@
 
 from rudderrock.state import _constraints as constraints
 
-# The platform names hosts by IP number only; a name would need a resolver.
+# The platform identifies hosts by IP address only. Names aren't accepted,
+# because they would require a resolver.
 _ADDRESS_PATTERN = r'^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$'
 
 _Address = Annotated[str, pydantic.Field(pattern=_ADDRESS_PATTERN)]
@@ -23,11 +24,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class HostSettings:
-    """Who this process is and where it listens.
+    """Identity and listening addresses of the process.
 
-    `callers` is the address that queries come to, `control` the one for
-    peers and operators. `seed` fixes all random choices; 0 draws a seed
-    from the operating system and logs it.
+    `callers` is the address for callers, `control` the address for peers and
+    operators. `seed` makes all random choices reproducible; if it is 0, a
+    seed is drawn from the operating system and logged. `event_capacity` is
+    the number of events that are kept for the time line.
     """
 
     __pydantic_config__ = constraints.FORBID_UNKNOWN
@@ -42,12 +44,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class PlatformSettings:
-    """Where the platform's services are.
+    """Addresses and timeouts of the platform's services.
 
-    `kv` is the key-value service, `host_list` the list of live and leaving
-    hosts; `timeout_s` bounds one call to either, `watch_s` one waiting
-    watch. The table is read anew when no host has confirmed it for
-    `recheck_s`, since a watch may miss a change.
+    `kv` is the address of the key-value service, `host_list` the address of
+    the list of live and leaving hosts. `timeout_s` is the timeout of a call
+    to either, and `watch_s` the maximum duration of a watch. The table is
+    read again if no host has confirmed it for `recheck_s`, because a watch
+    may miss a change.
     """
 
     __pydantic_config__ = constraints.FORBID_UNKNOWN
@@ -61,10 +64,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class SecretSettings:
-    """Where the secrets are read from; the secrets themselves are not here.
+    """Locations of the secrets, which aren't part of the settings.
 
-    Each is a file's path or, with `env:` before it, the name of an
-    environment variable.
+    A location is the path of a file, or the name of an environment variable
+    with the prefix `env:`.
     """
 
     __pydantic_config__ = constraints.FORBID_UNKNOWN
@@ -75,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class IntakeSettings:
-    """Bounds on what a caller may send before it is known who it is."""
+    """Limits on connections and requests of callers."""
 
     __pydantic_config__ = constraints.FORBID_UNKNOWN
 
@@ -87,14 +90,14 @@
 
 
 class ReplicaChoice(enum.Enum):
-    """How one of the free replicas is chosen."""
+    """Strategy for the choice among replicas with free capacity."""
 
     BEST_OF_TWO = 'best_of_two'
     RANDOM = 'random'
 
 
 class QueueOrder(enum.Enum):
-    """In what order requests wait for a service."""
+    """Order of the queue of a service."""
 
     FAIR = 'fair'
     FIFO = 'fifo'
@@ -102,16 +105,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class RoutingSettings:
-    """How a replica is chosen and how an upstream is treated.
-
-    `choice` is `best_of_two` or, as a baseline to compare with, `random`.
-    `adapt` lets the requests in flight to an upstream follow its latency.
-    `max_lanes` bounds the connections of this host to one upstream, below
-    its share of what the upstream allows. `eject_after` failures in a row
-    take a replica out for `eject_s`, doubling up to `eject_max_s`.
-    `warm_up_s` is how long a returning upstream is given less work.
-    `exchange_grace_s` is how long after a deadline a reply is still read,
-    so that the connection can be kept.
+    """Choice of replicas, and connections to upstreams.
+
+    `choice` is `best_of_two` or, as a baseline for comparisons, `random`.
+    `adapt` adjusts the limit on requests in flight to an upstream by its
+    latency. `max_lanes` limits the connections of this host to one upstream,
+    in addition to the share of the connections that the upstream allows;
+    `connection_reserve` is the fraction of those that stays unused. After
+    `eject_after` consecutive failures a replica is ejected for `eject_s`,
+    which doubles up to `eject_max_s`. An upstream that has become available
+    again receives reduced load for `warm_up_s`. Pauses between attempts to
+    connect grow up to `reconnect_max_s`. A reply is still read until
+    `exchange_grace_s` after the deadline, so that the connection can be
+    reused. A rejection for an index version that the upstream doesn't have
+    is remembered for `version_memory_s`.
     """
 
     __pydantic_config__ = constraints.FORBID_UNKNOWN
@@ -132,14 +139,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class HedgeSettings:
-    """When a second request is sent for a shard that is late.
-
-    A request is late after what `percentile` of a collection's requests
-    take beyond their upstream's least latency, at least `min_delay_s`.
-    `budget` is the hedges allowed for each first request,
-    `burst` how many a service may save up and `host_burst` all of them
-    together. Hedging of a service pauses while more than `pause_above` of
-    its recent requests are late.
+    """Hedging: a second request for a shard that hasn't answered in time.
+
+    The hedge threshold is the given `percentile` of the latencies of a
+    collection, measured above the minimum latency of each upstream, and at
+    least `min_delay_s`. `budget` is the number of hedges allowed per first
+    attempt; unused budget accumulates up to `burst` for a service and up to
+    `host_burst` for the host. Hedging of a service pauses while more than
+    the fraction `pause_above` of its recent requests are late.
     """
 
     __pydantic_config__ = constraints.FORBID_UNKNOWN
@@ -155,10 +162,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class RetrySettings:
-    """When a shard is asked again after a failed attempt.
+    """Retries of shard requests after a failed attempt.
 
-    `budget` is the retries allowed for each first request, kept apart for
-    each team and each service; `burst` how many may be saved up.
+    `budget` is the number of retries allowed per first attempt, counted
+    separately for each team and each service; unused budget accumulates up
+    to `burst`.
     """
 
     __pydantic_config__ = constraints.FORBID_UNKNOWN
@@ -172,14 +180,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class AdmissionSettings:
-    """What is refused before it starts.
-
-    `max_queued` bounds one team's queue at one service, in shard requests.
-    `rate_burst_s` is how many seconds of its rate a team may use at once.
-    `order` is `fair` between teams or, as a baseline, `fifo`; with
-    `refuse_late` off nothing is refused for the time it would wait.
-    `queue_fraction` is the part of the time to its deadline that a request
-    may be expected to wait.
+    """Admission control, which refuses requests before they start.
+
+    `max_queued` limits the queue of one team at one service, in shard
+    requests. `rate_burst_s` is the burst of a team, as seconds of its rate.
+    `order` is `fair` between teams or, as a baseline, `fifo`. With
+    `refuse_late`, a request is refused if its expected wait exceeds the
+    fraction `queue_fraction` of the time to its deadline.
+    `max_shard_requests` limits the shard requests in flight at the host.
     """
 
     __pydantic_config__ = constraints.FORBID_UNKNOWN
@@ -194,11 +202,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class MembershipSettings:
-    """How hosts watch one another.
-
-    Every `period_s` a host probes one peer and passes on news; no answer
-    within `probe_timeout_s` asks `indirect` others to probe it, and a peer
-    still unheard of after `suspect_s` is counted as failed.
+    """Failure detection and leases of hosts.
+
+    Every `period_s` a host probes one peer and exchanges membership updates.
+    If the peer doesn't answer within `probe_timeout_s`, the host asks
+    `indirect` other peers to probe it. A suspected peer that doesn't refute
+    the suspicion within `suspect_s` is marked as failed. It is removed after
+    another `forget_s` if it has no lease and isn't in the host list.
+    `lease_s` is the minimum time to live of a lease; it is extended so that
+    all hosts together renew at most `lease_calls_per_s` leases a second. A
+    host is isolated if it has reached neither the key-value service nor any
+    peer for `isolation_s`.
     """
 
     __pydantic_config__ = constraints.FORBID_UNKNOWN
@@ -215,13 +229,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ShareSettings:
-    """How a team's limit is split between hosts.
-
-    `floor` is the part split evenly, so that a host that sees the first
-    request of a team can serve it; the rest follows observed demand,
-    averaged over `demand_window_s`. A host's part falls at once, but grows
-    by no more than `growth_per_s` of the limit a second, so that hosts
-    hear of one another's demand before they use it.
+    """Division of a team's limits among hosts.
+
+    `floor` is the fraction that is divided evenly, so that each host can
+    serve the first request of a team. The rest is divided by the observed
+    demand, averaged over `demand_window_s`. The share of a host decreases
+    immediately, but increases by at most the fraction `growth_per_s` of the
+    limit per second, so that hosts receive the demand of other hosts before
+    they use a larger share.
     """
 
     __pydantic_config__ = constraints.FORBID_UNKNOWN
@@ -233,15 +248,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ClaimSettings:
-    """How non-idempotent requests are claimed before they run.
-
-    Keys older than `retention_s` are refused. Claims are kept in
-    `partitions` values for each `epoch_s` of key time. All hosts together
-    make `writes_per_s` writes; what comes faster is written in groups.
-    Outcomes are recorded with the next claims, after `record_delay_s` at
-    the latest. Old claims are deleted every `clean_period_s`. A value is
-    rewritten whole, so epochs are short: at 400 commands a second one has
-    some 200 claims.
+    """Claims of idempotency keys before a non-idempotent request runs.
+
+    Keys older than `retention_s`, or more than `max_skew_s` in the future,
+    are refused. The claims of keys whose timestamps are in the same period
+    of `epoch_s` are stored in `partitions` values. All hosts together make
+    at most `writes_per_s` writes; at higher rates, claims are grouped. A
+    group collects claims for `group_delay_s`. Outcomes are recorded together
+    with the next claims, after at most `record_delay_s`. Expired claims are
+    deleted every `clean_period_s`. Each write replaces the complete value,
+    so epochs are short: at 400 commands a second, a value has about 200
+    claims.
     """
 
     __pydantic_config__ = constraints.FORBID_UNKNOWN
@@ -258,10 +275,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class DrainSettings:
-    """How a planned stop proceeds.
+    """Draining of a host before a planned stop.
 
-    Readiness falls first and new work is still taken for `balancer_lag_s`;
-    then what is in flight gets up to `bound_s` to end.
+    The host first reports that it isn't ready, but accepts new requests for
+    another `balancer_lag_s`. Requests in flight then have up to `bound_s` to
+    complete.
     """
 
     __pydantic_config__ = constraints.FORBID_UNKNOWN
@@ -276,7 +294,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Settings:
-    """All settings of the entry daemon, as its TOML file lays them out."""
+    """All settings of the entry daemon; each field is a table of the file."""
 
     __pydantic_config__ = constraints.FORBID_UNKNOWN
 
@@ -295,7 +313,7 @@
 
 
 def read_toml(path: pathlib.Path) -> result.Result[dict, str]:
-    """Parse a TOML file, or say in one line why it can't be."""
+    """Return the parsed TOML file, or an error message of one line."""
     try:
         return result.Ok(tomllib.loads(path.read_text()))
     except OSError as exc:
@@ -305,7 +323,7 @@
 
 
 def read_settings(path: pathlib.Path) -> result.Result[Settings, str]:
-    """Read and check a settings file; the error lists every problem."""
+    """Return the validated settings, or a message with one problem a line."""
     match read_toml(path):
         case result.Err(message):
             return result.Err(message)
--- a/rudderrock/state/_table.py
+++ b/rudderrock/state/_table.py
@@ -1,9 +1,9 @@
-"""The operators' table: one row a team, and the edits that made it so.
+"""The table of teams that operators edit, with its recent edits.
 
-The whole table is one value of the platform's key-value service, replaced
-by compare-and-swap, so an edit is either wholly in it or not at all. The
-value carries the most recent edits with their ids, by which a client whose
-reply was lost finds out whether its edit took effect.
+The complete table is one value in the platform's key-value service. It is
+replaced by compare-and-swap, so that edits are atomic. The value contains
+the most recent edits with their ids, so that a client whose reply was lost
+can check whether its edit took effect.
 """
 
 import dataclasses
@@ -16,8 +16,8 @@
 from rudderrock import core
 from rudderrock.state import _constraints as constraints
 
-# 256 edits of about 400 bytes keep the history under a tenth of the 1 MB
-# that a value may have, beside some 800 rows.
+# A value may have 1 MB. 256 edits of about 400 bytes keep the history below
+# a tenth of that, which leaves room for about 800 rows.
 HISTORY_LIMIT = 256
 MAX_TABLE_BYTES = 900_000
 
@@ -27,11 +27,11 @@
 
 
 class CoveragePolicy(enum.Enum):
-    """What a team wants when shards are slow.
+    """Policy of a team for slow shards.
 
-    `WAIT` holds the answer until every shard has answered or the deadline
-    is reached. `EARLY` answers at the soft deadline if the coverage asked
-    for has been reached by then.
+    `WAIT` returns a result when all shards have answered, or at the
+    deadline. `EARLY` returns a result at the soft deadline if the required
+    coverage has been reached.
     """
 
     WAIT = 'wait'
@@ -40,16 +40,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class TeamRow:
-    """One team's row of the table.
-
-    `weight` is its share of a contended service against other teams.
-    `priority` (0 first to 9 last) orders teams that are within their
-    shares; it cannot take a share away. `rate` is in shard requests a
-    second and `concurrency` in shard requests in flight, both over the
-    whole tier. `coverage` is the fraction of shards an early answer needs.
-    `soft_deadline_s` and `deadline_s` are in seconds. `collections` lists
-    what the team may query, where `*` means all. `token_hashes` come from
-    `hash_token`.
+    """Row of the table: limits and permissions of a team.
+
+    `weight` is the relative share of the team in a contended service.
+    `priority` (0 first to 9 last) orders teams that are within their shares;
+    it doesn't reduce the share of another team. `rate` is in shard requests
+    a second and `concurrency` in shard requests in flight, both for all
+    hosts together. `coverage` is the fraction of shards that an early answer
+    requires. `collections` are the collections that the team may query; `*`
+    allows all. `token_hashes` are created by `hash_token`.
     """
 
     __pydantic_config__ = constraints.FORBID_UNKNOWN
@@ -68,15 +67,15 @@
     token_hashes: tuple[str, ...] = ()
 
     def may_query(self, collection: core.CollectionId) -> bool:
-        """Tell whether the team has been given a collection."""
+        """Return whether the team may query a collection."""
         return '*' in self.collections or collection in self.collections
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Edit:
-    """One accepted change: who set which row to what, and when.
+    """An accepted change of one row.
 
-    `row` is None where the team was removed. `at` is in Unix seconds.
+    `row` is None if the team was removed. `at` is in Unix seconds.
     """
 
     edit_id: core.EditId
@@ -89,14 +88,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Table:
-    """All rows at one revision; a later revision replaces an earlier one."""
+    """All rows at one revision, with the most recent edits."""
 
     revision: core.Revision = core.NO_REVISION
     rows: dict[core.TeamId, TeamRow] = dataclasses.field(default_factory=dict)
     history: tuple[Edit, ...] = ()
 
     def find_edit(self, edit_id: core.EditId) -> Edit | None:
-        """Return the edit with this id if the table already contains it."""
+        """Return the edit with an id, or None if it isn't in the history."""
         for edit in reversed(self.history):
             if edit.edit_id == edit_id:
                 return edit
@@ -105,12 +104,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Change:
-    """A change that an operator asks for.
+    """A change of one row that an operator requests.
 
-    `row` is None to remove the team. `base` is the row the operator saw
-    (None if there was none); the change applies only while the table still
-    has that row, so the slower of two racing operators loses nothing
-    unseen.
+    `row` is None to remove the team. `base` is the row that the operator
+    has read (None if there was none). The change is applied only if the row
+    is still equal to it, so that an operator doesn't overwrite a concurrent
+    edit that they haven't seen.
     """
 
     edit_id: core.EditId
@@ -122,7 +121,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RowMoved:
-    """A change was refused because the row is no longer what it was."""
+    """Refusal of a change because the row differs from its base."""
 
     current: TeamRow | None
 
@@ -130,9 +129,9 @@
 def apply_change(
     table: Table, change: Change, at: float
 ) -> result.Result[Table, RowMoved]:
-    """Return the next table, or the row that stands in the way.
+    """Return a table with the change, or the row that conflicts with it.
 
-    `at` is in Unix seconds. The given table is not altered.
+    `at` is in Unix seconds. The given table isn't modified.
     """
     current = table.rows.get(change.team)
     if current != change.base:
@@ -155,12 +154,13 @@
 
 
 def reunite_tables(kept: Table, found: Table) -> Table | None:
-    """Return what a service must hold that has lost edits of `kept`.
+    """Return the table to write to a store that has lost edits of `kept`.
 
-    `found` is what it holds: a copy of before, maybe with edits made on that
-    since. Those are made again on `kept`, in their order, so that each edit
-    that was accepted holds. Returns None where nothing is lost, and where
-    the two histories have no edit in common, so that nobody can tell.
+    `found` is the table in the store, which was restored from an older copy
+    and may have been edited since. Its new edits are applied to `kept` in
+    their order, so that no accepted edit is lost. Return None if `found`
+    contains all edits, or if the two histories have no edit in common, in
+    which case lost edits can't be determined.
     """
     ours = {edit.edit_id for edit in kept.history}
     theirs = {edit.edit_id for edit in found.history}
@@ -180,7 +180,7 @@
 
 
 def _make_again(table: Table, edit: Edit) -> Table:
-    """Return a table after an edit that was made on another one."""
+    """Return a table with an edit of another table applied to it."""
     rows = dict(table.rows)
     rows.pop(edit.team, None)
     if edit.row is not None:
@@ -192,10 +192,10 @@
 
 
 def check_table(table: Table) -> constraints.Problems:
-    """List what is wrong with a table that came from outside.
+    """Return the problems of a table that was read from outside.
 
-    The rows are checked against their declared constraints, and each must
-    stand under its own name.
+    Rows must satisfy the constraints of their fields, and the key of a row
+    must be the id of its team.
     """
     problems: list[constraints.Problem] = []
     for team, row in table.rows.items():
--- a/rudderrock/state/_tokens.py
+++ b/rudderrock/state/_tokens.py
@@ -1,8 +1,9 @@
-"""Bearer tokens of teams, kept only as salted hashes.
+"""Bearer tokens of teams, which are stored only as salted hashes.
 
-A token reads `team.secret`, where the secret is 256 random bits, so a fast
-keyed hash is enough (NIST SP 800-63B asks for slow hashes only for secrets
-that people choose). The table holds `salt$digest` and never the token.
+A token has the form `team.secret`, where the secret consists of 256 random
+bits. A fast keyed hash is sufficient for it; NIST SP 800-63B requires slow
+hashes only for secrets that people choose. The table contains `salt$digest`
+and never the token.
 """
 
 import hashlib
@@ -18,23 +19,25 @@
 
 
 def make_token(team: core.TeamId, source: random.Random) -> str:
-    """Draw a new token for a team; show it once and keep only its hash.
+    """Return a new random token for a team.
 
-    `source` must be `random.SystemRandom` outside tests.
+    The token should be shown once, and only its hash stored. `source` must
+    be a `random.SystemRandom` outside tests.
     """
     return f'{team}.{source.randbytes(_SECRET_BYTES).hex()}'
 
 
 def hash_token(token: str, source: random.Random) -> str:
-    """Return the salted hash of a token as the table stores it."""
+    """Return the salted hash of a token, in the form the table stores."""
     salt = source.randbytes(_SALT_BYTES).hex()
     return f'{salt}${_digest(salt, token)}'
 
 
 def check_token(token: str, stored: tuple[str, ...]) -> bool:
-    """Tell whether a token matches one of the stored hashes.
+    """Return whether a token matches one of the stored hashes.
 
-    Compares in constant time, so timing tells nothing of a stored hash.
+    The comparison takes constant time, so that the timing reveals nothing
+    about a stored hash.
     """
     matched = False
     for entry in stored:
@@ -44,7 +47,7 @@
 
 
 def split_token(token: str) -> result.Result[core.TeamId, str]:
-    """Read the team that a token claims to belong to."""
+    """Return the team in a token, without checking the secret."""
     team, dot, secret = token.partition('.')
     if not (team and dot and secret):
         return result.Err('a token reads TEAM.SECRET')
--- a/rudderrock/transport/__init__.py
+++ b/rudderrock/transport/__init__.py
@@ -1,4 +1,4 @@
-"""Ports to all that is outside the process, and their HTTP clients."""
+"""Interfaces to services outside the process, and their HTTP clients."""
 
 from rudderrock.transport._kv import HttpKvPort
 from rudderrock.transport._owned import ExchangeFailed
--- a/rudderrock/transport/_kv.py
+++ b/rudderrock/transport/_kv.py
@@ -1,4 +1,4 @@
-"""The key-value service over HTTP."""
+"""HTTP client of the key-value service."""
 
 import asyncio
 import contextlib
@@ -10,17 +10,17 @@
 from rudderrock.transport import _owned as owned
 from rudderrock.transport import _ports as ports
 
-# A watch is answered by the service when its time is over; the margin
-# covers the way back.
+# The service answers a watch when its timeout has passed. The margin allows
+# for the transmission of that answer.
 _WATCH_MARGIN_S = 2.0
 _CONFLICT = 409
 
 
 class HttpKvPort:
-    """Calls the key-value service, one connection for each call under way.
+    """Client of the key-value service, with a connection per call in flight.
 
-    Parameters: `address` is `IP:port`; `timeout_s` bounds a call that does
-    not wait, in seconds.
+    Parameters: `address` is `IP:port`; `timeout_s` is the timeout in seconds
+    of all calls except watches.
     """
 
     def __init__(self, address: str, timeout_s: float):
@@ -31,7 +31,7 @@
     async def get(
         self, key: str
     ) -> result.Result[protocol.Entry, ports.KvUnavailable]:
-        """Read one key."""
+        """Return the value and version of a key."""
         request = protocol.GetRequest(key=key)
         raw = await self._call(protocol.GET_PATH, request, self._timeout_s)
         return raw.and_then(lambda reply: _read(protocol.Entry, reply))
@@ -41,7 +41,7 @@
     ) -> result.Result[
         int, ports.KvConflict | ports.KvUnavailable | ports.LeaseGone
     ]:
-        """Compare and swap one key; return its new version."""
+        """Compare and swap one key, and return its new version."""
         raw = await self._call(protocol.SWAP_PATH, request, self._timeout_s)
         match raw:
             case result.Ok(owned.RawReply(status=409)):
@@ -59,7 +59,10 @@
     async def watch(
         self, key: str, after: int, timeout_s: float
     ) -> result.Result[protocol.Entry, ports.KvUnavailable]:
-        """Wait for a version later than `after`, or the time to be over."""
+        """Wait until the version is above `after` or the timeout has passed.
+
+        Return the current entry in both cases.
+        """
         request = protocol.WatchRequest(
             key=key, after=after, timeout_s=timeout_s
         )
@@ -70,7 +73,7 @@
     async def grant(
         self, ttl_s: float
     ) -> result.Result[str, ports.KvUnavailable]:
-        """Ask for a lease; return its id."""
+        """Request a lease and return its id."""
         request = protocol.GrantRequest(ttl_s=ttl_s)
         raw = await self._call(protocol.GRANT_PATH, request, self._timeout_s)
         lease = raw.and_then(lambda reply: _read(protocol.Lease, reply))
@@ -79,17 +82,17 @@
     async def renew(
         self, lease: str
     ) -> result.Result[None, ports.LeaseGone | ports.KvUnavailable]:
-        """Prolong a lease by its time to live."""
+        """Renew a lease for its time to live."""
         return await self._call_lease(protocol.RENEW_PATH, lease)
 
     async def revoke(
         self, lease: str
     ) -> result.Result[None, ports.LeaseGone | ports.KvUnavailable]:
-        """Give a lease back, and with it the keys that hang on it."""
+        """Revoke a lease, which deletes the keys attached to it."""
         return await self._call_lease(protocol.REVOKE_PATH, lease)
 
     async def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         idle, self._idle = self._idle, []
         for connection in idle:
             await connection.close()
--- a/rudderrock/transport/_owned.py
+++ b/rudderrock/transport/_owned.py
@@ -1,10 +1,10 @@
-"""One HTTP connection with one owner.
+"""An HTTP connection that is owned by a single task.
 
-aiosonic's shared pool hands a cancelled request's answer to whoever takes
-the connection next. So a connection here belongs to one task, carries one
-exchange at a time, and is closed after any exchange that did not run to
-its end. Only POST is used, because aiosonic repeats the other methods by
-itself when a kept connection turns out closed.
+With the shared pool of aiosonic, the reply to a cancelled request is
+returned to the next user of the connection. Here, a connection belongs to
+one task, carries one exchange at a time, and is closed after an exchange
+that wasn't completed. Only POST is used, because aiosonic automatically
+retries other methods if a kept-alive connection turns out to be closed.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 import aiosonic.timeout
 import result
 
-# What the library raises when the other side or the way there fails.
+# Exceptions that aiosonic raises if the server or the network fails.
 _FAILURES = (
     OSError,
     EOFError,
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RawReply:
-    """A reply that was read to its end."""
+    """Status and body of a reply that was read completely."""
 
     status: int
     body: bytes
@@ -39,17 +39,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ExchangeFailed:
-    """An exchange did not run to its end, and the connection is closed."""
+    """Failure of an exchange; its connection has been closed."""
 
     detail: str
 
 
 class OwnedConnection:
-    """A kept HTTP/1.1 connection to one address, for one task at a time.
+    """A kept-alive HTTP/1.1 connection, used by one task at a time.
 
-    Parameters: `address` is `IP:port`, `connect_timeout_s` in seconds,
-    `headers` go with every request. The bound on an exchange is its
-    caller's, by cancellation or `asyncio.timeout`.
+    Parameters: `address` is `IP:port`; `connect_timeout_s` is in seconds;
+    `headers` are sent with every request. Exchanges have no timeout of their
+    own: the caller limits them by cancellation or `asyncio.timeout`.
     """
 
     def __init__(
@@ -66,15 +66,16 @@
         self._socket: aiosonic.connection.Connection | None = None
 
     async def open(self) -> result.Result[None, ExchangeFailed]:
-        """Connect now, so that the first exchange need not wait for it.
-
-        Whoever is cancelled here is cancelled, in whichever turn of the loop,
-        and no connection is left. The bound is not given to the library: it
-        keeps bounds with `asyncio.wait_for`, which before Python 3.12 returns
-        the result and drops a cancellation that comes once the connection is
-        there and its waiter has not run yet. Lanes, links and hosts are ended
-        by one cancellation, and lived on: up to 8 of 410 links, closed by
-        turns of the loop while they connected.
+        """Connect, so that the first exchange doesn't have to.
+
+        A cancellation always takes effect here, and leaves no connection
+        open. For this, the timeout is applied by `asyncio.timeout` and not
+        passed to aiosonic, which applies timeouts with `asyncio.wait_for`.
+        Before Python 3.12, `wait_for` returns the result and discards a
+        cancellation that arrives after the connection is made but before
+        the waiting task runs. Lanes, links and hosts are cancelled only
+        once, so a discarded cancellation left them running: up to 8 of 410
+        links that were closed at varying moments while they connected.
         """
         client = self._make_client()
         url = urllib.parse.urlparse(self._base)
@@ -92,7 +93,8 @@
         finally:
             if not opened:
                 await self.close()
-        # The pool keeps it under its destination until the first exchange.
+        # The pool keeps the connection under the key of its destination
+        # until the first exchange.
         connection.keep_alive()
         connection.key = connection.temp_key
         connection.release()
@@ -100,15 +102,16 @@
 
     @property
     def is_usable(self) -> bool:
-        """Tell whether the connection is open and nothing is left on it.
+        """Return whether the connection is open and has no unread bytes.
 
-        Bytes that came without a request are the end of somebody else's
-        reply, or a server's farewell; either way it is not to be used.
+        Unread bytes are the rest of a reply to an earlier request, or a
+        final message of a server that closes the connection. The connection
+        can't be used again in either case.
         """
         if not self._is_open:
             return False
         reader = self._socket.reader
-        # StreamReader has no public way to ask this without reading.
+        # StreamReader has no public method to check for unread bytes.
         unread = bool(reader._buffer)
         return not (reader.at_eof() or unread)
 
@@ -122,10 +125,10 @@
     async def post(
         self, path: str, body: bytes
     ) -> result.Result[RawReply, ExchangeFailed]:
-        """Send one request and read its reply to the end.
+        """Send one request and return its complete reply.
 
-        When this returns an error or is cancelled, the connection has been
-        closed; the next call opens a new one.
+        Connects first if the connection isn't open. The connection is closed
+        if an error is returned or the call is cancelled.
         """
         if not self._is_open:
             opened = await self.open()
@@ -147,7 +150,7 @@
                 await self.close()
 
     async def close(self) -> None:
-        """Close the connection; harmless if it is closed."""
+        """Close the connection; does nothing if it is already closed."""
         self._client = None
         socket, self._socket = self._socket, None
         if socket is not None:
@@ -176,7 +179,7 @@
     def _make_socket(
         self, pool: aiosonic.pools.BasePool
     ) -> aiosonic.connection.Connection:
-        # The pool closes a connection only once it is released, so we keep
-        # hold of the one there is, to close it in the middle of a reply.
+        # The pool closes a connection only after its release. The reference
+        # is kept to be able to close it in the middle of a reply.
         self._socket = aiosonic.connection.Connection(pool)
         return self._socket
--- a/rudderrock/transport/_peers.py
+++ b/rudderrock/transport/_peers.py
@@ -1,4 +1,4 @@
-"""Peers and the platform's host list over HTTP."""
+"""HTTP clients of peers and of the platform's host list."""
 
 import asyncio
 from typing import Any
@@ -13,12 +13,12 @@
 
 
 class HttpPeerPort:
-    """Sends messages to peers, over a new connection each.
+    """Client of peers that opens a new connection for every message.
 
-    Probes go to a different peer each period, so a kept connection would
-    be idle for a whole round of the fleet: 290 seconds at 580 hosts.
+    Each period, the probe goes to a different peer. A kept-alive connection
+    would be idle until all others have been probed: 290 s with 580 hosts.
 
-    Parameters: `secret` is what peers show one another.
+    Parameters: `secret` is the shared secret that authenticates peers.
     """
 
     def __init__(self, secret: str):
@@ -27,7 +27,7 @@
     async def probe(
         self, address: str, message: protocol.Probe, timeout_s: float
     ) -> result.Result[protocol.ProbeReply, ports.PeerUnreachable]:
-        """Send a probe and wait for its reply."""
+        """Send a probe and return its reply."""
         return await self._send(
             address,
             protocol.PROBE_PATH,
@@ -42,7 +42,7 @@
         message: protocol.ConfigRequest,
         timeout_s: float,
     ) -> result.Result[protocol.ConfigReply, ports.PeerUnreachable]:
-        """Ask a peer for a later table and layout."""
+        """Request a later table and layout from a peer."""
         return await self._send(
             address,
             protocol.CONFIG_PATH,
@@ -65,7 +65,10 @@
 
 
 class HttpHostListPort:
-    """Reads the platform's list of live and leaving hosts."""
+    """Client of the platform's list of live and leaving hosts.
+
+    Parameters: `address` is `IP:port`; `timeout_s` is in seconds.
+    """
 
     def __init__(self, address: str, timeout_s: float):
         self._address = address
@@ -74,7 +77,7 @@
     async def list_hosts(
         self,
     ) -> result.Result[list[ports.ListedHost], ports.PeerUnreachable]:
-        """Return the list as the platform has it now."""
+        """Return the current list of the platform."""
         return await post_once(
             self._address,
             HOST_LIST_PATH,
@@ -92,9 +95,10 @@
     reply_cls: Any,
     headers: dict[str, str] | None = None,
 ) -> result.Result[Any, ports.PeerUnreachable]:
-    """Send one message over a connection of its own and read its reply.
+    """Send one message over a new connection and return the decoded reply.
 
-    `timeout_s` bounds the whole exchange, in seconds.
+    `timeout_s` limits the whole exchange, including the connection, in
+    seconds. A status other than 200 is returned as an error.
     """
     connection = owned.OwnedConnection(
         address, connect_timeout_s=timeout_s, headers=headers
--- a/rudderrock/transport/_ports.py
+++ b/rudderrock/transport/_ports.py
@@ -1,7 +1,8 @@
-"""Ports: the shapes of everything outside the process.
+"""Interfaces (ports) to the services outside the process.
 
-The real clients, the stand-ins in memory and a caller's own test bench all
-plug in here. No method raises on a failure outside; it returns it.
+They are implemented by the HTTP clients, the in-memory stand-ins and the
+test doubles of an application. A method returns a failure of the outside
+service as a value and never raises it.
 """
 
 import dataclasses
@@ -15,21 +16,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KvConflict:
-    """A swap did not take place: the key has another version."""
+    """Failure of a swap because the key has a different version."""
 
     current: protocol.Entry
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KvUnavailable:
-    """No answer from the service; a write may still have taken effect."""
+    """Failure of a call without an answer; a write may have taken effect."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseGone:
-    """The lease has lapsed or was never granted."""
+    """Failure of a call because its lease has ended or never existed."""
 
 
 class KvPort(Protocol):
@@ -38,110 +39,110 @@
     async def get(
         self, key: str
     ) -> result.Result[protocol.Entry, KvUnavailable]:
-        """Read one key."""
+        """Return the value and version of a key."""
 
     async def swap(
         self, request: protocol.SwapRequest
     ) -> result.Result[int, KvConflict | KvUnavailable | LeaseGone]:
-        """Compare and swap one key; return its new version."""
+        """Compare and swap one key, and return its new version."""
 
     async def watch(
         self, key: str, after: int, timeout_s: float
     ) -> result.Result[protocol.Entry, KvUnavailable]:
-        """Wait for a version later than `after`, or the time to be over.
+        """Wait until the version is above `after` or the timeout has passed.
 
-        Returns the entry as it is in either case.
+        Return the current entry in both cases.
         """
 
     async def grant(self, ttl_s: float) -> result.Result[str, KvUnavailable]:
-        """Ask for a lease; return its id."""
+        """Request a lease and return its id."""
 
     async def renew(
         self, lease: str
     ) -> result.Result[None, LeaseGone | KvUnavailable]:
-        """Prolong a lease by its time to live."""
+        """Renew a lease for its time to live."""
 
     async def revoke(
         self, lease: str
     ) -> result.Result[None, LeaseGone | KvUnavailable]:
-        """Give a lease back, and with it the keys that hang on it."""
+        """Revoke a lease, which deletes the keys attached to it."""
 
 
 class Abort(Protocol):
-    """The means by which an exchange under way is given up.
+    """Handle to abort an exchange in flight.
 
-    `asyncio.Timeout` has this shape: a connection makes one, hands it to
-    `ExchangeTicket.arm`, and whoever gives up reschedules it to now.
+    `asyncio.Timeout` implements it: a connection creates one and passes it
+    to `ExchangeTicket.arm`. Rescheduling it to the current time aborts the
+    exchange.
     """
 
     def reschedule(self, when: float | None) -> None:
-        """Move the time at which the exchange ends."""
+        """Set the loop time at which the exchange is aborted."""
 
 
 class ExchangeTicket(Protocol):
-    """What a connection needs to know of an exchange besides its request."""
+    """Deadline of an exchange, and the receiver of its abort handle."""
 
     @property
     def until(self) -> float:
-        """Return the loop time at which reading the reply ends."""
+        """Return the loop time until which the reply is read."""
 
     def arm(self, abort: Abort) -> None:
-        """Take the means to give up the exchange that now begins."""
+        """Receive the abort handle of an exchange that is about to start."""
 
 
 class UpstreamConnection(Protocol):
-    """One connection to one upstream, owned by one task."""
+    """A connection to an upstream, owned by one task."""
 
     @property
     def is_usable(self) -> bool:
-        """Tell whether an exchange may start on it.
+        """Return whether the connection can be used for an exchange.
 
-        Not if the other side has closed it, or has sent something that
-        nobody asked for.
+        It can't if the upstream has closed it or has sent unsolicited bytes.
         """
 
     async def exchange(
         self, request: protocol.ShardRequest, ticket: ExchangeTicket
     ) -> protocol.ShardReply:
-        """Send a request and read its whole reply.
+        """Send a request and return its complete reply.
 
         After `ShardLost` or `ShardTimeout` the connection must be closed.
         """
 
     async def close(self) -> None:
-        """Close the connection; harmless if it is closed."""
+        """Close the connection; does nothing if it is already closed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConnectFailed:
-    """No connection could be made, so nothing was sent."""
+    """Failure to connect; nothing was sent."""
 
     detail: str
 
 
 class UpstreamPort(Protocol):
-    """How connections to upstreams are made."""
+    """Factory of connections to upstreams."""
 
     async def connect(
         self, upstream: state.Upstream
     ) -> result.Result[UpstreamConnection, ConnectFailed]:
-        """Open a connection that is ready for its first exchange."""
+        """Return an open connection that is ready for an exchange."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerUnreachable:
-    """A peer gave no usable reply."""
+    """Failure of a call to a peer or to the platform's host list."""
 
     detail: str
 
 
 class PeerPort(Protocol):
-    """How a host talks to its peers."""
+    """Client of the peers of a host."""
 
     async def probe(
         self, address: str, message: protocol.Probe, timeout_s: float
     ) -> result.Result[protocol.ProbeReply, PeerUnreachable]:
-        """Send a probe and wait for its reply."""
+        """Send a probe and return its reply."""
 
     async def fetch_config(
         self,
@@ -149,12 +150,12 @@
         message: protocol.ConfigRequest,
         timeout_s: float,
     ) -> result.Result[protocol.ConfigReply, PeerUnreachable]:
-        """Ask a peer for a later table and layout."""
+        """Request a later table and layout from a peer."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ListedHost:
-    """One line of the platform's host list, which lags."""
+    """Entry of the platform's host list, which may be outdated."""
 
     host: state.HostId
     zone: state.ZoneId
@@ -168,4 +169,4 @@
     async def list_hosts(
         self,
     ) -> result.Result[list[ListedHost], PeerUnreachable]:
-        """Return the list as the platform has it now."""
+        """Return the current list of the platform."""
--- a/rudderrock/transport/_server.py
+++ b/rudderrock/transport/_server.py
@@ -1,4 +1,4 @@
-"""An HTTP server inside our own loop, hardened against slow callers."""
+"""An HTTP server in the running event loop, with limits for slow clients."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -27,10 +27,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class HeadLimits:
-    """Bounds on the head of a request, before any code of ours sees it.
+    """Limits on the head of a request: request line and header fields.
 
-    `timeout_s` counts in seconds from the first byte; `max_bytes` is the
-    size of the head.
+    `timeout_s` is the time in seconds from the first byte to the end of the
+    head; `max_bytes` is the maximum size of the head.
     """
 
     timeout_s: float = 5.0
@@ -38,14 +38,14 @@
 
 
 def _make_protocol(limits: HeadLimits) -> type[asyncio.Protocol]:
-    """Make uvicorn's HTTP protocol, with bounds on a request's head.
+    """Return a subclass of uvicorn's HTTP protocol that limits heads.
 
-    uvicorn bounds idle time between requests, but not how slowly or at
-    what length one head may come (the attack known as Slowloris).
+    uvicorn limits the idle time between requests, but neither the duration
+    nor the size of a head, which a Slowloris attack exploits.
     """
 
     class BoundedProtocol(httptools_impl.HttpToolsProtocol):
-        """HTTP over one connection, closed if its head is slow or long."""
+        """HTTP connection that is closed if a head exceeds the limits."""
 
         _idle_timer: asyncio.TimerHandle
         _is_started = False
@@ -54,8 +54,8 @@
 
         def connection_made(self, transport: asyncio.Transport) -> None:
             super().connection_made(transport)
-            # A connection made ahead of need may stay idle as long as one
-            # kept after use; uvicorn itself bounds only the latter.
+            # A connection that has had no request yet may be idle as long as
+            # one between two requests. uvicorn limits only the latter.
             self._idle_timer = self.loop.call_later(
                 _KEEP_ALIVE_S, self._close_idle
             )
@@ -112,7 +112,7 @@
 
 
 class _Server(uvicorn.Server):
-    """uvicorn's server without its signal handlers, which are the root's."""
+    """uvicorn's server without signal handlers, which the program installs."""
 
     @contextlib.contextmanager
     def capture_signals(self):
@@ -120,7 +120,10 @@
 
 
 def bind(address: str) -> result.Result[socket.socket, str]:
-    """Bind a listening TCP socket to `IP:port`; port 0 takes a free one."""
+    """Return a TCP socket that is bound to `IP:port`.
+
+    Port 0 selects a free port.
+    """
     ip, _, port = address.rpartition(':')
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -133,17 +136,17 @@
 
 
 def get_address(listener: socket.socket) -> str:
-    """Return the `IP:port` that a socket is bound to."""
+    """Return the address of a bound socket as `IP:port`."""
     ip, port = listener.getsockname()
     return f'{ip}:{port}'
 
 
 class HttpServer:
-    """An ASGI application served on a bound socket.
+    """Server of an ASGI application on a bound socket.
 
-    Parameters: `limits` bound heads, `max_connections` the connections
-    open at once; `stop_timeout_s` is how long requests under way may take
-    to end when it is closed, in seconds.
+    Parameters: `limits` are the limits on heads; `max_connections` is the
+    maximum number of open connections; `stop_timeout_s` is how long requests
+    in flight may take to complete after `close` is called, in seconds.
     """
 
     def __init__(
@@ -175,14 +178,14 @@
         self._task: asyncio.Task | None = None
 
     async def open(self) -> None:
-        """Start serving; returns when connections are taken."""
+        """Start the server and return when it accepts connections."""
         serving = self._server.serve(sockets=[self._listener])
         self._task = asyncio.create_task(serving)
         while not self._server.started and not self._task.done():
             await asyncio.sleep(_START_POLL_S)
 
     async def close(self) -> None:
-        """Stop taking connections and let requests under way end."""
+        """Stop accepting connections and wait for requests in flight."""
         self._server.should_exit = True
         if self._task is not None:
             await self._task
@@ -197,9 +200,9 @@
     limits: HeadLimits = HeadLimits(),
     max_connections: int | None = None,
 ) -> AsyncIterator[str]:
-    """Serve an ASGI application while the context lasts.
+    """Serve an ASGI application until the context exits.
 
-    Yields the address, `IP:port`.
+    Yields the address as `IP:port`.
     """
     server = HttpServer(
         app, listener, limits=limits, max_connections=max_connections
@@ -212,6 +215,6 @@
 
 
 async def wait_for_disconnect(request: requests.Request) -> None:
-    """Wait until whoever sent a request, read to its end, has gone."""
+    """Wait until the client of a completely read request disconnects."""
     while (await request.receive())['type'] != 'http.disconnect':
         pass
--- a/rudderrock/transport/_upstream.py
+++ b/rudderrock/transport/_upstream.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams over HTTP."""
+"""HTTP connections to upstreams."""
 
 import asyncio
 
@@ -13,23 +13,23 @@
 
 
 class HttpUpstreamConnection:
-    """One kept HTTP connection to an upstream, owned by one task."""
+    """A kept-alive HTTP connection to an upstream, owned by one task."""
 
     def __init__(self, connection: owned.OwnedConnection):
         self._connection = connection
 
     @property
     def is_usable(self) -> bool:
-        """Tell whether an exchange may start on it."""
+        """Return whether the connection can be used for an exchange."""
         return self._connection.is_usable
 
     async def exchange(
         self, request: protocol.ShardRequest, ticket: ports.ExchangeTicket
     ) -> protocol.ShardReply:
-        """Send a request and read its whole reply.
+        """Send a request and return its complete reply.
 
-        The ticket's holder may give up at any time, which closes the
-        connection and thereby tells the upstream.
+        The owner of the ticket may abort the exchange at any time. This
+        closes the connection, by which the upstream detects the abort.
         """
         body = protocol.encode(request)
         try:
@@ -45,17 +45,17 @@
                 return read_shard_reply(request, reply)
 
     async def close(self) -> None:
-        """Close the connection; harmless if it is closed."""
+        """Close the connection; does nothing if it is already closed."""
         await self._connection.close()
 
 
 def read_shard_reply(
     request: protocol.ShardRequest, raw: owned.RawReply
 ) -> protocol.ShardReply:
-    """Turn an HTTP reply into a typed one that belongs to this request.
+    """Return the decoded reply to a request.
 
-    A reply that does not echo the request's id, or answers for another
-    shard or version, counts as lost: it is somebody else's.
+    A reply that doesn't echo the id of the request, or that is for another
+    shard or version, belongs to another request and counts as lost.
     """
     if raw.status == 200:
         decoded = protocol.decode(protocol.ShardAnswer, raw.body)
@@ -73,7 +73,7 @@
 def check_shard_reply(
     request: protocol.ShardRequest, reply: protocol.ShardReply
 ) -> protocol.ShardReply:
-    """Return the reply if it is this request's, else that it was lost."""
+    """Return the reply if it belongs to the request, else `ShardLost`."""
     match reply:
         case protocol.ShardAnswer():
             own = (request.request_id, request.shard, request.version)
@@ -86,9 +86,9 @@
 
 
 class HttpUpstreamPort:
-    """Makes HTTP connections to upstreams.
+    """Factory of HTTP connections to upstreams.
 
-    Parameters: `connect_timeout_s` bounds making one, in seconds.
+    Parameters: `connect_timeout_s` is in seconds.
     """
 
     def __init__(self, connect_timeout_s: float):
@@ -97,7 +97,7 @@
     async def connect(
         self, upstream: state.Upstream
     ) -> result.Result[HttpUpstreamConnection, ports.ConnectFailed]:
-        """Open a connection that is ready for its first exchange."""
+        """Return an open connection that is ready for an exchange."""
         connection = owned.OwnedConnection(
             upstream.address, connect_timeout_s=self._connect_timeout_s
         )
