--- a/rudderrock/core/_clock.py
+++ b/rudderrock/core/_clock.py
@@ -13,7 +13,7 @@
 # An event loop runs timers that are due within its clock resolution. A time
 # that is closer than this counts as reached, because a timer for the rest
 # would fire at once and the wait would never end.
-_RESOLUTION_S = 2e-6
+_TIMER_RESOLUTION_S = 2e-6
 
 
 class Clock:
@@ -36,7 +36,7 @@
 
     def has_reached(self, when: float) -> bool:
         """Return whether a timer for the loop time `when` would be due."""
-        return self._loop.time() + _RESOLUTION_S >= when
+        return self._loop.time() + _TIMER_RESOLUTION_S >= when
 
     def wall(self) -> float:
         """Return the wall time in seconds since the Unix epoch."""
@@ -52,5 +52,5 @@
     >>> make_random(1, 'router').random() == make_random(1, 'router').random()
     True
     """
-    mixed = xxhash.xxh64_intdigest(name.encode(), seed & 0xFFFFFFFF)
-    return random.Random(mixed)
+    stream_seed = xxhash.xxh64_intdigest(name.encode(), seed & 0xFFFFFFFF)
+    return random.Random(stream_seed)
--- a/rudderrock/core/_latency.py
+++ b/rudderrock/core/_latency.py
@@ -7,9 +7,9 @@
 # Gain of one request on the logarithm of the threshold. It starts at the
 # maximum, falls with the square root of the number of requests and ends at
 # the minimum.
-_LATE_GAIN = 0.02
-_FIRST_GAIN = 3.0
-_HIGHEST_GAIN = 0.5
+_MIN_GAIN = 0.02
+_INITIAL_GAIN = 3.0
+_MAX_GAIN = 0.5
 
 
 class LatePoint:
@@ -31,24 +31,24 @@
     def __init__(
         self, part: float, *, start: float, lowest: float, highest: float
     ):
-        self._part = part
-        self._lowest = lowest
-        self._highest = highest
-        self._point = start
+        self._late_fraction = part
+        self._min_s = lowest
+        self._max_s = highest
+        self._threshold_s = start
         self._count = 0
 
     def get(self) -> float:
         """Return the threshold in seconds."""
-        return self._point
+        return self._threshold_s
 
     def note(self, late: bool) -> None:
         """Update the threshold by whether one request exceeded it."""
         self._count += 1
-        gain = _FIRST_GAIN / math.sqrt(self._count)
-        gain = min(max(gain, _LATE_GAIN), _HIGHEST_GAIN)
-        step = (1.0 - self._part) if late else -self._part
-        point = self._point * math.exp(gain * step)
-        self._point = min(max(point, self._lowest), self._highest)
+        gain = _INITIAL_GAIN / math.sqrt(self._count)
+        gain = min(max(gain, _MIN_GAIN), _MAX_GAIN)
+        step = (1.0 - self._late_fraction) if late else -self._late_fraction
+        threshold_s = self._threshold_s * math.exp(gain * step)
+        self._threshold_s = min(max(threshold_s, self._min_s), self._max_s)
 
 
 class FadingMean:
@@ -70,14 +70,14 @@
         self._weight = weight
         self._fade_s = fade_s
         self._mean = 0.0
-        self._updated = clock.now()
+        self._updated_at = clock.now()
 
     def record(self, value: float) -> None:
         """Add one sample."""
         self._mean += self._weight * (value - self._mean)
-        self._updated = self._clock.now()
+        self._updated_at = self._clock.now()
 
     def get(self) -> float:
         """Return the mean, decayed by the time since the last sample."""
-        idle = self._clock.now() - self._updated
-        return self._mean * math.exp(-idle / self._fade_s)
+        idle_s = self._clock.now() - self._updated_at
+        return self._mean * math.exp(-idle_s / self._fade_s)
--- a/rudderrock/frontend/_body.py
+++ b/rudderrock/frontend/_body.py
@@ -28,7 +28,7 @@
             async for chunk in request.stream():
                 size += len(chunk)
                 if size > settings.max_body_bytes:
-                    return result.Err(_refuse_size(settings))
+                    return result.Err(_make_size_refusal(settings))
                 chunks.append(chunk)
     except TimeoutError:
         return result.Err(
@@ -79,7 +79,7 @@
     )
 
 
-def _refuse_size(settings: state.IntakeSettings) -> protocol.Refused:
+def _make_size_refusal(settings: state.IntakeSettings) -> protocol.Refused:
     return protocol.Refused(
         reason=protocol.RefusalReason.TOO_LARGE,
         detail=f'a body may have {settings.max_body_bytes} bytes',
--- a/rudderrock/frontend/_callers.py
+++ b/rudderrock/frontend/_callers.py
@@ -26,18 +26,22 @@
     settings = host.settings.intake
 
     async def query(request: requests.Request) -> responses.Response:
-        opened = await _open(host, request, settings, protocol.Query)
-        if opened.is_err():
-            return body.make_response(opened.unwrap_err())
-        row, message = opened.unwrap()
+        received = await _receive_request(
+            host, request, settings, protocol.Query
+        )
+        if received.is_err():
+            return body.make_response(received.unwrap_err())
+        row, message = received.unwrap()
         work = host.query(row, message)
-        return await _finish(request, work)
+        return await _await_response(request, work)
 
     async def command(request: requests.Request) -> responses.Response:
-        opened = await _open(host, request, settings, protocol.Command)
-        if opened.is_err():
-            return body.make_response(opened.unwrap_err())
-        row, message = opened.unwrap()
+        received = await _receive_request(
+            host, request, settings, protocol.Command
+        )
+        if received.is_err():
+            return body.make_response(received.unwrap_err())
+        row, message = received.unwrap()
         key = request.headers.get(protocol.IDEMPOTENCY_HEADER, '')
         # A command isn't cancelled when its caller disconnects. Its outcome
         # is recorded and returned when the caller retries.
@@ -49,7 +53,10 @@
             routing.Route(protocol.COMMAND_PATH, command, methods=['POST']),
             *make_health_routes(host),
         ],
-        exception_handlers={404: _answer_unknown, 405: _answer_unknown},
+        exception_handlers={
+            404: _handle_unknown_route,
+            405: _handle_unknown_route,
+        },
     )
 
 
@@ -77,7 +84,7 @@
     ]
 
 
-async def _open(
+async def _receive_request(
     host: coordination.EntryHost,
     request: requests.Request,
     settings: state.IntakeSettings,
@@ -91,24 +98,24 @@
     refused = host.check_serving()
     if refused is not None:
         return result.Err(refused)
-    known = host.authenticate(body.read_token(request))
-    if known.is_err():
-        return known
+    authenticated = host.authenticate(body.read_token(request))
+    if authenticated.is_err():
+        return authenticated
     content = await body.read_body(request, settings)
     if content.is_err():
         return content
     decoded = body.decode_body(cls, content.unwrap())
-    return decoded.map(lambda message: (known.unwrap(), message))
+    return decoded.map(lambda message: (authenticated.unwrap(), message))
 
 
-async def _finish(
+async def _await_response(
     request: requests.Request, work: Awaitable[protocol.Outcome]
 ) -> responses.Response:
     """Return the response, or cancel the work if the caller disconnects."""
     task = asyncio.ensure_future(work)
-    watch = asyncio.ensure_future(transport.wait_for_disconnect(request))
+    disconnect = asyncio.ensure_future(transport.wait_for_disconnect(request))
     try:
-        await asyncio.wait((task, watch), return_when='FIRST_COMPLETED')
+        await asyncio.wait((task, disconnect), return_when='FIRST_COMPLETED')
         if not task.done():
             task.cancel()
         return body.make_response(await task)
@@ -117,10 +124,10 @@
         # connection. No client receives it.
         return responses.Response(status_code=499)
     finally:
-        watch.cancel()
+        disconnect.cancel()
 
 
-async def _answer_unknown(
+async def _handle_unknown_route(
     request: requests.Request, exc: Exception
 ) -> responses.Response:
     return body.make_response(
--- a/rudderrock/frontend/_control.py
+++ b/rudderrock/frontend/_control.py
@@ -59,29 +59,31 @@
 ) -> applications.Starlette:
     """Return the HTTP application for the peers and operators of a host."""
 
-    def for_peer(handle, cls):
+    def require_peer(handle, cls):
         async def endpoint(request: requests.Request) -> responses.Response:
-            shown = request.headers.get(protocol.SECRET_HEADER, '')
-            if not hmac.compare_digest(shown.encode(), secrets.peer.encode()):
-                return _deny('peer secret')
-            return await _answer(request, handle, cls)
+            presented = request.headers.get(protocol.SECRET_HEADER, '')
+            if not hmac.compare_digest(
+                presented.encode(), secrets.peer.encode()
+            ):
+                return _make_unauthenticated_response('peer secret')
+            return await _handle_message(request, handle, cls)
 
         return endpoint
 
-    def for_operator(handle, cls=None):
+    def require_operator(handle, cls=None):
         async def endpoint(request: requests.Request) -> responses.Response:
-            shown = body.read_token(request) or ''
-            known = secrets.operator.encode()
-            if not hmac.compare_digest(shown.encode(), known):
-                return _deny('operator secret')
+            presented = body.read_token(request) or ''
+            expected = secrets.operator.encode()
+            if not hmac.compare_digest(presented.encode(), expected):
+                return _make_unauthenticated_response('operator secret')
             if cls is None:
                 return await handle(request)
-            return await _answer(request, handle, cls)
+            return await _handle_message(request, handle, cls)
 
         return endpoint
 
-    async def _answer(request, handle, cls) -> responses.Response:
-        content = await body.read_body(request, _LIMITS)
+    async def _handle_message(request, handle, cls) -> responses.Response:
+        content = await body.read_body(request, _BODY_LIMITS)
         message = content.and_then(lambda data: body.decode_body(cls, data))
         if message.is_err():
             return body.make_response(message.unwrap_err())
@@ -114,24 +116,24 @@
         routes=[
             routing.Route(
                 protocol.PROBE_PATH,
-                for_peer(probe, protocol.Probe),
+                require_peer(probe, protocol.Probe),
                 methods=['POST'],
             ),
             routing.Route(
                 protocol.CONFIG_PATH,
-                for_peer(config, protocol.ConfigRequest),
+                require_peer(config, protocol.ConfigRequest),
                 methods=['POST'],
             ),
             routing.Route(
                 EVENTS_PATH,
-                for_operator(events, EventsRequest),
+                require_operator(events, EventsRequest),
                 methods=['POST'],
             ),
             routing.Route(
-                STATUS_PATH, for_operator(status), methods=['POST', 'GET']
+                STATUS_PATH, require_operator(status), methods=['POST', 'GET']
             ),
-            routing.Route(METRICS_PATH, for_operator(metrics)),
-            routing.Route(METRICS_JSON_PATH, for_operator(metrics_json)),
+            routing.Route(METRICS_PATH, require_operator(metrics)),
+            routing.Route(METRICS_JSON_PATH, require_operator(metrics_json)),
             *callers.make_health_routes(host),
         ]
     )
@@ -139,7 +141,7 @@
 
 # The protocol bounds the size of messages between peers; a table may have up
 # to 1 MB.
-_LIMITS = state.IntakeSettings(max_body_bytes=2**20)
+_BODY_LIMITS = state.IntakeSettings(max_body_bytes=2**20)
 
 
 def make_status(host: coordination.EntryHost) -> HostStatus:
@@ -163,7 +165,7 @@
 ) -> list[coordination.Sample]:
     """Return the current samples of all metrics of a host."""
     counters = host.runner.counters
-    plain = {
+    values = {
         'rudderrock_upstream_first_total': counters.first,
         'rudderrock_upstream_hedges_total': counters.hedges,
         'rudderrock_upstream_hedge_wins_total': counters.hedge_wins,
@@ -184,7 +186,7 @@
     }
     samples = [
         coordination.Sample(name=name, value=value, labels={})
-        for name, value in plain.items()
+        for name, value in values.items()
     ]
     for link in host.dispatcher.list_links():
         samples.append(
@@ -197,10 +199,10 @@
     return samples + host.metrics.list_samples()
 
 
-def _deny(what: str) -> responses.Response:
+def _make_unauthenticated_response(credential: str) -> responses.Response:
     return body.make_response(
         protocol.Refused(
             reason=protocol.RefusalReason.UNAUTHENTICATED,
-            detail=f'the {what} is missing or wrong',
+            detail=f'the {credential} is missing or wrong',
         )
     )
--- a/rudderrock/protocol/_codec.py
+++ b/rudderrock/protocol/_codec.py
@@ -17,7 +17,7 @@
 
 
 @functools.cache
-def _decoder(cls: Any) -> msgspec.json.Decoder:
+def _get_decoder(cls: Any) -> msgspec.json.Decoder:
     return msgspec.json.Decoder(cls)
 
 
@@ -29,6 +29,6 @@
 def decode(cls: type[T], data: bytes) -> result.Result[T, str]:
     """Return the decoded message of class `cls`, or the decoder's error."""
     try:
-        return result.Ok(_decoder(cls).decode(data))
+        return result.Ok(_get_decoder(cls).decode(data))
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         return result.Err(str(exc))
--- a/rudderrock/protocol/_problems.py
+++ b/rudderrock/protocol/_problems.py
@@ -89,7 +89,7 @@
         status=_REFUSAL_STATUS[reason],
         detail=refused.detail,
         outcome=Ran.NOT_RUN,
-        instance=_make_instance(refused.query),
+        instance=_make_instance_uri(refused.query),
         retry_after_s=refused.retry_after_s,
     )
 
@@ -101,11 +101,11 @@
         status=_UNKNOWN_STATUS,
         detail=unknown.detail,
         outcome=Ran.UNKNOWN,
-        instance=_make_instance(unknown.query),
+        instance=_make_instance_uri(unknown.query),
     )
 
 
-def _make_instance(query: state.QueryId | None) -> str | None:
+def _make_instance_uri(query: state.QueryId | None) -> str | None:
     return f'urn:rudderrock:query:{query}' if query else None
 
 
--- a/rudderrock/root.py
+++ b/rudderrock/root.py
@@ -37,19 +37,21 @@
     is called with each event of the time line, to write it to the log.
     """
     host_id = state.HostId(settings.host.id)
-    hybrid = state.HybridClock(clock)
-    ring = state.EventRing(host_id, hybrid, settings.host.event_capacity, sink)
+    hybrid_clock = state.HybridClock(clock)
+    ring = state.EventRing(
+        host_id, hybrid_clock, settings.host.event_capacity, sink
+    )
 
-    def draw(name: str):
+    def make_source(name: str):
         return state.make_random(seed, f'{host_id}/{name}')
 
-    book = coordination.ShareBook(host_id, settings.shares, clock)
+    share_book = coordination.ShareBook(host_id, settings.shares, clock)
     dispatcher = coordination.Dispatcher(
         state.ZoneId(settings.host.zone),
         ports.upstreams,
         settings,
         clock,
-        draw('dispatch'),
+        make_source('dispatch'),
         ring,
     )
     runner = coordination.QueryRunner(
@@ -58,11 +60,13 @@
             extra=coordination.ExtraRequests(settings),
             settings=settings,
             clock=clock,
-            source=draw('query'),
+            source=make_source('query'),
             ring=ring,
         )
     )
-    gate = coordination.Admission(settings.admission, book, dispatcher, clock)
+    admission = coordination.Admission(
+        settings.admission, share_book, dispatcher, clock
+    )
     store = coordination.ClaimStore(
         ports.kv,
         settings.claims,
@@ -70,7 +74,13 @@
         lambda: len(membership.list_sharing()),
     )
     command_runner = coordination.CommandRunner(
-        host_id, store, dispatcher, settings, clock, draw('claims'), ring
+        host_id,
+        store,
+        dispatcher,
+        settings,
+        clock,
+        make_source('claims'),
+        ring,
     )
 
     # The key followers and the membership call objects that are constructed
@@ -93,7 +103,7 @@
         ),
         watch_s=settings.platform.watch_s,
         clock=clock,
-        source=draw('table'),
+        source=make_source('table'),
         ring=ring,
         reunite=state.reunite_tables,
     )
@@ -109,10 +119,10 @@
         ),
         watch_s=settings.platform.watch_s,
         clock=clock,
-        source=draw('layout'),
+        source=make_source('layout'),
         ring=ring,
     )
-    me = protocol.Member(
+    local_member = protocol.Member(
         host=host_id,
         zone=state.ZoneId(settings.host.zone),
         control=settings.host.control,
@@ -121,26 +131,26 @@
     )
     lease = coordination.HostLease(
         ports.kv,
-        me,
+        local_member,
         settings.membership,
         lambda: len(membership.list_sharing()),
         clock,
-        draw('lease'),
+        make_source('lease'),
         ring,
     )
     membership = coordination.Membership(
-        me,
+        local_member,
         ports.peers,
         ports.host_list,
         settings.membership,
-        book=book,
+        book=share_book,
         has_lease=lease.has_lease,
         get_config=lambda: config.get_config(),
         on_digest=lambda digest: config.on_digest(digest),
         on_change=lambda: host.on_members(),
         clock=clock,
-        hybrid=hybrid,
-        source=draw('members'),
+        hybrid=hybrid_clock,
+        source=make_source('members'),
         ring=ring,
     )
     config = coordination.Configuration(
@@ -149,21 +159,21 @@
         layout=layout,
         membership=membership,
         dispatcher=dispatcher,
-        gate=gate,
+        gate=admission,
         peers=ports.peers,
         clock=clock,
-        source=draw('host'),
+        source=make_source('host'),
     )
     host = coordination.EntryHost(
         settings,
         clock=clock,
-        source=draw('query ids'),
+        source=make_source('query ids'),
         ring=ring,
         config=config,
         dispatcher=dispatcher,
         runner=runner,
-        book=book,
-        gate=gate,
+        book=share_book,
+        gate=admission,
         command_runner=command_runner,
         membership=membership,
         lease=lease,
--- a/rudderrock/state/_constraints.py
+++ b/rudderrock/state/_constraints.py
@@ -21,9 +21,11 @@
 T = TypeVar('T')
 
 FORBID_UNKNOWN = pydantic.ConfigDict(extra='forbid')
-_UNKNOWN_KEY = frozenset({'unexpected_keyword_argument', 'extra_forbidden'})
-_MISSING_KEY = frozenset({'missing', 'missing_argument'})
-_SECRET_WORDS = ('token', 'secret')
+_UNKNOWN_KEY_TYPES = frozenset(
+    {'unexpected_keyword_argument', 'extra_forbidden'}
+)
+_MISSING_KEY_TYPES = frozenset({'missing', 'missing_argument'})
+_SECRET_KEY_PARTS = ('token', 'secret')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -45,7 +47,7 @@
 
 
 @functools.cache
-def _adapter(cls: type) -> pydantic.TypeAdapter:
+def _get_adapter(cls: type) -> pydantic.TypeAdapter:
     return pydantic.TypeAdapter(cls)
 
 
@@ -57,56 +59,60 @@
     only the first.
     """
     try:
-        return result.Ok(_adapter(cls).validate_python(raw))
+        return result.Ok(_get_adapter(cls).validate_python(raw))
     except pydantic.ValidationError as exc:
         return result.Err(
-            tuple(_describe(cls, error) for error in exc.errors())
+            tuple(_make_problem(cls, error) for error in exc.errors())
         )
 
 
-def _describe(cls: type, error: Any) -> Problem:
+def _make_problem(cls: type, error: Any) -> Problem:
     path = [str(part) for part in error['loc']]
     key = '.'.join(path) or '(top level)'
     kind = error['type']
-    if kind in _UNKNOWN_KEY:
-        return Problem(key, _suggest(cls, path))
-    if kind in _MISSING_KEY:
+    if kind in _UNKNOWN_KEY_TYPES:
+        return Problem(key, _describe_unknown_key(cls, path))
+    if kind in _MISSING_KEY_TYPES:
         return Problem(key, 'is required and was not given')
     reason = error['msg'].removeprefix('Value error, ')
     reason = reason.replace('Input should', 'must')
-    if any(word in key for word in _SECRET_WORDS):
+    if any(word in key for word in _SECRET_KEY_PARTS):
         return Problem(key, reason)
     return Problem(key, f'{reason}; {error["input"]!r} was given')
 
 
-def _suggest(cls: type, path: list[str]) -> str:
-    known = _known_keys(cls, path[:-1])
-    near = difflib.get_close_matches(path[-1], known, n=1)
-    if near:
-        return f'is not a known key; did you mean {near[0]!r}?'
+def _describe_unknown_key(cls: type, path: list[str]) -> str:
+    known = _list_known_keys(cls, path[:-1])
+    matches = difflib.get_close_matches(path[-1], known, n=1)
+    if matches:
+        return f'is not a known key; did you mean {matches[0]!r}?'
     return f'is not a known key; known are {", ".join(sorted(known))}'
 
 
-def _known_keys(cls: Any, path: list[str]) -> list[str]:
+def _list_known_keys(cls: Any, path: list[str]) -> list[str]:
     """Return the field names of the class that `path` leads to from `cls`."""
     for part in path:
-        hints = typing.get_type_hints(cls) if _is_record(cls) else {}
-        cls = _element(hints[part]) if part in hints else _element(cls)
-    if not _is_record(cls):
+        hints = typing.get_type_hints(cls) if _is_data_class(cls) else {}
+        cls = (
+            _find_data_class(hints[part])
+            if part in hints
+            else _find_data_class(cls)
+        )
+    if not _is_data_class(cls):
         return []
     return [field.name for field in dataclasses.fields(cls)]
 
 
-def _is_record(cls: Any) -> bool:
+def _is_data_class(cls: Any) -> bool:
     return isinstance(cls, type) and dataclasses.is_dataclass(cls)
 
 
-def _element(hint: Any) -> Any:
+def _find_data_class(hint: Any) -> Any:
     """Return the data class inside a container type or an optional type."""
     candidates = [hint, *typing.get_args(hint)]
     for candidate in candidates:
-        if _is_record(candidate):
+        if _is_data_class(candidate):
             return candidate
         if isinstance(candidate, types.GenericAlias):
-            return _element(candidate)
+            return _find_data_class(candidate)
     return hint
--- a/rudderrock/state/_events.py
+++ b/rudderrock/state/_events.py
@@ -33,12 +33,12 @@
     """Hybrid logical clock of a process."""
 
     def __init__(self, source: core.Clock):
-        self._source = source
+        self._clock = source
         self._last = Stamp()
 
     def tick(self) -> Stamp:
         """Return a stamp later than all stamps returned or accepted before."""
-        wall = self._source.wall()
+        wall = self._clock.wall()
         if wall > self._last.wall:
             self._last = Stamp(wall, 0)
         else:
@@ -50,7 +50,7 @@
 
         A stamp more than `MAX_DRIFT_S` ahead of the wall time is ignored.
         """
-        limit = self._source.wall() + MAX_DRIFT_S
+        limit = self._clock.wall() + MAX_DRIFT_S
         if self._last < stamp and stamp.wall <= limit:
             self._last = stamp
 
@@ -108,7 +108,7 @@
         sink: Callable[[Event], None] | None = None,
     ):
         self._host = host
-        self._source = source
+        self._clock = source
         self._sink = sink
         self._events: collections.deque[Event] = collections.deque(
             maxlen=capacity
@@ -126,7 +126,7 @@
     ) -> Event:
         """Add an event with the current stamp, and return it."""
         event = Event(
-            stamp=self._source.tick(),
+            stamp=self._clock.tick(),
             host=self._host,
             kind=kind,
             team=team,
--- a/rudderrock/state/_settings.py
+++ b/rudderrock/state/_settings.py
@@ -288,7 +288,7 @@
     bound_s: _Seconds = 30.0
 
 
-def _part(cls: type):
+def _make_section(cls: type):
     return dataclasses.field(default_factory=cls)
 
 
@@ -300,16 +300,16 @@
 
     host: HostSettings
     platform: PlatformSettings
-    secrets: SecretSettings = _part(SecretSettings)
-    intake: IntakeSettings = _part(IntakeSettings)
-    routing: RoutingSettings = _part(RoutingSettings)
-    hedging: HedgeSettings = _part(HedgeSettings)
-    retries: RetrySettings = _part(RetrySettings)
-    admission: AdmissionSettings = _part(AdmissionSettings)
-    membership: MembershipSettings = _part(MembershipSettings)
-    shares: ShareSettings = _part(ShareSettings)
-    claims: ClaimSettings = _part(ClaimSettings)
-    drain: DrainSettings = _part(DrainSettings)
+    secrets: SecretSettings = _make_section(SecretSettings)
+    intake: IntakeSettings = _make_section(IntakeSettings)
+    routing: RoutingSettings = _make_section(RoutingSettings)
+    hedging: HedgeSettings = _make_section(HedgeSettings)
+    retries: RetrySettings = _make_section(RetrySettings)
+    admission: AdmissionSettings = _make_section(AdmissionSettings)
+    membership: MembershipSettings = _make_section(MembershipSettings)
+    shares: ShareSettings = _make_section(ShareSettings)
+    claims: ClaimSettings = _make_section(ClaimSettings)
+    drain: DrainSettings = _make_section(DrainSettings)
 
 
 def read_toml(path: pathlib.Path) -> result.Result[dict, str]:
@@ -330,5 +330,7 @@
         case result.Ok(raw):
             checked = constraints.make_checked(Settings, raw)
             return checked.map_err(
-                lambda found: '\n'.join(f'{path}: {each}' for each in found)
+                lambda problems: '\n'.join(
+                    f'{path}: {problem}' for problem in problems
+                )
             )
--- a/rudderrock/state/_table.py
+++ b/rudderrock/state/_table.py
@@ -162,32 +162,35 @@
     contains all edits, or if the two histories have no edit in common, in
     which case lost edits can't be determined.
     """
-    ours = {edit.edit_id for edit in kept.history}
-    theirs = {edit.edit_id for edit in found.history}
-    if ours <= theirs and found.revision >= kept.revision:
+    kept_ids = {edit.edit_id for edit in kept.history}
+    found_ids = {edit.edit_id for edit in found.history}
+    if kept_ids <= found_ids and found.revision >= kept.revision:
         return None
-    if found.history and not ours & theirs:
+    if found.history and not kept_ids & found_ids:
         return None
-    shared = max(
-        (edit.revision for edit in found.history if edit.edit_id in ours),
+    last_shared_revision = max(
+        (edit.revision for edit in found.history if edit.edit_id in kept_ids),
         default=core.NO_REVISION,
     )
     table = kept
     for edit in found.history:
-        if edit.edit_id not in ours and edit.revision > shared:
-            table = _make_again(table, edit)
+        if (
+            edit.edit_id not in kept_ids
+            and edit.revision > last_shared_revision
+        ):
+            table = _reapply_edit(table, edit)
     return table
 
 
-def _make_again(table: Table, edit: Edit) -> Table:
+def _reapply_edit(table: Table, edit: Edit) -> Table:
     """Return a table with an edit of another table applied to it."""
     rows = dict(table.rows)
     rows.pop(edit.team, None)
     if edit.row is not None:
         rows[edit.team] = edit.row
     revision = core.Revision(table.revision + 1)
-    again = dataclasses.replace(edit, revision=revision)
-    history = (*table.history, again)[-HISTORY_LIMIT:]
+    reapplied = dataclasses.replace(edit, revision=revision)
+    history = (*table.history, reapplied)[-HISTORY_LIMIT:]
     return Table(revision=revision, rows=rows, history=history)
 
 
@@ -201,7 +204,7 @@
     for team, row in table.rows.items():
         match constraints.make_checked(TeamRow, dataclasses.asdict(row)):
             case result.Err(found):
-                problems.extend(_prefix(team, found))
+                problems.extend(_add_key_prefix(team, found))
             case result.Ok(_):
                 pass
         if row.team != team:
@@ -210,7 +213,7 @@
     return tuple(problems)
 
 
-def _prefix(
+def _add_key_prefix(
     team: core.TeamId, problems: constraints.Problems
 ) -> list[constraints.Problem]:
     return [
--- a/rudderrock/transport/_kv.py
+++ b/rudderrock/transport/_kv.py
@@ -13,7 +13,7 @@
 # The service answers a watch when its timeout has passed. The margin allows
 # for the transmission of that answer.
 _WATCH_MARGIN_S = 2.0
-_CONFLICT = 409
+_CONFLICT_STATUS = 409
 
 
 class HttpKvPort:
@@ -34,7 +34,7 @@
         """Return the value and version of a key."""
         request = protocol.GetRequest(key=key)
         raw = await self._call(protocol.GET_PATH, request, self._timeout_s)
-        return raw.and_then(lambda reply: _read(protocol.Entry, reply))
+        return raw.and_then(lambda reply: _decode_reply(protocol.Entry, reply))
 
     async def swap(
         self, request: protocol.SwapRequest
@@ -45,14 +45,14 @@
         raw = await self._call(protocol.SWAP_PATH, request, self._timeout_s)
         match raw:
             case result.Ok(owned.RawReply(status=409)):
-                entry = _read(protocol.Entry, raw.ok_value)
+                entry = _decode_reply(protocol.Entry, raw.ok_value)
                 return entry.and_then(
                     lambda current: result.Err(ports.KvConflict(current))
                 )
             case result.Ok(owned.RawReply(status=410)):
                 return result.Err(ports.LeaseGone())
             case result.Ok(reply):
-                entry = _read(protocol.Entry, reply)
+                entry = _decode_reply(protocol.Entry, reply)
                 return entry.map(lambda current: current.version)
         return raw
 
@@ -66,9 +66,9 @@
         request = protocol.WatchRequest(
             key=key, after=after, timeout_s=timeout_s
         )
-        bound = timeout_s + _WATCH_MARGIN_S
-        raw = await self._call(protocol.WATCH_PATH, request, bound)
-        return raw.and_then(lambda reply: _read(protocol.Entry, reply))
+        total_timeout_s = timeout_s + _WATCH_MARGIN_S
+        raw = await self._call(protocol.WATCH_PATH, request, total_timeout_s)
+        return raw.and_then(lambda reply: _decode_reply(protocol.Entry, reply))
 
     async def grant(
         self, ttl_s: float
@@ -76,7 +76,9 @@
         """Request a lease and return its id."""
         request = protocol.GrantRequest(ttl_s=ttl_s)
         raw = await self._call(protocol.GRANT_PATH, request, self._timeout_s)
-        lease = raw.and_then(lambda reply: _read(protocol.Lease, reply))
+        lease = raw.and_then(
+            lambda reply: _decode_reply(protocol.Lease, reply)
+        )
         return lease.map(lambda granted: granted.lease)
 
     async def renew(
@@ -106,23 +108,23 @@
             case result.Ok(owned.RawReply(status=410)):
                 return result.Err(ports.LeaseGone())
             case result.Ok(reply):
-                return _read(protocol.Lease, reply).map(lambda _: None)
+                return _decode_reply(protocol.Lease, reply).map(lambda _: None)
         return raw
 
     async def _call(
-        self, path: str, message: Any, bound: float
+        self, path: str, message: Any, total_timeout_s: float
     ) -> result.Result[owned.RawReply, ports.KvUnavailable]:
         async with contextlib.AsyncExitStack() as stack:
-            connection = self._take()
+            connection = self._acquire_connection()
             stack.callback(self._idle.append, connection)
             try:
-                async with asyncio.timeout(bound):
+                async with asyncio.timeout(total_timeout_s):
                     raw = await connection.post(path, protocol.encode(message))
             except TimeoutError:
                 return result.Err(ports.KvUnavailable(f'{path} timed out'))
         return raw.map_err(lambda err: ports.KvUnavailable(err.detail))
 
-    def _take(self) -> owned.OwnedConnection:
+    def _acquire_connection(self) -> owned.OwnedConnection:
         if self._idle:
             return self._idle.pop()
         return owned.OwnedConnection(
@@ -130,9 +132,9 @@
         )
 
 
-def _read(
+def _decode_reply(
     cls: type, reply: owned.RawReply
 ) -> result.Result[Any, ports.KvUnavailable]:
-    if reply.status not in (200, _CONFLICT):
+    if reply.status not in (200, _CONFLICT_STATUS):
         return result.Err(ports.KvUnavailable(f'status {reply.status}'))
     return protocol.decode(cls, reply.body).map_err(ports.KvUnavailable)
--- a/rudderrock/transport/_owned.py
+++ b/rudderrock/transport/_owned.py
@@ -20,7 +20,7 @@
 import result
 
 # Exceptions that aiosonic raises if the server or the network fails.
-_FAILURES = (
+_CONNECTION_ERRORS = (
     OSError,
     EOFError,
     ValueError,
@@ -59,7 +59,7 @@
         connect_timeout_s: float = 1.0,
         headers: dict[str, str] | None = None,
     ):
-        self._base = f'http://{address}'
+        self._base_url = f'http://{address}'
         self._connect_timeout_s = connect_timeout_s
         self._headers = {'content-type': 'application/json', **(headers or {})}
         self._client: aiosonic.HTTPClient | None = None
@@ -77,8 +77,8 @@
         once, so a discarded cancellation left them running: up to 8 of 410
         links that were closed at varying moments while they connected.
         """
-        client = self._make_client()
-        url = urllib.parse.urlparse(self._base)
+        client = self._get_client()
+        url = urllib.parse.urlparse(self._base_url)
         opened = False
         try:
             async with asyncio.timeout(self._connect_timeout_s):
@@ -88,7 +88,7 @@
             opened = True
         except TimeoutError:
             return result.Err(ExchangeFailed('connecting timed out'))
-        except _FAILURES as exc:
+        except _CONNECTION_ERRORS as exc:
             return result.Err(ExchangeFailed(repr(exc)))
         finally:
             if not opened:
@@ -134,16 +134,16 @@
             opened = await self.open()
             if opened.is_err():
                 return opened
-        client = self._make_client()
+        client = self._get_client()
         finished = False
         try:
             reply = await client.post(
-                self._base + path, data=body, headers=self._headers
+                self._base_url + path, data=body, headers=self._headers
             )
             content = await reply.content()
             finished = True
             return result.Ok(RawReply(reply.status_code, content))
-        except _FAILURES as exc:
+        except _CONNECTION_ERRORS as exc:
             return result.Err(ExchangeFailed(repr(exc)))
         finally:
             if not finished:
@@ -156,7 +156,7 @@
         if socket is not None:
             socket.close()
 
-    def _make_client(self) -> aiosonic.HTTPClient:
+    def _get_client(self) -> aiosonic.HTTPClient:
         if self._client is not None:
             return self._client
         pool = aiosonic.pools.PoolConfig(
@@ -171,12 +171,12 @@
         connector = aiosonic.connectors.TCPConnector(
             pool_configs={':default': pool},
             timeouts=timeouts,
-            connection_cls=self._make_socket,
+            connection_cls=self._make_connection,
         )
         self._client = aiosonic.HTTPClient(connector)
         return self._client
 
-    def _make_socket(
+    def _make_connection(
         self, pool: aiosonic.pools.BasePool
     ) -> aiosonic.connection.Connection:
         # The pool closes a connection only after its release. The reference
--- a/rudderrock/transport/_server.py
+++ b/rudderrock/transport/_server.py
@@ -13,13 +13,13 @@
 from uvicorn.protocols.http import httptools_impl
 
 _BACKLOG = 1024
-_START_POLL_S = 0.005
-_KEEP_ALIVE_S = 75
-_TOO_LARGE_HEAD = (
+_START_POLL_INTERVAL_S = 0.005
+_KEEP_ALIVE_TIMEOUT_S = 75
+_HEAD_TOO_LARGE_REPLY = (
     b'HTTP/1.1 431 Request Header Fields Too Large\r\n'
     b'content-length: 0\r\nconnection: close\r\n\r\n'
 )
-_SLOW_HEAD = (
+_HEAD_TIMEOUT_REPLY = (
     b'HTTP/1.1 408 Request Timeout\r\n'
     b'content-length: 0\r\nconnection: close\r\n\r\n'
 )
@@ -48,7 +48,7 @@
         """HTTP connection that is closed if a head exceeds the limits."""
 
         _idle_timer: asyncio.TimerHandle
-        _is_started = False
+        _has_received_data = False
         _head_timer: asyncio.TimerHandle | None = None
         _head_bytes = 0
 
@@ -57,53 +57,53 @@
             # A connection that has had no request yet may be idle as long as
             # one between two requests. uvicorn limits only the latter.
             self._idle_timer = self.loop.call_later(
-                _KEEP_ALIVE_S, self._close_idle
+                _KEEP_ALIVE_TIMEOUT_S, self._close_idle
             )
 
         def connection_lost(self, exc: Exception | None) -> None:
             self._idle_timer.cancel()
-            self._end_head()
+            self._cancel_head_timer()
             super().connection_lost(exc)
 
         def data_received(self, data: bytes) -> None:
             self._idle_timer.cancel()
-            if not self._is_started:
-                self._is_started = True
-                self._start_head()
+            if not self._has_received_data:
+                self._has_received_data = True
+                self._start_head_timer()
             if self._head_timer is not None:
                 self._head_bytes += len(data)
             super().data_received(data)
             if self._head_timer is None:
                 return
             if self._head_bytes > limits.max_bytes:
-                self._refuse(_TOO_LARGE_HEAD)
+                self._reject(_HEAD_TOO_LARGE_REPLY)
 
         def on_message_begin(self) -> None:
             super().on_message_begin()
             if self._head_timer is None:
-                self._start_head()
+                self._start_head_timer()
 
         def on_headers_complete(self) -> None:
-            self._end_head()
+            self._cancel_head_timer()
             super().on_headers_complete()
 
-        def _start_head(self) -> None:
+        def _start_head_timer(self) -> None:
             self._head_bytes = 0
             self._head_timer = self.loop.call_later(
-                limits.timeout_s, self._refuse, _SLOW_HEAD
+                limits.timeout_s, self._reject, _HEAD_TIMEOUT_REPLY
             )
 
-        def _end_head(self) -> None:
+        def _cancel_head_timer(self) -> None:
             if self._head_timer is not None:
                 self._head_timer.cancel()
                 self._head_timer = None
 
         def _close_idle(self) -> None:
-            if not self._is_started:
+            if not self._has_received_data:
                 self.transport.close()
 
-        def _refuse(self, reply: bytes) -> None:
-            self._end_head()
+        def _reject(self, reply: bytes) -> None:
+            self._cancel_head_timer()
             if not self.transport.is_closing():
                 self.transport.write(reply)
                 self.transport.close()
@@ -111,7 +111,7 @@
     return BoundedProtocol
 
 
-class _Server(uvicorn.Server):
+class _EmbeddedServer(uvicorn.Server):
     """uvicorn's server without signal handlers, which the program installs."""
 
     @contextlib.contextmanager
@@ -171,10 +171,10 @@
             server_header=False,
             backlog=_BACKLOG,
             limit_concurrency=max_connections,
-            timeout_keep_alive=_KEEP_ALIVE_S,
+            timeout_keep_alive=_KEEP_ALIVE_TIMEOUT_S,
             timeout_graceful_shutdown=max(1, round(stop_timeout_s)),
         )
-        self._server = _Server(config)
+        self._server = _EmbeddedServer(config)
         self._task: asyncio.Task | None = None
 
     async def open(self) -> None:
@@ -182,7 +182,7 @@
         serving = self._server.serve(sockets=[self._listener])
         self._task = asyncio.create_task(serving)
         while not self._server.started and not self._task.done():
-            await asyncio.sleep(_START_POLL_S)
+            await asyncio.sleep(_START_POLL_INTERVAL_S)
 
     async def close(self) -> None:
         """Stop accepting connections and wait for requests in flight."""
--- a/rudderrock/transport/_upstream.py
+++ b/rudderrock/transport/_upstream.py
@@ -9,7 +9,7 @@
 from rudderrock.transport import _owned as owned
 from rudderrock.transport import _ports as ports
 
-_REJECTIONS = frozenset(protocol.REJECTION_STATUS.values())
+_REJECTION_STATUSES = frozenset(protocol.REJECTION_STATUS.values())
 
 
 class HttpUpstreamConnection:
@@ -59,7 +59,7 @@
     """
     if raw.status == 200:
         decoded = protocol.decode(protocol.ShardAnswer, raw.body)
-    elif raw.status in _REJECTIONS:
+    elif raw.status in _REJECTION_STATUSES:
         decoded = protocol.decode(protocol.ShardRejected, raw.body)
     else:
         return protocol.ShardLost(True, f'unexpected status {raw.status}')
@@ -76,8 +76,8 @@
     """Return the reply if it belongs to the request, else `ShardLost`."""
     match reply:
         case protocol.ShardAnswer():
-            own = (request.request_id, request.shard, request.version)
-            if (reply.request_id, reply.shard, reply.version) != own:
+            expected = (request.request_id, request.shard, request.version)
+            if (reply.request_id, reply.shard, reply.version) != expected:
                 return protocol.ShardLost(True, 'reply to another request')
         case protocol.ShardRejected():
             if reply.request_id != request.request_id:
