--- a/rudderrock/core/_latency.py
+++ b/rudderrock/core/_latency.py
@@ -4,9 +4,8 @@
 
 from rudderrock.core import _clock
 
-# Gain of one request on the logarithm of the threshold. It starts at the
-# maximum, falls with the square root of the number of requests and ends at
-# the minimum.
+# Step size per request, on the logarithm of the threshold. It falls with the
+# square root of the number of requests, within these bounds.
 _MIN_GAIN = 0.02
 _INITIAL_GAIN = 3.0
 _MAX_GAIN = 0.5
--- a/rudderrock/frontend/_control.py
+++ b/rudderrock/frontend/_control.py
@@ -59,35 +59,35 @@
 ) -> applications.Starlette:
     """Return the HTTP application for the peers and operators of a host."""
 
-    def require_peer(handle, cls):
+    def require_peer(handler, cls):
         async def endpoint(request: requests.Request) -> responses.Response:
             presented = request.headers.get(protocol.SECRET_HEADER, '')
             if not hmac.compare_digest(
                 presented.encode(), secrets.peer.encode()
             ):
                 return _make_unauthenticated_response('peer secret')
-            return await _handle_message(request, handle, cls)
+            return await _handle_message(request, handler, cls)
 
         return endpoint
 
-    def require_operator(handle, cls=None):
+    def require_operator(handler, cls=None):
         async def endpoint(request: requests.Request) -> responses.Response:
             presented = body.read_token(request) or ''
             expected = secrets.operator.encode()
             if not hmac.compare_digest(presented.encode(), expected):
                 return _make_unauthenticated_response('operator secret')
             if cls is None:
-                return await handle(request)
-            return await _handle_message(request, handle, cls)
+                return await handler(request)
+            return await _handle_message(request, handler, cls)
 
         return endpoint
 
-    async def _handle_message(request, handle, cls) -> responses.Response:
+    async def _handle_message(request, handler, cls) -> responses.Response:
         content = await body.read_body(request, _BODY_LIMITS)
         message = content.and_then(lambda data: body.decode_body(cls, data))
         if message.is_err():
             return body.make_response(message.unwrap_err())
-        return body.make_json(await handle(message.unwrap()))
+        return body.make_json(await handler(message.unwrap()))
 
     async def probe(message: protocol.Probe) -> protocol.ProbeReply:
         return await host.membership.answer_probe(message)
--- a/rudderrock/state/_constraints.py
+++ b/rudderrock/state/_constraints.py
@@ -73,12 +73,12 @@
     if kind in _UNKNOWN_KEY_TYPES:
         return Problem(key, _describe_unknown_key(cls, path))
     if kind in _MISSING_KEY_TYPES:
-        return Problem(key, 'is required and was not given')
+        return Problem(key, 'is required but missing')
     reason = error['msg'].removeprefix('Value error, ')
     reason = reason.replace('Input should', 'must')
     if any(word in key for word in _SECRET_KEY_PARTS):
         return Problem(key, reason)
-    return Problem(key, f'{reason}; {error["input"]!r} was given')
+    return Problem(key, f'{reason}; got {error["input"]!r} instead')
 
 
 def _describe_unknown_key(cls: type, path: list[str]) -> str:
@@ -86,7 +86,7 @@
     matches = difflib.get_close_matches(path[-1], known, n=1)
     if matches:
         return f'is not a known key; did you mean {matches[0]!r}?'
-    return f'is not a known key; known are {", ".join(sorted(known))}'
+    return f'is not a known key; known keys are {", ".join(sorted(known))}'
 
 
 def _list_known_keys(cls: Any, path: list[str]) -> list[str]:
--- a/rudderrock/state/_layout.py
+++ b/rudderrock/state/_layout.py
@@ -75,6 +75,6 @@
             problems.append(constraints.Problem(key, 'has no replica'))
         for upstream in upstreams:
             if upstream not in layout.upstreams:
-                message = f'names the unknown upstream {upstream!r}'
+                message = f'refers to the unknown upstream {upstream!r}'
                 problems.append(constraints.Problem(key, message))
     return problems
--- a/rudderrock/state/_settings.py
+++ b/rudderrock/state/_settings.py
@@ -211,8 +211,8 @@
     another `forget_s` if it has no lease and isn't in the host list.
     `lease_s` is the minimum time to live of a lease; it is extended so that
     all hosts together renew at most `lease_calls_per_s` leases a second. A
-    host is isolated if it has reached neither the key-value service nor any
-    peer for `isolation_s`.
+    host that isn't the only one is isolated if it has reached neither the
+    key-value service nor any peer for `isolation_s`.
     """
 
     __pydantic_config__ = constraints.FORBID_UNKNOWN
--- a/rudderrock/state/_table.py
+++ b/rudderrock/state/_table.py
@@ -208,7 +208,7 @@
             case result.Ok(_):
                 pass
         if row.team != team:
-            message = f'row is of team {row.team!r} but stands under {team!r}'
+            message = f'row of team {row.team!r} is stored under {team!r}'
             problems.append(constraints.Problem(f'rows.{team}', message))
     return tuple(problems)
 
--- a/rudderrock/state/_tokens.py
+++ b/rudderrock/state/_tokens.py
@@ -50,7 +50,7 @@
     """Return the team in a token, without checking the secret."""
     team, dot, secret = token.partition('.')
     if not (team and dot and secret):
-        return result.Err('a token reads TEAM.SECRET')
+        return result.Err('a token must have the form TEAM.SECRET')
     return result.Ok(core.TeamId(team))
 
 
