--- a/rudderrock/core/_clock.py
+++ b/rudderrock/core/_clock.py
@@ -1,8 +1,9 @@
 """Clocks and seeded random sources.
 
-A process uses no other source of time or random numbers. The composition
-root makes both and passes them down, so that a scenario that runs on a
-virtual-time loop with a given seed is reproducible.
+Components read time and random numbers only from these. Programs make the
+`Clock` and the composition root the random sources, and both are passed
+down as arguments, so that a scenario that runs on a virtual-time loop with
+a given seed is reproducible.
 """
 
 import asyncio
@@ -10,9 +11,10 @@
 
 import xxhash
 
-# An event loop runs timers that are due within its clock resolution. A time
-# that is closer than this counts as reached, because a timer for the rest
-# would fire at once and the wait would never end.
+# A time at most this far in the future counts as reached. An event loop may
+# run a timer that is due within its clock resolution before the clock has
+# reached its time; a caller that then set a timer for the rest would do so
+# without end.
 _TIMER_RESOLUTION_S = 2e-6
 
 
--- a/rudderrock/core/_latency.py
+++ b/rudderrock/core/_latency.py
@@ -4,8 +4,9 @@
 
 from rudderrock.core import _clock
 
-# Step size per request, on the logarithm of the threshold. It falls with the
-# square root of the number of requests, within these bounds.
+# The gain of the n-th request is `_INITIAL_GAIN / sqrt(n)`, but at least
+# `_MIN_GAIN` and at most `_MAX_GAIN`. It scales the steps, which are taken on
+# the logarithm of the threshold.
 _MIN_GAIN = 0.02
 _INITIAL_GAIN = 3.0
 _MAX_GAIN = 0.5
@@ -57,26 +58,29 @@
     mean would stay high for ever. With the decay it is selected again after
     a time, as with the peak EWMA of Finagle.
 
-    Parameters: `weight` is the weight of a new sample, 0 to 1; `fade_s` is
-    the time constant of the decay in seconds, after which an idle mean has
-    fallen to 1/e.
+    Parameters: `weight` is the weight of a new sample, 0 to 1;
+    `decay_time_s` is the time constant of the decay in seconds, after which
+    an idle mean has fallen to 1/e.
     """
 
     def __init__(
-        self, clock: _clock.Clock, weight: float = 0.15, fade_s: float = 5.0
+        self,
+        clock: _clock.Clock,
+        weight: float = 0.15,
+        decay_time_s: float = 5.0,
     ):
         self._clock = clock
         self._weight = weight
-        self._fade_s = fade_s
+        self._decay_time_s = decay_time_s
         self._mean = 0.0
         self._updated_at = clock.now()
 
     def record(self, value: float) -> None:
-        """Add one sample."""
+        """Add one sample to the mean as it was before the decay."""
         self._mean += self._weight * (value - self._mean)
         self._updated_at = self._clock.now()
 
     def get(self) -> float:
         """Return the mean, decayed by the time since the last sample."""
         idle_s = self._clock.now() - self._updated_at
-        return self._mean * math.exp(-idle_s / self._fade_s)
+        return self._mean * math.exp(-idle_s / self._decay_time_s)
--- a/rudderrock/core/_loop.py
+++ b/rudderrock/core/_loop.py
@@ -1,4 +1,4 @@
-"""The event loop of the programs, whose clock includes suspended time."""
+"""Event loop of the servers; its clock includes suspended time."""
 
 import asyncio
 import time
@@ -10,10 +10,11 @@
     The monotonic clock stops during a suspension. Ages, leases and
     deadlines would then be off by the suspended time, and the wall time
     derived from the clock would lag until the process ends. With
-    CLOCK_BOOTTIME (clock_gettime(2), Linux), a suspension has the same
-    effect as a paused process. A timer that becomes due during a suspension
-    runs when the next timer or socket event wakes the loop; a gateway has a
-    timer every 0.25 s.
+    CLOCK_BOOTTIME (clock_gettime(2), Linux), the loop's time advances during
+    a suspension, as if only the process had been stopped. A timer that
+    became due during a suspension runs at the next wake-up of the loop, by
+    another timer or a socket event; in a gateway, which has a timer every
+    0.25 s, it is at most that late.
     """
 
     def time(self) -> float:
@@ -22,6 +23,6 @@
 
 
 def run_loop(main):
-    """Run a coroutine like `asyncio.run`, on a `SuspendAwareLoop`."""
+    """Run the coroutine `main` on a `SuspendAwareLoop`; return its result."""
     with asyncio.Runner(loop_factory=SuspendAwareLoop) as runner:
         return runner.run(main)
--- a/rudderrock/core/_tasks.py
+++ b/rudderrock/core/_tasks.py
@@ -4,7 +4,10 @@
 
 
 async def end_task(task: asyncio.Task) -> None:
-    """Cancel a task and wait until it ends; its result is discarded."""
+    """Cancel a task and wait until it ends.
+
+    Its result or exception is discarded.
+    """
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
 
--- a/rudderrock/frontend/__init__.py
+++ b/rudderrock/frontend/__init__.py
@@ -1,7 +1,7 @@
 """The HTTP applications of a host for callers, peers and operators."""
 
 from rudderrock.frontend._body import decode_body
-from rudderrock.frontend._body import make_json
+from rudderrock.frontend._body import make_json_response
 from rudderrock.frontend._body import make_response
 from rudderrock.frontend._body import read_body
 from rudderrock.frontend._body import read_token
@@ -35,7 +35,7 @@
     'make_caller_app',
     'make_control_app',
     'make_health_routes',
-    'make_json',
+    'make_json_response',
     'make_response',
     'make_status',
     'read_body',
--- a/rudderrock/frontend/_body.py
+++ b/rudderrock/frontend/_body.py
@@ -72,8 +72,8 @@
     return responses.Response(reply.body, reply.status, reply.headers)
 
 
-def make_json(message: Any, status: int = 200) -> responses.Response:
-    """Return the HTTP response with a message as JSON."""
+def make_json_response(message: Any, status: int = 200) -> responses.Response:
+    """Return an HTTP response whose body is the message as JSON."""
     return responses.Response(
         protocol.encode(message), status, media_type=protocol.JSON_TYPE
     )
--- a/rudderrock/frontend/_callers.py
+++ b/rudderrock/frontend/_callers.py
@@ -44,7 +44,7 @@
         row, message = received.unwrap()
         key = request.headers.get(protocol.IDEMPOTENCY_HEADER, '')
         # A command isn't cancelled when its caller disconnects. Its outcome
-        # is recorded and returned when the caller retries.
+        # is recorded and returned to a retry with the same key.
         return body.make_response(await host.command(row, message, key))
 
     return applications.Starlette(
@@ -111,7 +111,11 @@
 async def _await_response(
     request: requests.Request, work: Awaitable[protocol.Outcome]
 ) -> responses.Response:
-    """Return the response, or cancel the work if the caller disconnects."""
+    """Return the response to a request.
+
+    If the caller disconnects first, cancel the work and return a response
+    with status 499, which is never received.
+    """
     task = asyncio.ensure_future(work)
     disconnect = asyncio.ensure_future(transport.wait_for_disconnect(request))
     try:
--- a/rudderrock/frontend/_control.py
+++ b/rudderrock/frontend/_control.py
@@ -32,8 +32,11 @@
 class HostStatus:
     """Status of a host, as returned to operators.
 
-    `table_age_s` is the time since the table was last confirmed to be
-    current, in seconds, or None if it never was.
+    `isolated` is True if the host has reached neither the key-value service
+    nor a peer for `isolation_s`. `table_age_s` is the time since the table
+    was last confirmed to be current, in seconds, or None if it never was.
+    `in_flight` is the number of shard requests that are admitted and not yet
+    complete. `members` are the hosts that this host knows, itself first.
     """
 
     host: state.HostId
@@ -87,7 +90,7 @@
         message = content.and_then(lambda data: body.decode_body(cls, data))
         if message.is_err():
             return body.make_response(message.unwrap_err())
-        return body.make_json(await handler(message.unwrap()))
+        return body.make_json_response(await handler(message.unwrap()))
 
     async def probe(message: protocol.Probe) -> protocol.ProbeReply:
         return await host.membership.answer_probe(message)
@@ -101,7 +104,7 @@
         return host.ring.list_since(message.since)
 
     async def status(request: requests.Request) -> responses.Response:
-        return body.make_json(make_status(host))
+        return body.make_json_response(make_status(host))
 
     async def metrics(request: requests.Request) -> responses.Response:
         text = coordination.format_prometheus(list_samples(host))
@@ -110,7 +113,7 @@
         )
 
     async def metrics_json(request: requests.Request) -> responses.Response:
-        return body.make_json(list_samples(host))
+        return body.make_json_response(list_samples(host))
 
     return applications.Starlette(
         routes=[
@@ -139,7 +142,9 @@
     )
 
 
-# The protocol bounds the size of messages between peers; a table may have up
+# Limits on the bodies of requests of peers and operators; the limits on heads
+# and connections don't apply here. The largest request is a probe, whose
+# digest has less than 3 KB. Only replies contain a table, which may have up
 # to 1 MB.
 _BODY_LIMITS = state.IntakeSettings(max_body_bytes=2**20)
 
@@ -176,6 +181,8 @@
         'rudderrock_extra_load_ratio': counters.extra_load,
         'rudderrock_shard_requests_in_flight': host.gate.in_flight,
         'rudderrock_table_revision': host.config.table.revision,
+        # The age is infinite until the table is confirmed for the first
+        # time. JSON has no infinity.
         'rudderrock_table_age_seconds': min(
             host.config.table.get_age_s(), 1e9
         ),
--- a/rudderrock/protocol/_caller.py
+++ b/rudderrock/protocol/_caller.py
@@ -21,8 +21,9 @@
     """Query to all shards of a collection.
 
     `body` is sent to the shards unchanged. `limit` is the maximum number of
-    hits to return, best first. `deadline_s` is in seconds from the receipt
-    of the query; it can shorten the deadline of the team but not extend it.
+    hits to return, best first. `deadline_s` is the time allowed from the
+    receipt of the query, in seconds; the shorter of it and the deadline of
+    the team applies.
     """
 
     collection: state.CollectionId
@@ -33,7 +34,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Command:
-    """Non-idempotent request to the shard that owns `routing_key`."""
+    """Non-idempotent request to the shard that owns `routing_key`.
+
+    `deadline_s` is the time allowed from the receipt of the command, in
+    seconds; the shorter of it and the deadline of the team applies.
+    """
 
     collection: state.CollectionId
     routing_key: str
@@ -42,7 +47,14 @@
 
 
 class MissReason(enum.Enum):
-    """Reason why a result contains no answer from a shard."""
+    """Reason why a result contains no answer from a shard.
+
+    `TIMEOUT`: no answer before the deadline. `SHED`: the upstreams were
+    overloaded. `REFUSED`: an upstream didn't accept the request. `LOST`: the
+    exchange failed, or no replica is reachable. `VERSION`: the replicas
+    don't have the index version. `EARLY`: the result was returned before
+    the deadline without waiting for the shard.
+    """
 
     TIMEOUT = 'timeout'
     SHED = 'shed'
@@ -54,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Coverage:
-    """Coverage of a result by the shards of the index version.
+    """How many shards of the index version contributed to a result.
 
     `shards` is the number of shards of the version and `answered` the number
     of those that contributed; `missing` maps each other shard to the reason.
@@ -66,7 +78,10 @@
 
     @property
     def fraction(self) -> float:
-        """Return the fraction of the shards that contributed, 0 to 1."""
+        """Return the fraction of the shards that contributed, 0 to 1.
+
+        It is 1 if the version has no shards.
+        """
         return self.answered / self.shards if self.shards else 1.0
 
 
@@ -84,7 +99,9 @@
 class Recorded:
     """Result of a command, which ran exactly once.
 
-    `repeat` is True if it ran for an earlier call with the same key.
+    `query` is the id that the host gave the command. `repeat` is True if
+    this call didn't run the command, but returns the result of an earlier
+    call with the same key.
     """
 
     query: state.QueryId
@@ -94,7 +111,19 @@
 
 
 class RefusalReason(enum.Enum):
-    """Reason why a request was refused without being run."""
+    """Reason why a request was refused without being run.
+
+    Limits of the team: `RATE` and `CONCURRENCY`. Limits of the host:
+    `OVERLOAD`, too many shard requests in flight; `DEADLINE`, the queue of a
+    service is full or the wait in it would be too long. State of the host:
+    `DRAINING`, `NOT_READY`, and `ISOLATED` from the key-value service and
+    all peers. `FORBIDDEN`: the team may not run commands.
+    `UNKNOWN_COLLECTION`: there is no such collection, or the team may not
+    query it. `KV_UNAVAILABLE`: the idempotency key couldn't be claimed.
+    `KEY_EXPIRED`: its timestamp is too old or in the future. `KEY_REUSED`:
+    it was used for a different request. `UPSTREAM`: no upstream ran the
+    command.
+    """
 
     UNAUTHENTICATED = 'unauthenticated'
     FORBIDDEN = 'forbidden'
@@ -131,7 +160,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Unknown:
-    """Unknown outcome: the command may have run and will not be retried."""
+    """Outcome of a command that may have run; the host doesn't retry it."""
 
     query: state.QueryId
     detail: str
--- a/rudderrock/protocol/_kv.py
+++ b/rudderrock/protocol/_kv.py
@@ -1,7 +1,8 @@
 """Messages to and from the platform's key-value service.
 
-Every call is a POST. The HTTP client automatically retries other methods if
-a kept-alive connection turns out to be closed, which could repeat a write.
+Every call is a POST. The HTTP client automatically repeats a request of any
+other method if the kept-alive connection turns out to be closed; this could
+repeat a write.
 """
 
 import dataclasses
@@ -68,6 +69,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Lease:
-    """Message that carries the id of a lease."""
+    """Message with the id of a lease.
+
+    It is the reply to `GrantRequest`, and both the request and the reply
+    when a lease is renewed or revoked.
+    """
 
     lease: str
--- a/rudderrock/protocol/_peers.py
+++ b/rudderrock/protocol/_peers.py
@@ -1,9 +1,9 @@
 """Messages between hosts.
 
 A probe and its reply both carry a `Digest`: the states of some members as
-known to the sender, the revision of its active table, and the demand of
-teams. Probes are the only periodic traffic between hosts, so the size of a
-digest is bounded.
+known to the sender, the revisions of the table and the layout that it has in
+force, and the demand of teams. Probes are the only periodic traffic between
+hosts, so the size of a digest is bounded.
 """
 
 import dataclasses
@@ -15,10 +15,13 @@
 CONFIG_PATH = '/v1/peer/config'
 SECRET_HEADER = 'x-rudderrock-peer'
 
-# Maximum number of members, and of demand entries of all hosts together, in
-# one digest. These bounds keep a digest below 3 KB, so that eight digests a
-# second need at most 24 KB/s.
+# These bounds keep a digest below 3 KB. At the default period of 0.5 s, a
+# host sends and receives about eight digests a second (two probes and two
+# replies in each direction), which need at most 24 KB/s.
+#
+# Maximum number of members in a digest.
 MAX_NEWS = 8
+# Maximum number of demand entries in a digest, of all hosts together.
 MAX_DEMANDS = 64
 
 
@@ -35,8 +38,10 @@
 class Member:
     """Membership record of one host.
 
-    `incarnation` is incremented only by the host itself, to refute a
-    suspicion. `control` is its address for peers and operators.
+    `control` is the address of the host for peers and operators. A record
+    with a higher `incarnation` replaces one with a lower. Only the host
+    itself increases it: to change its state, or to contradict a record that
+    reports another state of it, such as suspect or failed.
     """
 
     host: state.HostId
@@ -50,8 +55,8 @@
 class Demand:
     """Demand of each team at one host, in shard requests a second.
 
-    `count` increases with every record that the host sends, so that the
-    receiver can identify the latest one.
+    `count` is higher in every later `Demand` of the same process, so that
+    receivers keep the latest one.
     """
 
     host: state.HostId
@@ -61,11 +66,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Digest:
-    """State that is sent with every probe and every reply.
+    """Summary of what the sender knows, sent with every probe and reply.
 
-    `table_age_s` is the time in seconds since the key-value service last
-    confirmed the table revision, to the sender or to a host whose digest
-    reached the sender. `news` holds membership records, those that
+    `table_age_s` is the time in seconds since the table revision was last
+    known to be current, from the key-value service or from the digest of
+    another host. `news` holds membership records, those that
     changed recently first.
     """
 
@@ -80,7 +85,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Probe:
-    """Probe of a host, or an indirect probe of another host, `target`."""
+    """Request for a sign of life of the receiver.
+
+    With `target`, it is an indirect probe: the receiver is asked to probe
+    that host and to report whether it replied.
+    """
 
     digest: Digest
     target: Member | None = None
@@ -99,7 +108,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ConfigRequest:
-    """Request for the table and the layout if their revisions are later."""
+    """Request for the table and the layout of the receiver.
+
+    Each is sent only if its revision is higher than the given one.
+    """
 
     table_revision: state.Revision
     layout_revision: state.Revision
@@ -107,7 +119,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ConfigReply:
-    """Table and layout of the sender, each None if it isn't later."""
+    """Table and layout of the replying host.
+
+    Each is None if its revision isn't higher than the requested one.
+    """
 
     table: state.Table | None
     layout: state.Layout | None
--- a/rudderrock/protocol/_problems.py
+++ b/rudderrock/protocol/_problems.py
@@ -45,7 +45,8 @@
 class Problem:
     """Problem details of RFC 9457, the body of a response without a result.
 
-    `outcome` states whether the request ran; `retry_after_s` is in seconds.
+    `outcome` states whether the request ran; `instance` is a URN with the id
+    of the request; `retry_after_s` is in seconds.
     """
 
     type: str
--- a/rudderrock/protocol/_upstream.py
+++ b/rudderrock/protocol/_upstream.py
@@ -1,7 +1,7 @@
 """Messages between a host and an upstream.
 
 One HTTP exchange carries one shard request. Every reply echoes the id of
-its request; a reply with a different id is discarded.
+its request; an exchange whose reply has a different id counts as lost.
 """
 
 import dataclasses
@@ -45,8 +45,8 @@
 class Load:
     """Load that an upstream reports, which may be outdated or wrong.
 
-    `versions` are the index versions that it holds, or empty if it doesn't
-    report them.
+    `leaving` is True if it is about to stop. `versions` are the index
+    versions that it holds, or empty if it doesn't report them.
     """
 
     in_flight: int = 0
@@ -67,7 +67,12 @@
 
 
 class RejectionKind(enum.Enum):
-    """Reason why an upstream did not run a request."""
+    """Reason why an upstream did not run a request.
+
+    `SHED`: it is overloaded. `VERSION`: it doesn't have the index version.
+    `LEAVING`: it is about to stop. `EXPIRED`: the deadline has passed.
+    `REFUSED`: it doesn't accept this request.
+    """
 
     SHED = 'shed'
     VERSION = 'version'
@@ -78,11 +83,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ShardRejected:
-    """Statement of an upstream that it did not run the request.
+    """Reply of an upstream that did not run the request.
 
-    `retry_after_s` is the time in seconds after which an upstream that shed
-    the request accepts another one; `versions` are the index versions that
-    it holds, or empty if it doesn't report them.
+    If it shed the request, `retry_after_s` is the time in seconds until it
+    accepts requests again. `versions` are the index versions that it holds,
+    or empty if it doesn't report them.
     """
 
     request_id: state.RequestId
@@ -96,8 +101,8 @@
 class ShardLost:
     """Failure of an exchange without a usable reply.
 
-    `sent` is True if bytes of the request may have been sent, so that the
-    request may have run.
+    `sent` is False only if it is certain that nothing was sent. Otherwise
+    the request may have run.
     """
 
     sent: bool
--- a/rudderrock/root.py
+++ b/rudderrock/root.py
@@ -31,10 +31,12 @@
     seed: int,
     sink: Callable[[state.Event], None] | None = None,
 ) -> coordination.EntryHost:
-    """Return an entry host, which does no work before `run` is awaited.
+    """Return one host, which does no work before `run` is awaited.
 
-    Must be called inside the running event loop that `clock` reads. `sink`
-    is called with each event of the time line, to write it to the log.
+    Must be called inside the running event loop that `clock` reads. `ports`
+    are the clients of the services outside the host; `seed` is the seed of
+    all its random sources; `sink` is called with each event of the host, to
+    write it to the log.
     """
     host_id = state.HostId(settings.host.id)
     hybrid_clock = state.HybridClock(clock)
@@ -42,7 +44,8 @@
         host_id, hybrid_clock, settings.host.event_capacity, sink
     )
 
-    def make_source(name: str):
+    # The names are part of the seeds, so a new name changes seeded runs.
+    def make_random_source(name: str):
         return state.make_random(seed, f'{host_id}/{name}')
 
     share_book = coordination.ShareBook(host_id, settings.shares, clock)
@@ -51,7 +54,7 @@
         ports.upstreams,
         settings,
         clock,
-        make_source('dispatch'),
+        make_random_source('dispatch'),
         ring,
     )
     runner = coordination.QueryRunner(
@@ -60,7 +63,7 @@
             extra=coordination.ExtraRequests(settings),
             settings=settings,
             clock=clock,
-            source=make_source('query'),
+            source=make_random_source('query'),
             ring=ring,
         )
     )
@@ -79,19 +82,20 @@
         dispatcher,
         settings,
         clock,
-        make_source('claims'),
+        make_random_source('claims'),
         ring,
     )
 
-    # The key followers and the membership call objects that are constructed
-    # after them, so these callbacks resolve the names when they are called.
+    # Some callbacks in this function, among them the next two, use `config`,
+    # `membership` or `host`, which are assigned only after them. They aren't
+    # called before this function has returned.
     def on_table(table: state.Table) -> None:
         config.apply_table(table)
 
     def on_layout(layout: state.Layout) -> None:
         config.apply_layout(layout)
 
-    table = coordination.KeyFollower(
+    table_watcher = coordination.KeyFollower(
         ports.kv,
         coordination.TABLE_KEY,
         read=coordination.read_table,
@@ -103,11 +107,11 @@
         ),
         watch_s=settings.platform.watch_s,
         clock=clock,
-        source=make_source('table'),
+        source=make_random_source('table'),
         ring=ring,
         reunite=state.reunite_tables,
     )
-    layout = coordination.KeyFollower(
+    layout_watcher = coordination.KeyFollower(
         ports.kv,
         coordination.LAYOUT_KEY,
         read=coordination.read_layout,
@@ -119,7 +123,7 @@
         ),
         watch_s=settings.platform.watch_s,
         clock=clock,
-        source=make_source('layout'),
+        source=make_random_source('layout'),
         ring=ring,
     )
     local_member = protocol.Member(
@@ -135,7 +139,7 @@
         settings.membership,
         lambda: len(membership.list_sharing()),
         clock,
-        make_source('lease'),
+        make_random_source('lease'),
         ring,
     )
     membership = coordination.Membership(
@@ -150,24 +154,24 @@
         on_change=lambda: host.on_members(),
         clock=clock,
         hybrid=hybrid_clock,
-        source=make_source('members'),
+        source=make_random_source('members'),
         ring=ring,
     )
     config = coordination.Configuration(
         settings,
-        table=table,
-        layout=layout,
+        table=table_watcher,
+        layout=layout_watcher,
         membership=membership,
         dispatcher=dispatcher,
         gate=admission,
         peers=ports.peers,
         clock=clock,
-        source=make_source('host'),
+        source=make_random_source('host'),
     )
     host = coordination.EntryHost(
         settings,
         clock=clock,
-        source=make_source('query ids'),
+        source=make_random_source('query ids'),
         ring=ring,
         config=config,
         dispatcher=dispatcher,
--- a/rudderrock/state/_constraints.py
+++ b/rudderrock/state/_constraints.py
@@ -1,4 +1,4 @@
-"""Validation of external input against the constraints of its classes.
+"""Validation of external input against the field constraints of classes.
 
 Settings, table rows and experiments are plain data classes that declare the
 allowed range of a field as `Annotated[..., Field(ge=..., le=...)]`. They are
@@ -54,9 +54,9 @@
 def make_checked(cls: type[T], raw: Any) -> result.Result[T, Problems]:
     """Return an instance of `cls`, or all problems of the input.
 
-    `raw` is the output of a TOML or JSON parser. Unknown keys, missing keys,
-    wrong types and values out of range are reported, each of them and not
-    only the first.
+    `raw` consists of plain dicts, lists and scalars, such as the output of a
+    TOML or JSON parser. Unknown keys, missing keys, wrong types and values
+    out of range are reported.
     """
     try:
         return result.Ok(_get_adapter(cls).validate_python(raw))
@@ -76,6 +76,7 @@
         return Problem(key, 'is required but missing')
     reason = error['msg'].removeprefix('Value error, ')
     reason = reason.replace('Input should', 'must')
+    # A value that may be secret isn't printed.
     if any(word in key for word in _SECRET_KEY_PARTS):
         return Problem(key, reason)
     return Problem(key, f'{reason}; got {error["input"]!r} instead')
@@ -90,7 +91,10 @@
 
 
 def _list_known_keys(cls: Any, path: list[str]) -> list[str]:
-    """Return the field names of the class that `path` leads to from `cls`."""
+    """Return the field names of the class reached from `cls` by `path`.
+
+    Parts of the path that aren't fields are dict keys or list indexes.
+    """
     for part in path:
         hints = typing.get_type_hints(cls) if _is_data_class(cls) else {}
         cls = (
--- a/rudderrock/state/_events.py
+++ b/rudderrock/state/_events.py
@@ -1,8 +1,9 @@
-"""Events of the time line, which each process keeps in a ring buffer.
+"""Events that a process records in a ring buffer, such as state changes.
 
+`rudderrock-timeline` merges the events of several hosts into a time line.
 Events are stamped by a hybrid logical clock (Kulkarni et al., "Logical
 Physical Clocks", OPODIS 2014). A stamp is close to wall time and later than
-the stamps of all messages received before. If the events of all processes
+the stamps of all messages accepted before. If the events of all processes
 are merged in the order of their stamps, no effect precedes its cause.
 """
 
@@ -32,8 +33,8 @@
 class HybridClock:
     """Hybrid logical clock of a process."""
 
-    def __init__(self, source: core.Clock):
-        self._clock = source
+    def __init__(self, clock: core.Clock):
+        self._clock = clock
         self._last = Stamp()
 
     def tick(self) -> Stamp:
@@ -56,7 +57,15 @@
 
 
 class EventKind(enum.Enum):
-    """Kind of an event."""
+    """Kind of an event.
+
+    `TABLE_IN_FORCE` and `LAYOUT_IN_FORCE`: the host now uses a new revision.
+    `TABLE_RESTORED`: it has written its table to the key-value service, which
+    had lost edits. `LEASE_LAPSED`: the lease of the host has ended.
+    `VERSION_RESTART`: a query was restarted with another index version.
+    `CLAIM`: the idempotency key of a command has been claimed. `ANSWERED`,
+    `REFUSED` and `UNKNOWN`: the outcome of a request.
+    """
 
     HOST_STATE = 'host_state'
     PEER_STATE = 'peer_state'
@@ -80,7 +89,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Event:
-    """Entry of the time line."""
+    """Event of one host."""
 
     stamp: Stamp
     host: core.HostId
@@ -94,21 +103,21 @@
 class EventRing:
     """Ring buffer of the latest events of a process.
 
-    Parameters: `host` identifies the process; `source` is the clock for the
-    stamps; `capacity` is the number of events to keep; `sink` is called with
-    each event, to write it to the log. An event takes about 300 bytes, so
-    the default capacity takes about 1.2 MB.
+    Parameters: `host` identifies the process; `clock` provides the stamps;
+    `capacity` is the number of events to keep; `sink` is called with each
+    event, to write it to the log. An event takes about 300 bytes, so the
+    default capacity takes about 1.2 MB.
     """
 
     def __init__(
         self,
         host: core.HostId,
-        source: HybridClock,
+        clock: HybridClock,
         capacity: int = 4096,
         sink: Callable[[Event], None] | None = None,
     ):
         self._host = host
-        self._clock = source
+        self._clock = clock
         self._sink = sink
         self._events: collections.deque[Event] = collections.deque(
             maxlen=capacity
--- a/rudderrock/state/_layout.py
+++ b/rudderrock/state/_layout.py
@@ -40,7 +40,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Layout:
-    """All upstreams and collections that can be queried, at one revision."""
+    """The upstreams and collections, at one revision.
+
+    `leaving` are the upstreams that will stop; they get no new requests.
+    """
 
     revision: core.Revision = core.NO_REVISION
     upstreams: dict[core.UpstreamId, Upstream] = dataclasses.field(
@@ -53,7 +56,11 @@
 
 
 def check_layout(layout: Layout) -> constraints.Problems:
-    """Return the problems of a layout that was read from outside."""
+    """Return the problems of a layout from the key-value service or a peer.
+
+    They are collections without a version, shards without a replica, and
+    replicas on unknown upstreams.
+    """
     problems: list[constraints.Problem] = []
     for name, collection in layout.collections.items():
         if not collection.placements:
--- a/rudderrock/state/_settings.py
+++ b/rudderrock/state/_settings.py
@@ -90,14 +90,18 @@
 
 
 class ReplicaChoice(enum.Enum):
-    """Strategy for the choice among replicas with free capacity."""
+    """Strategy for the choice among replicas with free capacity.
+
+    `BEST_OF_TWO` draws two of them at random and takes the one with the
+    lower cost, which depends on its latency and its requests in flight.
+    """
 
     BEST_OF_TWO = 'best_of_two'
     RANDOM = 'random'
 
 
 class QueueOrder(enum.Enum):
-    """Order of the queue of a service."""
+    """Order of the queue of a service, the replicas of one shard."""
 
     FAIR = 'fair'
     FIFO = 'fifo'
@@ -109,9 +113,9 @@
 
     `choice` is `best_of_two` or, as a baseline for comparisons, `random`.
     `adapt` adjusts the limit on requests in flight to an upstream by its
-    latency. `max_lanes` limits the connections of this host to one upstream,
-    in addition to the share of the connections that the upstream allows;
-    `connection_reserve` is the fraction of those that stays unused. After
+    latency. A host opens at most `max_lanes` connections to one upstream,
+    and not more than its share of the connections that the upstream accepts,
+    of which the fraction `connection_reserve` stays unused. After
     `eject_after` consecutive failures a replica is ejected for `eject_s`,
     which doubles up to `eject_max_s`. An upstream that has become available
     again receives reduced load for `warm_up_s`. Pauses between attempts to
@@ -141,12 +145,15 @@
 class HedgeSettings:
     """Hedging: a second request for a shard that hasn't answered in time.
 
-    The hedge threshold is the given `percentile` of the latencies of a
-    collection, measured above the minimum latency of each upstream, and at
-    least `min_delay_s`. `budget` is the number of hedges allowed per first
-    attempt; unused budget accumulates up to `burst` for a service and up to
-    `host_burst` for the host. Hedging of a service pauses while more than
-    the fraction `pause_above` of its recent requests are late.
+    The hedge threshold of an upstream is its minimum latency plus a margin.
+    For each collection, the margin is the given `percentile` of the
+    difference between a latency and the minimum latency of its upstream, and
+    at least `min_delay_s`. `budget` is the allowed ratio of hedges to first
+    attempts; unused budget accumulates up to `burst` for a service (the
+    replicas of one shard) and up to `host_burst` for the host. A request
+    isn't hedged while, at each of the other reachable replicas, more than the
+    fraction `pause_above` of the recent first attempts exceeded the hedge
+    threshold.
     """
 
     __pydantic_config__ = constraints.FORBID_UNKNOWN
@@ -164,9 +171,13 @@
 class RetrySettings:
     """Retries of shard requests after a failed attempt.
 
-    `budget` is the number of retries allowed per first attempt, counted
-    separately for each team and each service; unused budget accumulates up
-    to `burst`.
+    `budget` is the allowed ratio of retries to first attempts, counted
+    separately for each team and each service (the replicas of one shard);
+    unused budget accumulates up to `burst`. After `max_attempts` attempts,
+    the first one and hedges included, a shard request isn't retried. When
+    all replicas have been tried, the next retry waits `backoff_s` times 2 to
+    the power of the number of attempts, reduced at random by up to half, or
+    longer if an upstream has requested it.
     """
 
     __pydantic_config__ = constraints.FORBID_UNKNOWN
@@ -183,8 +194,9 @@
     """Admission control, which refuses requests before they start.
 
     `max_queued` limits the queue of one team at one service, in shard
-    requests. `rate_burst_s` is the burst of a team, as seconds of its rate.
-    `order` is `fair` between teams or, as a baseline, `fifo`. With
+    requests; a service is the replicas of one shard. A team may exceed its
+    rate by a burst of `rate_burst_s` times the rate. `order` is `fair`, by
+    the weights of the teams, or, for comparisons, `fifo`. With
     `refuse_late`, a request is refused if its expected wait exceeds the
     fraction `queue_fraction` of the time to its deadline.
     `max_shard_requests` limits the shard requests in flight at the host.
@@ -209,10 +221,10 @@
     `indirect` other peers to probe it. A suspected peer that doesn't refute
     the suspicion within `suspect_s` is marked as failed. It is removed after
     another `forget_s` if it has no lease and isn't in the host list.
-    `lease_s` is the minimum time to live of a lease; it is extended so that
-    all hosts together renew at most `lease_calls_per_s` leases a second. A
-    host that isn't the only one is isolated if it has reached neither the
-    key-value service nor any peer for `isolation_s`.
+    Leases have a time to live of `lease_s`, or longer if all hosts together
+    would otherwise renew more than `lease_calls_per_s` leases a second. A
+    host is isolated if it has reached neither the key-value service nor a
+    peer for `isolation_s`. A single host is never isolated.
     """
 
     __pydantic_config__ = constraints.FORBID_UNKNOWN
@@ -248,17 +260,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ClaimSettings:
-    """Claims of idempotency keys before a non-idempotent request runs.
-
-    Keys older than `retention_s`, or more than `max_skew_s` in the future,
-    are refused. The claims of keys whose timestamps are in the same period
-    of `epoch_s` are stored in `partitions` values. All hosts together make
+    """Claims of idempotency keys.
+
+    Before a command runs, the host claims its idempotency key by a write to
+    the key-value service, so that no other host runs it too. A key contains
+    the time of its creation. Keys older than `retention_s`, or more than
+    `max_skew_s` in the future, are refused. The claims of all keys that were
+    created in the same period of `epoch_s` are divided among `partitions`
+    values of the key-value service. All hosts together make
     at most `writes_per_s` writes; at higher rates, claims are grouped. A
     group collects claims for `group_delay_s`. Outcomes are recorded together
     with the next claims, after at most `record_delay_s`. Expired claims are
     deleted every `clean_period_s`. Each write replaces the complete value,
-    so epochs are short: at 400 commands a second, a value has about 200
-    claims.
+    so `epoch_s` should be short: with the defaults, at 400 commands a second,
+    a value has about 200 claims.
     """
 
     __pydantic_config__ = constraints.FORBID_UNKNOWN
@@ -294,7 +309,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Settings:
-    """All settings of the entry daemon; each field is a table of the file."""
+    """All settings of a host; each field is a section of the TOML file."""
 
     __pydantic_config__ = constraints.FORBID_UNKNOWN
 
--- a/rudderrock/state/_table.py
+++ b/rudderrock/state/_table.py
@@ -16,14 +16,15 @@
 from rudderrock import core
 from rudderrock.state import _constraints as constraints
 
-# A value may have 1 MB. 256 edits of about 400 bytes keep the history below
-# a tenth of that, which leaves room for about 800 rows.
+# The key-value service accepts values of up to 1 MB. 256 edits of about 400
+# bytes take about a tenth of that, which leaves room for about 800 rows.
 HISTORY_LIMIT = 256
+# A larger encoded table isn't written to the key-value service.
 MAX_TABLE_BYTES = 900_000
 
 _NAME_PATTERN = r'^[a-z0-9][a-z0-9_-]{0,62}$'
 
-_Name = Annotated[str, pydantic.Field(pattern=_NAME_PATTERN)]
+_TeamName = Annotated[str, pydantic.Field(pattern=_NAME_PATTERN)]
 
 
 class CoveragePolicy(enum.Enum):
@@ -42,18 +43,21 @@
 class TeamRow:
     """Row of the table: limits and permissions of a team.
 
-    `weight` is the relative share of the team in a contended service.
-    `priority` (0 first to 9 last) orders teams that are within their shares;
-    it doesn't reduce the share of another team. `rate` is in shard requests
+    `weight` is the relative share of the team in a service (the replicas of
+    one shard) while requests wait for it. A team with a lower `priority`
+    number (0 to 9) is served earlier, by a bounded lead that doesn't reduce
+    the share of another team over time. `rate` is in shard requests
     a second and `concurrency` in shard requests in flight, both for all
     hosts together. `coverage` is the fraction of shards that an early answer
-    requires. `collections` are the collections that the team may query; `*`
+    requires. `deadline_s` and `soft_deadline_s`, for early answers, are in
+    seconds from the receipt of a request. `may_write` permits commands.
+    `collections` are the collections that the team may query; `*`
     allows all. `token_hashes` are created by `hash_token`.
     """
 
     __pydantic_config__ = constraints.FORBID_UNKNOWN
 
-    team: _Name
+    team: _TeamName
     weight: Annotated[float, pydantic.Field(ge=0.01, le=1000)] = 1.0
     priority: Annotated[int, pydantic.Field(ge=0, le=9)] = 5
     rate: Annotated[float, pydantic.Field(gt=0, le=1e9)] = 10_000.0
@@ -154,13 +158,15 @@
 
 
 def reunite_tables(kept: Table, found: Table) -> Table | None:
-    """Return the table to write to a store that has lost edits of `kept`.
-
-    `found` is the table in the store, which was restored from an older copy
-    and may have been edited since. Its new edits are applied to `kept` in
-    their order, so that no accepted edit is lost. Return None if `found`
-    contains all edits, or if the two histories have no edit in common, in
-    which case lost edits can't be determined.
+    """Return the table that restores lost edits in the key-value service.
+
+    `kept` is the table that this host has in force; `found` is the table in
+    the key-value service, which may have been restored from an older copy
+    and edited since. The new edits of `found` are applied to `kept` in their
+    order, so that no accepted edit is lost. Return None if `found` contains
+    every edit in the history of `kept` and its revision isn't lower, or if
+    the two histories have no edit in common, in which case lost edits can't
+    be determined.
     """
     kept_ids = {edit.edit_id for edit in kept.history}
     found_ids = {edit.edit_id for edit in found.history}
@@ -195,7 +201,7 @@
 
 
 def check_table(table: Table) -> constraints.Problems:
-    """Return the problems of a table that was read from outside.
+    """Return the problems of a table from the key-value service or a peer.
 
     Rows must satisfy the constraints of their fields, and the key of a row
     must be the id of its team.
--- a/rudderrock/state/_tokens.py
+++ b/rudderrock/state/_tokens.py
@@ -47,7 +47,10 @@
 
 
 def split_token(token: str) -> result.Result[core.TeamId, str]:
-    """Return the team in a token, without checking the secret."""
+    """Return the team named in a token, or an error if it is malformed.
+
+    The secret isn't checked.
+    """
     team, dot, secret = token.partition('.')
     if not (team and dot and secret):
         return result.Err('a token must have the form TEAM.SECRET')
--- a/rudderrock/transport/__init__.py
+++ b/rudderrock/transport/__init__.py
@@ -1,4 +1,4 @@
-"""Interfaces to services outside the process, and their HTTP clients."""
+"""Interfaces to outside services, their HTTP clients, and an HTTP server."""
 
 from rudderrock.transport._kv import HttpKvPort
 from rudderrock.transport._owned import ExchangeFailed
--- a/rudderrock/transport/_kv.py
+++ b/rudderrock/transport/_kv.py
@@ -59,9 +59,9 @@
     async def watch(
         self, key: str, after: int, timeout_s: float
     ) -> result.Result[protocol.Entry, ports.KvUnavailable]:
-        """Wait until the version is above `after` or the timeout has passed.
+        """Return the entry of a key as soon as its version exceeds `after`.
 
-        Return the current entry in both cases.
+        Return the current entry after `timeout_s` seconds at the latest.
         """
         request = protocol.WatchRequest(
             key=key, after=after, timeout_s=timeout_s
@@ -94,7 +94,7 @@
         return await self._call_lease(protocol.REVOKE_PATH, lease)
 
     async def close(self) -> None:
-        """Close the idle connections."""
+        """Close the idle connections, but not those of calls in flight."""
         idle, self._idle = self._idle, []
         for connection in idle:
             await connection.close()
--- a/rudderrock/transport/_owned.py
+++ b/rudderrock/transport/_owned.py
@@ -1,10 +1,11 @@
-"""An HTTP connection that is owned by a single task.
+"""An HTTP connection that is used by one task at a time.
 
 With the shared pool of aiosonic, the reply to a cancelled request is
-returned to the next user of the connection. Here, a connection belongs to
-one task, carries one exchange at a time, and is closed after an exchange
-that wasn't completed. Only POST is used, because aiosonic automatically
-retries other methods if a kept-alive connection turns out to be closed.
+returned to the next user of the connection. Here, a connection is used by
+one task at a time for one exchange, and is closed after an exchange that
+wasn't completed. Only POST is used, because aiosonic automatically repeats a
+request of any other method if the kept-alive connection turns out to be
+closed.
 """
 
 import asyncio
@@ -39,7 +40,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ExchangeFailed:
-    """Failure of an exchange; its connection has been closed."""
+    """Failure to connect or to complete an exchange.
+
+    The connection has been closed.
+    """
 
     detail: str
 
@@ -68,14 +72,14 @@
     async def open(self) -> result.Result[None, ExchangeFailed]:
         """Connect, so that the first exchange doesn't have to.
 
-        A cancellation always takes effect here, and leaves no connection
-        open. For this, the timeout is applied by `asyncio.timeout` and not
-        passed to aiosonic, which applies timeouts with `asyncio.wait_for`.
-        Before Python 3.12, `wait_for` returns the result and discards a
-        cancellation that arrives after the connection is made but before
-        the waiting task runs. Lanes, links and hosts are cancelled only
-        once, so a discarded cancellation left them running: up to 8 of 410
-        links that were closed at varying moments while they connected.
+        A cancellation always takes effect, and leaves no connection open.
+        For this, the timeout is applied by `asyncio.timeout` and not passed
+        to aiosonic, which uses `asyncio.wait_for`. Before Python 3.12, that
+        discards a cancellation which arrives after the connection is made
+        but before the waiting task runs. The callers cancel a task only
+        once, so it would keep running: this was seen for up to 8 of 410
+        upstream links that were closed at varying moments while they
+        connected.
         """
         client = self._get_client()
         url = urllib.parse.urlparse(self._base_url)
@@ -93,8 +97,8 @@
         finally:
             if not opened:
                 await self.close()
-        # The pool keeps the connection under the key of its destination
-        # until the first exchange.
+        # Mark the connection as reusable and return it to the pool, where
+        # the first exchange finds it by the key of its destination.
         connection.keep_alive()
         connection.key = connection.temp_key
         connection.release()
--- a/rudderrock/transport/_peers.py
+++ b/rudderrock/transport/_peers.py
@@ -15,8 +15,9 @@
 class HttpPeerPort:
     """Client of peers that opens a new connection for every message.
 
-    Each period, the probe goes to a different peer. A kept-alive connection
-    would be idle until all others have been probed: 290 s with 580 hosts.
+    A peer is probed too seldom for a kept-alive connection: each period, the
+    probe goes to a different peer, so that with 580 hosts and the default
+    period of 0.5 s a connection would be idle for 290 s.
 
     Parameters: `secret` is the shared secret that authenticates peers.
     """
@@ -42,7 +43,10 @@
         message: protocol.ConfigRequest,
         timeout_s: float,
     ) -> result.Result[protocol.ConfigReply, ports.PeerUnreachable]:
-        """Request a later table and layout from a peer."""
+        """Return the table and layout of a peer.
+
+        Each is None if its revision isn't higher than that in the message.
+        """
         return await self._send(
             address,
             protocol.CONFIG_PATH,
@@ -77,7 +81,7 @@
     async def list_hosts(
         self,
     ) -> result.Result[list[ports.ListedHost], ports.PeerUnreachable]:
-        """Return the current list of the platform."""
+        """Return the live and leaving hosts that the platform lists."""
         return await post_once(
             self._address,
             HOST_LIST_PATH,
--- a/rudderrock/transport/_ports.py
+++ b/rudderrock/transport/_ports.py
@@ -1,8 +1,8 @@
 """Interfaces (ports) to the services outside the process.
 
-They are implemented by the HTTP clients, the in-memory stand-ins and the
-test doubles of an application. A method returns a failure of the outside
-service as a value and never raises it.
+They are implemented by the HTTP clients, and in memory for simulations and
+tests. A method returns a failure of the outside service as a value and never
+raises it.
 """
 
 import dataclasses
@@ -23,7 +23,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KvUnavailable:
-    """Failure of a call without an answer; a write may have taken effect."""
+    """Failure of a call to the key-value service: no reply or an unusable one.
+
+    A write may have taken effect.
+    """
 
     detail: str
 
@@ -49,9 +52,9 @@
     async def watch(
         self, key: str, after: int, timeout_s: float
     ) -> result.Result[protocol.Entry, KvUnavailable]:
-        """Wait until the version is above `after` or the timeout has passed.
+        """Return the entry of a key as soon as its version exceeds `after`.
 
-        Return the current entry in both cases.
+        Return the current entry after `timeout_s` seconds at the latest.
         """
 
     async def grant(self, ttl_s: float) -> result.Result[str, KvUnavailable]:
@@ -106,7 +109,8 @@
     ) -> protocol.ShardReply:
         """Send a request and return its complete reply.
 
-        After `ShardLost` or `ShardTimeout` the connection must be closed.
+        After `ShardLost` or `ShardTimeout` the caller must close the
+        connection.
         """
 
     async def close(self) -> None:
@@ -131,7 +135,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerUnreachable:
-    """Failure of a call to a peer or to the platform's host list."""
+    """Failure of a call to a peer or to the platform's host list.
+
+    There was no reply or an unusable one.
+    """
 
     detail: str
 
@@ -150,7 +157,10 @@
         message: protocol.ConfigRequest,
         timeout_s: float,
     ) -> result.Result[protocol.ConfigReply, PeerUnreachable]:
-        """Request a later table and layout from a peer."""
+        """Return the table and layout of a peer.
+
+        Each is None if its revision isn't higher than that in the message.
+        """
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -169,4 +179,4 @@
     async def list_hosts(
         self,
     ) -> result.Result[list[ListedHost], PeerUnreachable]:
-        """Return the current list of the platform."""
+        """Return the live and leaving hosts that the platform lists."""
--- a/rudderrock/transport/_server.py
+++ b/rudderrock/transport/_server.py
@@ -41,7 +41,7 @@
     """Return a subclass of uvicorn's HTTP protocol that limits heads.
 
     uvicorn limits the idle time between requests, but neither the duration
-    nor the size of a head, which a Slowloris attack exploits.
+    nor the size of a head. A Slowloris attack exploits this.
     """
 
     class BoundedProtocol(httptools_impl.HttpToolsProtocol):
@@ -67,6 +67,8 @@
 
         def data_received(self, data: bytes) -> None:
             self._idle_timer.cancel()
+            # The first head is timed from the first byte, later ones from
+            # `on_message_begin`.
             if not self._has_received_data:
                 self._has_received_data = True
                 self._start_head_timer()
@@ -145,8 +147,9 @@
     """Server of an ASGI application on a bound socket.
 
     Parameters: `limits` are the limits on heads; `max_connections` is the
-    maximum number of open connections; `stop_timeout_s` is how long requests
-    in flight may take to complete after `close` is called, in seconds.
+    number of open connections from which on requests are answered with
+    status 503; `stop_timeout_s` is how long requests in flight may take to
+    complete after `close` is called, in seconds.
     """
 
     def __init__(
@@ -178,7 +181,10 @@
         self._task: asyncio.Task | None = None
 
     async def open(self) -> None:
-        """Start the server and return when it accepts connections."""
+        """Start the server.
+
+        Returns when it accepts connections or has failed to start.
+        """
         serving = self._server.serve(sockets=[self._listener])
         self._task = asyncio.create_task(serving)
         while not self._server.started and not self._task.done():
--- a/rudderrock/transport/_upstream.py
+++ b/rudderrock/transport/_upstream.py
@@ -28,8 +28,10 @@
     ) -> protocol.ShardReply:
         """Send a request and return its complete reply.
 
-        The owner of the ticket may abort the exchange at any time. This
-        closes the connection, by which the upstream detects the abort.
+        Return `ShardLost` after a failure, and `ShardTimeout` after the
+        deadline or an abort. The owner of the ticket may abort the exchange
+        at any time. This closes the connection, by which the upstream
+        detects the abort.
         """
         body = protocol.encode(request)
         try:
@@ -52,10 +54,11 @@
 def read_shard_reply(
     request: protocol.ShardRequest, raw: owned.RawReply
 ) -> protocol.ShardReply:
-    """Return the decoded reply to a request.
+    """Return the decoded reply, or `ShardLost` if it can't be used.
 
-    A reply that doesn't echo the id of the request, or that is for another
-    shard or version, belongs to another request and counts as lost.
+    This is the case if its status is unexpected, it can't be decoded, or it
+    belongs to another request: an answer must echo the id, shard and version
+    of its request, a rejection the id.
     """
     if raw.status == 200:
         decoded = protocol.decode(protocol.ShardAnswer, raw.body)
