--- a/rudderrock/core/_loop.py
+++ b/rudderrock/core/_loop.py
@@ -1,26 +1,28 @@
-"""The event loop of the programs, whose time goes on while a host sleeps."""
+"""Event loop of the servers; its clock includes suspended time."""
 
 import asyncio
 import time
 
 
 class SuspendAwareLoop(asyncio.SelectorEventLoop):
-    """A loop on the clock that counts time in which the host is suspended.
+    """Event loop whose clock also advances while the machine is suspended.
 
-    The monotonic clock stands still then, so every age, lease and deadline
-    would be taken for younger than it is by that time, and wall time derived
-    from it would lag until the process ends. On CLOCK_BOOTTIME
-    (clock_gettime(2), Linux) a suspension is to a process what a freeze is.
-    A timer that falls due meanwhile runs when the next one or a socket wakes
-    the loop; a gateway has a timer each 0.25 s.
+    The monotonic clock stops during a suspension. Ages, leases and
+    deadlines would then be off by the suspended time, and the wall time
+    derived from the clock would lag until the process ends. With
+    CLOCK_BOOTTIME (clock_gettime(2), Linux), the loop's time advances during
+    a suspension, as if only the process had been stopped. A timer that
+    became due during a suspension runs at the next wake-up of the loop, by
+    another timer or a socket event; in a gateway, which has a timer every
+    0.25 s, it is at most that late.
     """
 
     def time(self) -> float:
-        """Return seconds since the host booted, suspensions included."""
+        """Return the time since boot in seconds, suspensions included."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def run_loop(main):
-    """Run a coroutine to its end, as `asyncio.run` does, on such a loop."""
+    """Run the coroutine `main` on a `SuspendAwareLoop`; return its result."""
     with asyncio.Runner(loop_factory=SuspendAwareLoop) as runner:
         return runner.run(main)
--- a/rudderrock/frontend/_body.py
+++ b/rudderrock/frontend/_body.py
@@ -1,4 +1,4 @@
-"""Reading requests within bounds, and answering them."""
+"""Reading of request bodies within limits, and encoding of responses."""
 
 import asyncio
 from typing import Any
@@ -16,7 +16,11 @@
 async def read_body(
     request: requests.Request, settings: state.IntakeSettings
 ) -> result.Result[bytes, protocol.Refused]:
-    """Read a body of bounded size in bounded time."""
+    """Return the body, or a refusal if it is too large or too slow.
+
+    The limits are `max_body_bytes` and `body_timeout_s` of the settings. A
+    body that ends early because the client disconnects is malformed.
+    """
     chunks = []
     size = 0
     try:
@@ -24,13 +28,13 @@
             async for chunk in request.stream():
                 size += len(chunk)
                 if size > settings.max_body_bytes:
-                    return result.Err(_refuse_size(settings))
+                    return result.Err(_make_size_refusal(settings))
                 chunks.append(chunk)
     except TimeoutError:
         return result.Err(
             protocol.Refused(
                 reason=protocol.RefusalReason.TOO_SLOW,
-                detail='the body did not come within '
+                detail='the body was not received within '
                 f'{settings.body_timeout_s:g} s',
             )
         )
@@ -38,14 +42,14 @@
         return result.Err(
             protocol.Refused(
                 reason=protocol.RefusalReason.MALFORMED,
-                detail='the body broke off',
+                detail='the client disconnected before the end of the body',
             )
         )
     return result.Ok(b''.join(chunks))
 
 
 def read_token(request: requests.Request) -> str | None:
-    """Return the bearer token of a request (RFC 6750), if it has one."""
+    """Return the bearer token of a request (RFC 6750), or None."""
     value = request.headers.get('authorization', '')
     if value[: len(_BEARER)].lower() != _BEARER:
         return None
@@ -53,7 +57,7 @@
 
 
 def decode_body(cls: type, body: bytes) -> result.Result[Any, Any]:
-    """Decode a body, or return the refusal for a malformed one."""
+    """Return the decoded body, or a refusal if it is malformed."""
     decoded = protocol.decode(cls, body)
     return decoded.map_err(
         lambda detail: protocol.Refused(
@@ -68,15 +72,15 @@
     return responses.Response(reply.body, reply.status, reply.headers)
 
 
-def make_json(message: Any, status: int = 200) -> responses.Response:
-    """Return a message as an HTTP response."""
+def make_json_response(message: Any, status: int = 200) -> responses.Response:
+    """Return an HTTP response whose body is the message as JSON."""
     return responses.Response(
         protocol.encode(message), status, media_type=protocol.JSON_TYPE
     )
 
 
-def _refuse_size(settings: state.IntakeSettings) -> protocol.Refused:
+def _make_size_refusal(settings: state.IntakeSettings) -> protocol.Refused:
     return protocol.Refused(
         reason=protocol.RefusalReason.TOO_LARGE,
-        detail=f'a body may have {settings.max_body_bytes} bytes',
+        detail=f'the body has more than {settings.max_body_bytes} bytes',
     )
--- a/rudderrock/frontend/_callers.py
+++ b/rudderrock/frontend/_callers.py
@@ -1,4 +1,4 @@
-"""The HTTP application for callers, and the health of a host."""
+"""The HTTP application for callers, and the health endpoints of a host."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -22,25 +22,29 @@
 def make_caller_app(
     host: coordination.EntryHost,
 ) -> applications.Starlette:
-    """Make what callers of one host talk to."""
+    """Return the HTTP application that serves the callers of a host."""
     settings = host.settings.intake
 
     async def query(request: requests.Request) -> responses.Response:
-        opened = await _open(host, request, settings, protocol.Query)
-        if opened.is_err():
-            return body.make_response(opened.unwrap_err())
-        row, message = opened.unwrap()
+        received = await _receive_request(
+            host, request, settings, protocol.Query
+        )
+        if received.is_err():
+            return body.make_response(received.unwrap_err())
+        row, message = received.unwrap()
         work = host.query(row, message)
-        return await _finish(request, work)
+        return await _await_response(request, work)
 
     async def command(request: requests.Request) -> responses.Response:
-        opened = await _open(host, request, settings, protocol.Command)
-        if opened.is_err():
-            return body.make_response(opened.unwrap_err())
-        row, message = opened.unwrap()
+        received = await _receive_request(
+            host, request, settings, protocol.Command
+        )
+        if received.is_err():
+            return body.make_response(received.unwrap_err())
+        row, message = received.unwrap()
         key = request.headers.get(protocol.IDEMPOTENCY_HEADER, '')
-        # A command is seen through even if its caller goes away, so that
-        # its outcome is recorded for the caller's next try.
+        # A command isn't cancelled when its caller disconnects. Its outcome
+        # is recorded and returned to a retry with the same key.
         return body.make_response(await host.command(row, message, key))
 
     return applications.Starlette(
@@ -49,15 +53,18 @@
             routing.Route(protocol.COMMAND_PATH, command, methods=['POST']),
             *make_health_routes(host),
         ],
-        exception_handlers={404: _answer_unknown, 405: _answer_unknown},
+        exception_handlers={
+            404: _handle_unknown_route,
+            405: _handle_unknown_route,
+        },
     )
 
 
 def make_health_routes(host: coordination.EntryHost) -> list[routing.Route]:
-    """Make the endpoints by which the platform watches a host.
+    """Return the routes of the health checks of a host.
 
-    Live means that the loop turns. Ready means that the host serves, that
-    it is not isolated, and that it is not stopping.
+    A host is live while its event loop runs. It is ready while it serves
+    requests, isn't isolated and isn't stopping.
     """
 
     async def live(request: requests.Request) -> responses.Response:
@@ -77,50 +84,59 @@
     ]
 
 
-async def _open(
+async def _receive_request(
     host: coordination.EntryHost,
     request: requests.Request,
     settings: state.IntakeSettings,
     cls: type,
 ) -> result.Result[tuple[state.TeamRow, object], protocol.Refused]:
-    """Tell who asks before reading what; strangers get little work."""
+    """Return the row of the team and the decoded message, or a refusal.
+
+    The caller is authenticated before the body is read, which limits the
+    work that an unauthenticated request causes.
+    """
     refused = host.check_serving()
     if refused is not None:
         return result.Err(refused)
-    known = host.authenticate(body.read_token(request))
-    if known.is_err():
-        return known
+    authenticated = host.authenticate(body.read_token(request))
+    if authenticated.is_err():
+        return authenticated
     content = await body.read_body(request, settings)
     if content.is_err():
         return content
     decoded = body.decode_body(cls, content.unwrap())
-    return decoded.map(lambda message: (known.unwrap(), message))
+    return decoded.map(lambda message: (authenticated.unwrap(), message))
 
 
-async def _finish(
+async def _await_response(
     request: requests.Request, work: Awaitable[protocol.Outcome]
 ) -> responses.Response:
-    """Answer when the work ends; cancel it if the caller goes away."""
+    """Return the response to a request.
+
+    If the caller disconnects first, cancel the work and return a response
+    with status 499, which is never received.
+    """
     task = asyncio.ensure_future(work)
-    watch = asyncio.ensure_future(transport.wait_for_disconnect(request))
+    disconnect = asyncio.ensure_future(transport.wait_for_disconnect(request))
     try:
-        await asyncio.wait((task, watch), return_when='FIRST_COMPLETED')
+        await asyncio.wait((task, disconnect), return_when='FIRST_COMPLETED')
         if not task.done():
             task.cancel()
         return body.make_response(await task)
     except asyncio.CancelledError:
-        # Nobody is there to read it; the status is that of nginx's log.
+        # 499 is the status that nginx logs if the client has closed the
+        # connection. No client receives it.
         return responses.Response(status_code=499)
     finally:
-        watch.cancel()
+        disconnect.cancel()
 
 
-async def _answer_unknown(
+async def _handle_unknown_route(
     request: requests.Request, exc: Exception
 ) -> responses.Response:
     return body.make_response(
         protocol.Refused(
             reason=protocol.RefusalReason.MALFORMED,
-            detail=f'there is no {request.method} {request.url.path}',
+            detail=f'no route for {request.method} {request.url.path}',
         )
     )
--- a/rudderrock/frontend/_control.py
+++ b/rudderrock/frontend/_control.py
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Secrets:
-    """What peers and operators show; never logged."""
+    """Shared secrets that authenticate peers and operators; never logged."""
 
     peer: str = dataclasses.field(repr=False)
     operator: str = dataclasses.field(repr=False)
@@ -30,10 +30,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class HostStatus:
-    """What a host tells operators of itself.
+    """Status of a host, as returned to operators.
 
-    `table_age_s` is how long ago the table was confirmed to be the
-    latest, in seconds; None if it never was.
+    `isolated` is True if the host has reached neither the key-value service
+    nor a peer for `isolation_s`. `table_age_s` is the time since the table
+    was last confirmed to be current, in seconds, or None if it never was.
+    `in_flight` is the number of shard requests that are admitted and not yet
+    complete. `members` are the hosts that this host knows, itself first.
     """
 
     host: state.HostId
@@ -49,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class EventsRequest:
-    """Ask for a host's events later than a stamp."""
+    """Request for the events of a host after a stamp."""
 
     since: state.Stamp = state.Stamp()
 
@@ -57,35 +60,37 @@
 def make_control_app(
     host: coordination.EntryHost, secrets: Secrets
 ) -> applications.Starlette:
-    """Make what peers and operators of one host talk to."""
+    """Return the HTTP application for the peers and operators of a host."""
 
-    def for_peer(handle, cls):
+    def require_peer(handler, cls):
         async def endpoint(request: requests.Request) -> responses.Response:
-            shown = request.headers.get(protocol.SECRET_HEADER, '')
-            if not hmac.compare_digest(shown.encode(), secrets.peer.encode()):
-                return _deny('peer secret')
-            return await _answer(request, handle, cls)
+            presented = request.headers.get(protocol.SECRET_HEADER, '')
+            if not hmac.compare_digest(
+                presented.encode(), secrets.peer.encode()
+            ):
+                return _make_unauthenticated_response('peer secret')
+            return await _handle_message(request, handler, cls)
 
         return endpoint
 
-    def for_operator(handle, cls=None):
+    def require_operator(handler, cls=None):
         async def endpoint(request: requests.Request) -> responses.Response:
-            shown = body.read_token(request) or ''
-            known = secrets.operator.encode()
-            if not hmac.compare_digest(shown.encode(), known):
-                return _deny('operator secret')
+            presented = body.read_token(request) or ''
+            expected = secrets.operator.encode()
+            if not hmac.compare_digest(presented.encode(), expected):
+                return _make_unauthenticated_response('operator secret')
             if cls is None:
-                return await handle(request)
-            return await _answer(request, handle, cls)
+                return await handler(request)
+            return await _handle_message(request, handler, cls)
 
         return endpoint
 
-    async def _answer(request, handle, cls) -> responses.Response:
-        content = await body.read_body(request, _LIMITS)
+    async def _handle_message(request, handler, cls) -> responses.Response:
+        content = await body.read_body(request, _BODY_LIMITS)
         message = content.and_then(lambda data: body.decode_body(cls, data))
         if message.is_err():
             return body.make_response(message.unwrap_err())
-        return body.make_json(await handle(message.unwrap()))
+        return body.make_json_response(await handler(message.unwrap()))
 
     async def probe(message: protocol.Probe) -> protocol.ProbeReply:
         return await host.membership.answer_probe(message)
@@ -99,7 +104,7 @@
         return host.ring.list_since(message.since)
 
     async def status(request: requests.Request) -> responses.Response:
-        return body.make_json(make_status(host))
+        return body.make_json_response(make_status(host))
 
     async def metrics(request: requests.Request) -> responses.Response:
         text = coordination.format_prometheus(list_samples(host))
@@ -108,41 +113,44 @@
         )
 
     async def metrics_json(request: requests.Request) -> responses.Response:
-        return body.make_json(list_samples(host))
+        return body.make_json_response(list_samples(host))
 
     return applications.Starlette(
         routes=[
             routing.Route(
                 protocol.PROBE_PATH,
-                for_peer(probe, protocol.Probe),
+                require_peer(probe, protocol.Probe),
                 methods=['POST'],
             ),
             routing.Route(
                 protocol.CONFIG_PATH,
-                for_peer(config, protocol.ConfigRequest),
+                require_peer(config, protocol.ConfigRequest),
                 methods=['POST'],
             ),
             routing.Route(
                 EVENTS_PATH,
-                for_operator(events, EventsRequest),
+                require_operator(events, EventsRequest),
                 methods=['POST'],
             ),
             routing.Route(
-                STATUS_PATH, for_operator(status), methods=['POST', 'GET']
+                STATUS_PATH, require_operator(status), methods=['POST', 'GET']
             ),
-            routing.Route(METRICS_PATH, for_operator(metrics)),
-            routing.Route(METRICS_JSON_PATH, for_operator(metrics_json)),
+            routing.Route(METRICS_PATH, require_operator(metrics)),
+            routing.Route(METRICS_JSON_PATH, require_operator(metrics_json)),
             *callers.make_health_routes(host),
         ]
     )
 
 
-# Peers' messages are bounded by the protocol; a table may be 1 MB.
-_LIMITS = state.IntakeSettings(max_body_bytes=2**20)
+# Limits on the bodies of requests of peers and operators; the limits on heads
+# and connections don't apply here. The largest request is a probe, whose
+# digest has less than 3 KB. Only replies contain a table, which may have up
+# to 1 MB.
+_BODY_LIMITS = state.IntakeSettings(max_body_bytes=2**20)
 
 
 def make_status(host: coordination.EntryHost) -> HostStatus:
-    """Return what a host tells operators of itself."""
+    """Return the current status of a host."""
     age_s = host.config.table.get_age_s()
     return HostStatus(
         host=state.HostId(host.settings.host.id),
@@ -160,9 +168,9 @@
 def list_samples(
     host: coordination.EntryHost,
 ) -> list[coordination.Sample]:
-    """Return all figures of a host."""
+    """Return the current samples of all metrics of a host."""
     counters = host.runner.counters
-    plain = {
+    values = {
         'rudderrock_upstream_first_total': counters.first,
         'rudderrock_upstream_hedges_total': counters.hedges,
         'rudderrock_upstream_hedge_wins_total': counters.hedge_wins,
@@ -173,6 +181,8 @@
         'rudderrock_extra_load_ratio': counters.extra_load,
         'rudderrock_shard_requests_in_flight': host.gate.in_flight,
         'rudderrock_table_revision': host.config.table.revision,
+        # The age is infinite until the table is confirmed for the first
+        # time. JSON has no infinity.
         'rudderrock_table_age_seconds': min(
             host.config.table.get_age_s(), 1e9
         ),
@@ -183,7 +193,7 @@
     }
     samples = [
         coordination.Sample(name=name, value=value, labels={})
-        for name, value in plain.items()
+        for name, value in values.items()
     ]
     for link in host.dispatcher.list_links():
         samples.append(
@@ -196,10 +206,10 @@
     return samples + host.metrics.list_samples()
 
 
-def _deny(what: str) -> responses.Response:
+def _make_unauthenticated_response(credential: str) -> responses.Response:
     return body.make_response(
         protocol.Refused(
             reason=protocol.RefusalReason.UNAUTHENTICATED,
-            detail=f'the {what} is missing or wrong',
+            detail=f'the {credential} is missing or wrong',
         )
     )
--- a/rudderrock/protocol/_caller.py
+++ b/rudderrock/protocol/_caller.py
@@ -1,4 +1,4 @@
-"""Messages between a caller and a host, and the three outcomes."""
+"""Requests of callers, and the outcomes that a host returns."""
 
 import dataclasses
 import enum
@@ -18,11 +18,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Query:
-    """A question to every shard of a collection.
+    """Query to all shards of a collection.
 
-    `body` is handed to the shards as it is. `limit` is the number of best
-    hits wanted. `deadline_s` is in seconds from now and can only shorten
-    the team's own deadline.
+    `body` is sent to the shards unchanged. `limit` is the maximum number of
+    hits to return, best first. `deadline_s` is the time allowed from the
+    receipt of the query, in seconds; the shorter of it and the deadline of
+    the team applies.
     """
 
     collection: state.CollectionId
@@ -33,7 +34,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Command:
-    """A non-idempotent request to the one shard that holds `routing_key`."""
+    """Non-idempotent request to the shard that owns `routing_key`.
+
+    `deadline_s` is the time allowed from the receipt of the command, in
+    seconds; the shorter of it and the deadline of the team applies.
+    """
 
     collection: state.CollectionId
     routing_key: str
@@ -42,7 +47,14 @@
 
 
 class MissReason(enum.Enum):
-    """Why a shard's answer is missing from a result."""
+    """Reason why a result contains no answer from a shard.
+
+    `TIMEOUT`: no answer before the deadline. `SHED`: the upstreams were
+    overloaded. `REFUSED`: an upstream didn't accept the request. `LOST`: the
+    exchange failed, or no replica is reachable. `VERSION`: the replicas
+    don't have the index version. `EARLY`: the result was returned before
+    the deadline without waiting for the shard.
+    """
 
     TIMEOUT = 'timeout'
     SHED = 'shed'
@@ -54,10 +66,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Coverage:
-    """Which shards contributed to a result.
+    """How many shards of the index version contributed to a result.
 
-    `shards` is how many the index version has, `answered` how many
-    contributed; `missing` has each other one with its reason.
+    `shards` is the number of shards of the version and `answered` the number
+    of those that contributed; `missing` maps each other shard to the reason.
     """
 
     shards: int
@@ -66,13 +78,16 @@
 
     @property
     def fraction(self) -> float:
-        """Return the part of the shards that contributed, 0 to 1."""
+        """Return the fraction of the shards that contributed, 0 to 1.
+
+        It is 1 if the version has no shards.
+        """
         return self.answered / self.shards if self.shards else 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Answered:
-    """A result, all of it from one index version."""
+    """Result of a query, computed from one index version."""
 
     query: state.QueryId
     version: state.IndexVersion
@@ -82,7 +97,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Recorded:
-    """A command ran, once; `repeat` tells that it ran for an earlier call."""
+    """Result of a command, which ran exactly once.
+
+    `query` is the id that the host gave the command. `repeat` is True if
+    this call didn't run the command, but returns the result of an earlier
+    call with the same key.
+    """
 
     query: state.QueryId
     key: str
@@ -91,7 +111,19 @@
 
 
 class RefusalReason(enum.Enum):
-    """Why a request did not run."""
+    """Reason why a request was refused without being run.
+
+    Limits of the team: `RATE` and `CONCURRENCY`. Limits of the host:
+    `OVERLOAD`, too many shard requests in flight; `DEADLINE`, the queue of a
+    service is full or the wait in it would be too long. State of the host:
+    `DRAINING`, `NOT_READY`, and `ISOLATED` from the key-value service and
+    all peers. `FORBIDDEN`: the team may not run commands.
+    `UNKNOWN_COLLECTION`: there is no such collection, or the team may not
+    query it. `KV_UNAVAILABLE`: the idempotency key couldn't be claimed.
+    `KEY_EXPIRED`: its timestamp is too old or in the future. `KEY_REUSED`:
+    it was used for a different request. `UPSTREAM`: no upstream ran the
+    command.
+    """
 
     UNAUTHENTICATED = 'unauthenticated'
     FORBIDDEN = 'forbidden'
@@ -114,10 +146,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Refused:
-    """The request did not run.
+    """Refusal of a request, which did not run.
 
-    `retry_after_s` tells when to come back, in seconds; None where coming
-    back with the same request will not help.
+    `retry_after_s` is the time in seconds after which to retry, or None if a
+    retry of the same request can't succeed.
     """
 
     reason: RefusalReason
@@ -128,7 +160,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Unknown:
-    """The command may have run, and it will not be run again."""
+    """Outcome of a command that may have run; the host doesn't retry it."""
 
     query: state.QueryId
     detail: str
--- a/rudderrock/protocol/_peers.py
+++ b/rudderrock/protocol/_peers.py
@@ -1,8 +1,9 @@
 """Messages between hosts.
 
-A probe and its reply both carry a `Digest`: what the sender believes of
-some members, the revision of the table it has in force, and demand. That
-is all the periodic traffic there is, so its size is bounded here.
+A probe and its reply both carry a `Digest`: the states of some members as
+known to the sender, the revisions of the table and the layout that it has in
+force, and the demand of teams. Probes are the only periodic traffic between
+hosts, so the size of a digest is bounded.
 """
 
 import dataclasses
@@ -14,14 +15,18 @@
 CONFIG_PATH = '/v1/peer/config'
 SECRET_HEADER = 'x-rudderrock-peer'
 
-# Members and demand entries (of all hosts together) in one digest. With
-# these it stays under 3 KB, so eight a second keep within 24 KB a second.
+# These bounds keep a digest below 3 KB. At the default period of 0.5 s, a
+# host sends and receives about eight digests a second (two probes and two
+# replies in each direction), which need at most 24 KB/s.
+#
+# Maximum number of members in a digest.
 MAX_NEWS = 8
+# Maximum number of demand entries in a digest, of all hosts together.
 MAX_DEMANDS = 64
 
 
 class MemberState(enum.Enum):
-    """What a host believes of another."""
+    """State of a host in the view of another host."""
 
     ALIVE = 'alive'
     SUSPECT = 'suspect'
@@ -31,10 +36,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Member:
-    """One host as others know it.
+    """Membership record of one host.
 
-    `incarnation` is raised only by the host itself, to refute a suspicion.
-    `control` is the address for peers.
+    `control` is the address of the host for peers and operators. A record
+    with a higher `incarnation` replaces one with a lower. Only the host
+    itself increases it: to change its state, or to contradict a record that
+    reports another state of it, such as suspect or failed.
     """
 
     host: state.HostId
@@ -46,10 +53,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Demand:
-    """What teams ask of one host, in shard requests a second.
+    """Demand of each team at one host, in shard requests a second.
 
-    `count` grows with every new statement of the host, so the later of
-    two is known.
+    `count` is higher in every later `Demand` of the same process, so that
+    receivers keep the latest one.
     """
 
     host: state.HostId
@@ -59,10 +66,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Digest:
-    """What travels on every probe and reply.
+    """Summary of what the sender knows, sent with every probe and reply.
 
-    `table_age_s` is how long ago, in seconds, the sender or someone it
-    heard from had the revision confirmed by the key-value service.
+    `table_age_s` is the time in seconds since the table revision was last
+    known to be current, from the key-value service or from the digest of
+    another host. `news` holds membership records, those that
+    changed recently first.
     """
 
     sender: Member
@@ -76,7 +85,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Probe:
-    """Are you there? `target` is set to have another host asked instead."""
+    """Request for a sign of life of the receiver.
+
+    With `target`, it is an indirect probe: the receiver is asked to probe
+    that host and to report whether it replied.
+    """
 
     digest: Digest
     target: Member | None = None
@@ -84,7 +97,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ProbeReply:
-    """`reached` is False where the target of an indirect probe was not."""
+    """Reply to a probe.
+
+    `reached` is False if the target of an indirect probe didn't answer.
+    """
 
     digest: Digest
     reached: bool = True
@@ -92,7 +108,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ConfigRequest:
-    """Send me your table and layout where they are later than these."""
+    """Request for the table and the layout of the receiver.
+
+    Each is sent only if its revision is higher than the given one.
+    """
 
     table_revision: state.Revision
     layout_revision: state.Revision
@@ -100,7 +119,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ConfigReply:
-    """The sender's table and layout, each None if it is no later."""
+    """Table and layout of the replying host.
+
+    Each is None if its revision isn't higher than the requested one.
+    """
 
     table: state.Table | None
     layout: state.Layout | None
--- a/rudderrock/root.py
+++ b/rudderrock/root.py
@@ -1,7 +1,8 @@
-"""The composition root: where the parts of a host are wired together.
+"""The composition root, which constructs the components of a host.
 
-Nothing else constructs a part that another part uses. Time comes from the
-running loop and randomness from one seed, both handed down from here.
+A component receives its dependencies as arguments and doesn't construct
+them. Time comes from the running event loop and random numbers from one
+seed; both are passed to the components from here.
 """
 
 from collections.abc import Callable
@@ -15,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Ports:
-    """Everything outside a host."""
+    """Interfaces to the services outside a host."""
 
     kv: transport.KvPort
     upstreams: transport.UpstreamPort
@@ -30,25 +31,30 @@
     seed: int,
     sink: Callable[[state.Event], None] | None = None,
 ) -> coordination.EntryHost:
-    """Wire one entry host; it does nothing before `run` is awaited.
+    """Return one host, which does no work before `run` is awaited.
 
-    Must be called with a running loop, which `clock` must read. `sink` is
-    given each event of the time line, for the log.
+    Must be called inside the running event loop that `clock` reads. `ports`
+    are the clients of the services outside the host; `seed` is the seed of
+    all its random sources; `sink` is called with each event of the host, to
+    write it to the log.
     """
     host_id = state.HostId(settings.host.id)
-    hybrid = state.HybridClock(clock)
-    ring = state.EventRing(host_id, hybrid, settings.host.event_capacity, sink)
+    hybrid_clock = state.HybridClock(clock)
+    ring = state.EventRing(
+        host_id, hybrid_clock, settings.host.event_capacity, sink
+    )
 
-    def draw(name: str):
+    # The names are part of the seeds, so a new name changes seeded runs.
+    def make_random_source(name: str):
         return state.make_random(seed, f'{host_id}/{name}')
 
-    book = coordination.ShareBook(host_id, settings.shares, clock)
+    share_book = coordination.ShareBook(host_id, settings.shares, clock)
     dispatcher = coordination.Dispatcher(
         state.ZoneId(settings.host.zone),
         ports.upstreams,
         settings,
         clock,
-        draw('dispatch'),
+        make_random_source('dispatch'),
         ring,
     )
     runner = coordination.QueryRunner(
@@ -57,11 +63,13 @@
             extra=coordination.ExtraRequests(settings),
             settings=settings,
             clock=clock,
-            source=draw('query'),
+            source=make_random_source('query'),
             ring=ring,
         )
     )
-    gate = coordination.Admission(settings.admission, book, dispatcher, clock)
+    admission = coordination.Admission(
+        settings.admission, share_book, dispatcher, clock
+    )
     store = coordination.ClaimStore(
         ports.kv,
         settings.claims,
@@ -69,18 +77,25 @@
         lambda: len(membership.list_sharing()),
     )
     command_runner = coordination.CommandRunner(
-        host_id, store, dispatcher, settings, clock, draw('claims'), ring
+        host_id,
+        store,
+        dispatcher,
+        settings,
+        clock,
+        make_random_source('claims'),
+        ring,
     )
 
-    # The followers and the membership call back into parts that are made
-    # after them; so their callbacks look these up when they are called.
+    # Some callbacks in this function, among them the next two, use `config`,
+    # `membership` or `host`, which are assigned only after them. They aren't
+    # called before this function has returned.
     def on_table(table: state.Table) -> None:
         config.apply_table(table)
 
     def on_layout(layout: state.Layout) -> None:
         config.apply_layout(layout)
 
-    table = coordination.KeyFollower(
+    table_watcher = coordination.KeyFollower(
         ports.kv,
         coordination.TABLE_KEY,
         read=coordination.read_table,
@@ -92,11 +107,11 @@
         ),
         watch_s=settings.platform.watch_s,
         clock=clock,
-        source=draw('table'),
+        source=make_random_source('table'),
         ring=ring,
         reunite=state.reunite_tables,
     )
-    layout = coordination.KeyFollower(
+    layout_watcher = coordination.KeyFollower(
         ports.kv,
         coordination.LAYOUT_KEY,
         read=coordination.read_layout,
@@ -108,10 +123,10 @@
         ),
         watch_s=settings.platform.watch_s,
         clock=clock,
-        source=draw('layout'),
+        source=make_random_source('layout'),
         ring=ring,
     )
-    me = protocol.Member(
+    local_member = protocol.Member(
         host=host_id,
         zone=state.ZoneId(settings.host.zone),
         control=settings.host.control,
@@ -120,49 +135,49 @@
     )
     lease = coordination.HostLease(
         ports.kv,
-        me,
+        local_member,
         settings.membership,
         lambda: len(membership.list_sharing()),
         clock,
-        draw('lease'),
+        make_random_source('lease'),
         ring,
     )
     membership = coordination.Membership(
-        me,
+        local_member,
         ports.peers,
         ports.host_list,
         settings.membership,
-        book=book,
+        book=share_book,
         has_lease=lease.has_lease,
         get_config=lambda: config.get_config(),
         on_digest=lambda digest: config.on_digest(digest),
         on_change=lambda: host.on_members(),
         clock=clock,
-        hybrid=hybrid,
-        source=draw('members'),
+        hybrid=hybrid_clock,
+        source=make_random_source('members'),
         ring=ring,
     )
     config = coordination.Configuration(
         settings,
-        table=table,
-        layout=layout,
+        table=table_watcher,
+        layout=layout_watcher,
         membership=membership,
         dispatcher=dispatcher,
-        gate=gate,
+        gate=admission,
         peers=ports.peers,
         clock=clock,
-        source=draw('host'),
+        source=make_random_source('host'),
     )
     host = coordination.EntryHost(
         settings,
         clock=clock,
-        source=draw('query ids'),
+        source=make_random_source('query ids'),
         ring=ring,
         config=config,
         dispatcher=dispatcher,
         runner=runner,
-        book=book,
-        gate=gate,
+        book=share_book,
+        gate=admission,
         command_runner=command_runner,
         membership=membership,
         lease=lease,
--- a/rudderrock/state/_constraints.py
+++ b/rudderrock/state/_constraints.py
@@ -1,10 +1,10 @@
-"""Checks of outside input against the constraints its classes declare.
+"""Validation of external input against the field constraints of classes.
 
-Settings, rows of the table and experiments are plain data classes whose
-fields carry their allowed range as `Annotated[..., Field(ge=..., le=...)]`.
-They are checked once, where they enter the process. The checking itself is
-pydantic's; this module turns its findings into messages that name the key,
-what is allowed and the value given, and suggests the nearest known key.
+Settings, table rows and experiments are plain data classes that declare the
+allowed range of a field as `Annotated[..., Field(ge=..., le=...)]`. They are
+validated once, where they enter the process. pydantic does the validation;
+this module converts its errors to messages with the key, the constraint and
+the actual value, and suggests the closest known key for an unknown one.
 """
 
 import dataclasses
@@ -21,17 +21,19 @@
 T = TypeVar('T')
 
 FORBID_UNKNOWN = pydantic.ConfigDict(extra='forbid')
-_UNKNOWN_KEY = frozenset({'unexpected_keyword_argument', 'extra_forbidden'})
-_MISSING_KEY = frozenset({'missing', 'missing_argument'})
-_SECRET_WORDS = ('token', 'secret')
+_UNKNOWN_KEY_TYPES = frozenset(
+    {'unexpected_keyword_argument', 'extra_forbidden'}
+)
+_MISSING_KEY_TYPES = frozenset({'missing', 'missing_argument'})
+_SECRET_KEY_PARTS = ('token', 'secret')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing wrong with an input.
+    """A validation error of an input.
 
-    `key` is the dotted path inside the input, `message` says what is
-    allowed and what was given.
+    `key` is the dotted path of the value in the input; `message` describes
+    the constraint and the actual value.
     """
 
     key: str
@@ -45,68 +47,76 @@
 
 
 @functools.cache
-def _adapter(cls: type) -> pydantic.TypeAdapter:
+def _get_adapter(cls: type) -> pydantic.TypeAdapter:
     return pydantic.TypeAdapter(cls)
 
 
 def make_checked(cls: type[T], raw: Any) -> result.Result[T, Problems]:
-    """Build a `cls` from plain data, or list every problem found.
+    """Return an instance of `cls`, or all problems of the input.
 
-    `raw` is what a TOML or JSON parser returns. Unknown keys, missing keys,
-    wrong types and values out of range are all reported, not only the
-    first.
+    `raw` consists of plain dicts, lists and scalars, such as the output of a
+    TOML or JSON parser. Unknown keys, missing keys, wrong types and values
+    out of range are reported.
     """
     try:
-        return result.Ok(_adapter(cls).validate_python(raw))
+        return result.Ok(_get_adapter(cls).validate_python(raw))
     except pydantic.ValidationError as exc:
         return result.Err(
-            tuple(_describe(cls, error) for error in exc.errors())
+            tuple(_make_problem(cls, error) for error in exc.errors())
         )
 
 
-def _describe(cls: type, error: Any) -> Problem:
+def _make_problem(cls: type, error: Any) -> Problem:
     path = [str(part) for part in error['loc']]
     key = '.'.join(path) or '(top level)'
     kind = error['type']
-    if kind in _UNKNOWN_KEY:
-        return Problem(key, _suggest(cls, path))
-    if kind in _MISSING_KEY:
-        return Problem(key, 'is required and was not given')
+    if kind in _UNKNOWN_KEY_TYPES:
+        return Problem(key, _describe_unknown_key(cls, path))
+    if kind in _MISSING_KEY_TYPES:
+        return Problem(key, 'is required but missing')
     reason = error['msg'].removeprefix('Value error, ')
     reason = reason.replace('Input should', 'must')
-    if any(word in key for word in _SECRET_WORDS):
+    # A value that may be secret isn't printed.
+    if any(word in key for word in _SECRET_KEY_PARTS):
         return Problem(key, reason)
-    return Problem(key, f'{reason}; {error["input"]!r} was given')
+    return Problem(key, f'{reason}; got {error["input"]!r} instead')
 
 
-def _suggest(cls: type, path: list[str]) -> str:
-    known = _known_keys(cls, path[:-1])
-    near = difflib.get_close_matches(path[-1], known, n=1)
-    if near:
-        return f'is not a known key; did you mean {near[0]!r}?'
-    return f'is not a known key; known are {", ".join(sorted(known))}'
+def _describe_unknown_key(cls: type, path: list[str]) -> str:
+    known = _list_known_keys(cls, path[:-1])
+    matches = difflib.get_close_matches(path[-1], known, n=1)
+    if matches:
+        return f'is not a known key; did you mean {matches[0]!r}?'
+    return f'is not a known key; known keys are {", ".join(sorted(known))}'
 
 
-def _known_keys(cls: Any, path: list[str]) -> list[str]:
-    """List the keys that the class found by walking `path` declares."""
+def _list_known_keys(cls: Any, path: list[str]) -> list[str]:
+    """Return the field names of the class reached from `cls` by `path`.
+
+    Parts of the path that aren't fields are dict keys or list indexes.
+    """
     for part in path:
-        hints = typing.get_type_hints(cls) if _is_record(cls) else {}
-        cls = _element(hints[part]) if part in hints else _element(cls)
-    if not _is_record(cls):
+        hints = typing.get_type_hints(cls) if _is_data_class(cls) else {}
+        cls = (
+            _find_data_class(hints[part])
+            if part in hints
+            else _find_data_class(cls)
+        )
+    if not _is_data_class(cls):
         return []
     return [field.name for field in dataclasses.fields(cls)]
 
 
-def _is_record(cls: Any) -> bool:
+def _is_data_class(cls: Any) -> bool:
     return isinstance(cls, type) and dataclasses.is_dataclass(cls)
 
 
-def _element(hint: Any) -> Any:
-    """Return the record type inside a container or an optional type."""
+def _find_data_class(hint: Any) -> Any:
+    """Return the data class inside a container type or an optional type."""
     candidates = [hint, *typing.get_args(hint)]
     for candidate in candidates:
-        if _is_record(candidate):
+        if _is_data_class(candidate):
             return candidate
         if isinstance(candidate, types.GenericAlias):
-            return _element(candidate)
+            return _find_data_class(candidate)
     return hint
--- a/rudderrock/transport/_server.py
+++ b/rudderrock/transport/_server.py
@@ -1,4 +1,4 @@
-"""An HTTP server inside our own loop, hardened against slow callers."""
+"""An HTTP server in the running event loop, with limits for slow clients."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -13,13 +13,13 @@
 from uvicorn.protocols.http import httptools_impl
 
 _BACKLOG = 1024
-_START_POLL_S = 0.005
-_KEEP_ALIVE_S = 75
-_TOO_LARGE_HEAD = (
+_START_POLL_INTERVAL_S = 0.005
+_KEEP_ALIVE_TIMEOUT_S = 75
+_HEAD_TOO_LARGE_REPLY = (
     b'HTTP/1.1 431 Request Header Fields Too Large\r\n'
     b'content-length: 0\r\nconnection: close\r\n\r\n'
 )
-_SLOW_HEAD = (
+_HEAD_TIMEOUT_REPLY = (
     b'HTTP/1.1 408 Request Timeout\r\n'
     b'content-length: 0\r\nconnection: close\r\n\r\n'
 )
@@ -27,10 +27,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class HeadLimits:
-    """Bounds on the head of a request, before any code of ours sees it.
+    """Limits on the head of a request: request line and header fields.
 
-    `timeout_s` counts in seconds from the first byte; `max_bytes` is the
-    size of the head.
+    `timeout_s` is the time in seconds from the first byte to the end of the
+    head; `max_bytes` is the maximum size of the head.
     """
 
     timeout_s: float = 5.0
@@ -38,72 +38,74 @@
 
 
 def _make_protocol(limits: HeadLimits) -> type[asyncio.Protocol]:
-    """Make uvicorn's HTTP protocol, with bounds on a request's head.
+    """Return a subclass of uvicorn's HTTP protocol that limits heads.
 
-    uvicorn bounds idle time between requests, but not how slowly or at
-    what length one head may come (the attack known as Slowloris).
+    uvicorn limits the idle time between requests, but neither the duration
+    nor the size of a head. A Slowloris attack exploits this.
     """
 
     class BoundedProtocol(httptools_impl.HttpToolsProtocol):
-        """HTTP over one connection, closed if its head is slow or long."""
+        """HTTP connection that is closed if a head exceeds the limits."""
 
         _idle_timer: asyncio.TimerHandle
-        _is_started = False
+        _has_received_data = False
         _head_timer: asyncio.TimerHandle | None = None
         _head_bytes = 0
 
         def connection_made(self, transport: asyncio.Transport) -> None:
             super().connection_made(transport)
-            # A connection made ahead of need may stay idle as long as one
-            # kept after use; uvicorn itself bounds only the latter.
+            # A connection that has had no request yet may be idle as long as
+            # one between two requests. uvicorn limits only the latter.
             self._idle_timer = self.loop.call_later(
-                _KEEP_ALIVE_S, self._close_idle
+                _KEEP_ALIVE_TIMEOUT_S, self._close_idle
             )
 
         def connection_lost(self, exc: Exception | None) -> None:
             self._idle_timer.cancel()
-            self._end_head()
+            self._cancel_head_timer()
             super().connection_lost(exc)
 
         def data_received(self, data: bytes) -> None:
             self._idle_timer.cancel()
-            if not self._is_started:
-                self._is_started = True
-                self._start_head()
+            # The first head is timed from the first byte, later ones from
+            # `on_message_begin`.
+            if not self._has_received_data:
+                self._has_received_data = True
+                self._start_head_timer()
             if self._head_timer is not None:
                 self._head_bytes += len(data)
             super().data_received(data)
             if self._head_timer is None:
                 return
             if self._head_bytes > limits.max_bytes:
-                self._refuse(_TOO_LARGE_HEAD)
+                self._reject(_HEAD_TOO_LARGE_REPLY)
 
         def on_message_begin(self) -> None:
             super().on_message_begin()
             if self._head_timer is None:
-                self._start_head()
+                self._start_head_timer()
 
         def on_headers_complete(self) -> None:
-            self._end_head()
+            self._cancel_head_timer()
             super().on_headers_complete()
 
-        def _start_head(self) -> None:
+        def _start_head_timer(self) -> None:
             self._head_bytes = 0
             self._head_timer = self.loop.call_later(
-                limits.timeout_s, self._refuse, _SLOW_HEAD
+                limits.timeout_s, self._reject, _HEAD_TIMEOUT_REPLY
             )
 
-        def _end_head(self) -> None:
+        def _cancel_head_timer(self) -> None:
             if self._head_timer is not None:
                 self._head_timer.cancel()
                 self._head_timer = None
 
         def _close_idle(self) -> None:
-            if not self._is_started:
+            if not self._has_received_data:
                 self.transport.close()
 
-        def _refuse(self, reply: bytes) -> None:
-            self._end_head()
+        def _reject(self, reply: bytes) -> None:
+            self._cancel_head_timer()
             if not self.transport.is_closing():
                 self.transport.write(reply)
                 self.transport.close()
@@ -111,8 +113,8 @@
     return BoundedProtocol
 
 
-class _Server(uvicorn.Server):
-    """uvicorn's server without its signal handlers, which are the root's."""
+class _EmbeddedServer(uvicorn.Server):
+    """uvicorn's server without signal handlers, which the program installs."""
 
     @contextlib.contextmanager
     def capture_signals(self):
@@ -120,7 +122,10 @@
 
 
 def bind(address: str) -> result.Result[socket.socket, str]:
-    """Bind a listening TCP socket to `IP:port`; port 0 takes a free one."""
+    """Return a TCP socket that is bound to `IP:port`.
+
+    Port 0 selects a free port.
+    """
     ip, _, port = address.rpartition(':')
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -133,17 +138,18 @@
 
 
 def get_address(listener: socket.socket) -> str:
-    """Return the `IP:port` that a socket is bound to."""
+    """Return the address of a bound socket as `IP:port`."""
     ip, port = listener.getsockname()
     return f'{ip}:{port}'
 
 
 class HttpServer:
-    """An ASGI application served on a bound socket.
+    """Server of an ASGI application on a bound socket.
 
-    Parameters: `limits` bound heads, `max_connections` the connections
-    open at once; `stop_timeout_s` is how long requests under way may take
-    to end when it is closed, in seconds.
+    Parameters: `limits` are the limits on heads; `max_connections` is the
+    number of open connections from which on requests are answered with
+    status 503; `stop_timeout_s` is how long requests in flight may take to
+    complete after `close` is called, in seconds.
     """
 
     def __init__(
@@ -168,21 +174,24 @@
             server_header=False,
             backlog=_BACKLOG,
             limit_concurrency=max_connections,
-            timeout_keep_alive=_KEEP_ALIVE_S,
+            timeout_keep_alive=_KEEP_ALIVE_TIMEOUT_S,
             timeout_graceful_shutdown=max(1, round(stop_timeout_s)),
         )
-        self._server = _Server(config)
+        self._server = _EmbeddedServer(config)
         self._task: asyncio.Task | None = None
 
     async def open(self) -> None:
-        """Start serving; returns when connections are taken."""
+        """Start the server.
+
+        Returns when it accepts connections or has failed to start.
+        """
         serving = self._server.serve(sockets=[self._listener])
         self._task = asyncio.create_task(serving)
         while not self._server.started and not self._task.done():
-            await asyncio.sleep(_START_POLL_S)
+            await asyncio.sleep(_START_POLL_INTERVAL_S)
 
     async def close(self) -> None:
-        """Stop taking connections and let requests under way end."""
+        """Stop accepting connections and wait for requests in flight."""
         self._server.should_exit = True
         if self._task is not None:
             await self._task
@@ -197,9 +206,9 @@
     limits: HeadLimits = HeadLimits(),
     max_connections: int | None = None,
 ) -> AsyncIterator[str]:
-    """Serve an ASGI application while the context lasts.
+    """Serve an ASGI application until the context exits.
 
-    Yields the address, `IP:port`.
+    Yields the address as `IP:port`.
     """
     server = HttpServer(
         app, listener, limits=limits, max_connections=max_connections
@@ -212,6 +221,6 @@
 
 
 async def wait_for_disconnect(request: requests.Request) -> None:
-    """Wait until whoever sent a request, read to its end, has gone."""
+    """Wait until the client of a completely read request disconnects."""
     while (await request.receive())['type'] != 'http.disconnect':
         pass
