--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -31,13 +31,13 @@
     )
 
 
-def _fit(points: list[tuple[float, float]]) -> float:
+def _fit_slope(points: list[tuple[float, float]]) -> float:
     """Return the slope of the least-squares line through points."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
-    above = sum((x - mean_x) * (y - mean_y) for x, y in points)
-    return above / sum((x - mean_x) ** 2 for x, _ in points)
+    covariance = sum((x - mean_x) * (y - mean_y) for x, y in points)
+    return covariance / sum((x - mean_x) ** 2 for x, _ in points)
 
 
 async def _time_queries(services: int) -> float:
@@ -66,28 +66,33 @@
             f'query to {services:>5} shards: {seconds * 1000:8.2f} ms, '
             f'{each * 1e6:6.1f} us a shard (stand-in included)'
         )
-    print(f'slope {_fit(points) * 1e6:.1f} us a shard request without HTTP')
+    print(
+        f'slope {_fit_slope(points) * 1e6:.1f} us a shard request without HTTP'
+    )
 
 
-async def _hold_fleet(services: int) -> int:
+async def _measure_fleet_memory(services: int) -> int:
     tracemalloc.start()
     async with standins.run_fleet(_make_deployment(services), 1, 1):
         await asyncio.sleep(5.0)
-        held, _ = tracemalloc.get_traced_memory()
+        allocated, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return held
+    return allocated
 
 
 def measure_links() -> None:
     """Memory of a host by the number of upstreams, stand-ins included."""
     points = [
-        (2 * services, experiments.run_on_virtual_time(_hold_fleet(services)))
+        (
+            2 * services,
+            experiments.run_on_virtual_time(_measure_fleet_memory(services)),
+        )
         for services in (10, 100, 400)
     ]
-    for upstreams, held in points:
-        print(f'{upstreams:>5} upstreams: {held / 1e6:7.2f} MB')
+    for upstreams, allocated in points:
+        print(f'{upstreams:>5} upstreams: {allocated / 1e6:7.2f} MB')
     print(
-        f'slope {_fit(points) / 1000:.1f} KB an upstream of 6 lanes in '
+        f'slope {_fit_slope(points) / 1000:.1f} KB an upstream of 6 lanes in '
         'memory, sockets and HTTP client not included'
     )
 
@@ -128,7 +133,7 @@
             f'{len(data) / 1000:6.1f} KB, {seconds * 1000:6.2f} ms to read '
             'and check'
         )
-    print(f'slope {_fit(points) * 1e6:.0f} us a team')
+    print(f'slope {_fit_slope(points) * 1e6:.0f} us a team')
 
 
 async def _time_probes(hosts: int) -> tuple[float, int]:
@@ -170,7 +175,7 @@
             f'probe in a fleet of {hosts:>4}: {seconds * 1e6:7.0f} us to '
             f'read and answer, {size} bytes'
         )
-    print(f'slope {_fit(points) * 1e6:.2f} us a host in the fleet')
+    print(f'slope {_fit_slope(points) * 1e6:.2f} us a host in the fleet')
 
 
 def measure_batches() -> None:
@@ -205,7 +210,9 @@
         seconds = (time.process_time() - began) / _BATCH_ROUNDS
         points.append((size, seconds))
         print(f'batch of {size:>3}: {seconds * 1e6:7.1f} us to write and read')
-    print(f'slope {_fit(points) * 1e6:.1f} us a shard request in a batch')
+    print(
+        f'slope {_fit_slope(points) * 1e6:.1f} us a shard request in a batch'
+    )
 
 
 def main() -> None:
--- a/benchmarks/ceiling.py
+++ b/benchmarks/ceiling.py
@@ -16,14 +16,14 @@
 
 import defopt
 
-GOALS_S = {'search': 0.205, 'check': 0.090}
-WORK_S = {'search': 0.030, 'check': 0.010}
-SPARED = {'search': 2, 'check': 5}
+LATENCY_GOALS_S = {'search': 0.205, 'check': 0.090}
+MEAN_WORK_S = {'search': 0.030, 'check': 0.010}
+ALLOWED_MISSING = {'search': 2, 'check': 5}
 PAUSE_S = 0.25
 PAUSE_EVERY_S = 6.0
-HEDGE_AT = 0.4
+HEDGE_AT_FRACTION = 0.4
 # Windows with so many bad shards or more are counted together.
-MOST_BAD = 4
+MAX_BAD_SHARDS = 4
 
 
 @dataclasses.dataclass(slots=True)
@@ -57,11 +57,11 @@
             left_s -= room_s
 
 
-def draw_shards(chance: random.Random, shards: int) -> list[list[Upstream]]:
+def draw_shards(rng: random.Random, shards: int) -> list[list[Upstream]]:
     """Return shards of two upstreams, a third of which is impaired."""
 
     def draw() -> Upstream:
-        kind = chance.random()
+        kind = rng.random()
         factor = 1.0
         if kind < 0.10:
             factor = 1e6
@@ -69,15 +69,15 @@
             factor = 7.1
         elif kind < 0.38:
             factor = 9.9
-        return Upstream(factor, chance.random() * PAUSE_EVERY_S)
+        return Upstream(factor, rng.random() * PAUSE_EVERY_S)
 
     return [[draw(), draw()] for _ in range(shards)]
 
 
-def draw_work(chance: random.Random, kind: str) -> float:
+def draw_work(rng: random.Random, kind: str) -> float:
     """Return the work of one request at a sound upstream."""
-    work_s = WORK_S[kind] * chance.lognormvariate(-0.06, 0.35)
-    return work_s * (5.0 if chance.random() < 0.01 else 1.0)
+    work_s = MEAN_WORK_S[kind] * rng.lognormvariate(-0.06, 0.35)
+    return work_s * (5.0 if rng.random() < 0.01 else 1.0)
 
 
 class Knowledge(enum.Enum):
@@ -93,14 +93,14 @@
     """What a decider knows, and whether it leaves out or refuses."""
 
     knowledge: Knowledge
-    leaves_out: bool = False
-    refuses: bool = False
+    allows_missing: bool = False
+    rejects_late: bool = False
 
-    def expect(
+    def predict_end(
         self, upstream: Upstream, work_s: float, now: float, kind: str
     ) -> float:
         """Return when an answer is expected."""
-        usual_s = WORK_S[kind] * upstream.factor
+        usual_s = MEAN_WORK_S[kind] * upstream.factor
         match self.knowledge:
             case Knowledge.ALL:
                 return upstream.find_end(now, work_s)
@@ -109,67 +109,73 @@
             case Knowledge.SPEEDS:
                 return now + usual_s
 
-    def ask(self, shards, works, now: float, kind: str) -> bool:
+    def send_query(self, shards, works, now: float, kind: str) -> bool:
         """Send one query; tell if it was served in time."""
-        goal = now + GOALS_S[kind]
+        goal = now + LATENCY_GOALS_S[kind]
         chosen = []
         for replicas, pair in zip(shards, works, strict=True):
             expected = [
-                (self.expect(each, work_s, now, kind), each, work_s)
+                (self.predict_end(each, work_s, now, kind), each, work_s)
                 for each, work_s in zip(replicas, pair, strict=True)
             ]
             chosen.append(min(expected, key=lambda each: each[0]))
         chosen.sort(key=lambda each: each[0])
         late = sum(expected > goal for expected, _, _ in chosen)
-        if self.refuses and late > SPARED[kind]:
+        if self.rejects_late and late > ALLOWED_MISSING[kind]:
             return False
-        left_out = min(late, SPARED[kind]) if self.leaves_out else 0
-        asked = chosen[: len(chosen) - left_out]
+        skipped = (
+            min(late, ALLOWED_MISSING[kind]) if self.allows_missing else 0
+        )
+        asked = chosen[: len(chosen) - skipped]
         ends = [upstream.take(now, work_s) for _, upstream, work_s in asked]
-        return left_out + sum(end > goal for end in ends) <= SPARED[kind]
+        return (
+            skipped + sum(end > goal for end in ends) <= ALLOWED_MISSING[kind]
+        )
 
 
-def ask_blindly(shards, works, now: float, kind: str) -> bool:
+def send_with_hedge(shards, works, now: float, kind: str) -> bool:
     """Ask one upstream of each, and the other if that is late."""
-    goal = now + GOALS_S[kind]
+    goal = now + LATENCY_GOALS_S[kind]
     late = 0
     for number, (replicas, pair) in enumerate(zip(shards, works, strict=True)):
         first = int(now * 1000 + number) % 2
         end = replicas[first].take(now, pair[first])
-        hedge_at = now + HEDGE_AT * GOALS_S[kind]
+        hedge_at = now + HEDGE_AT_FRACTION * LATENCY_GOALS_S[kind]
         if end > hedge_at:
             other = 1 - first
             end = min(end, replicas[other].take(hedge_at, pair[other]))
         late += end > goal
-    return late <= SPARED[kind]
+    return late <= ALLOWED_MISSING[kind]
 
 
-def play(
-    seed: int, ask, shards: int, rate: float, seconds: float
+def simulate(
+    seed: int, send_query, shards: int, rate: float, seconds: float
 ) -> tuple[float, int]:
     """Return the part served in time, and the shards that none can serve."""
-    chance = random.Random(seed)
-    found = draw_shards(chance, shards)
+    rng = random.Random(seed)
+    found = draw_shards(rng, shards)
     bad = sum(min(each.factor for each in pair) > 5 for pair in found)
     now = 0.0
     served = []
     while now < seconds:
-        now += chance.expovariate(rate)
-        kind = 'search' if chance.random() < 0.75 else 'check'
-        works = [[draw_work(chance, kind) for _ in pair] for pair in found]
-        served.append(ask(found, works, now, kind))
+        now += rng.expovariate(rate)
+        kind = 'search' if rng.random() < 0.75 else 'check'
+        works = [[draw_work(rng, kind) for _ in pair] for pair in found]
+        served.append(send_query(found, works, now, kind))
     return sum(served) / len(served), bad
 
 
-ROWS = {
-    'nothing, hedging once': ask_blindly,
-    'speeds': Policy(Knowledge.SPEEDS).ask,
-    'queues': Policy(Knowledge.QUEUES).ask,
-    'queues, leaving out': Policy(Knowledge.QUEUES, True).ask,
-    'queues, leaving out, refusing': Policy(Knowledge.QUEUES, True, True).ask,
-    'all': Policy(Knowledge.ALL).ask,
-    'all, leaving out': Policy(Knowledge.ALL, True).ask,
-    'all, leaving out, refusing': Policy(Knowledge.ALL, True, True).ask,
+POLICIES = {
+    'nothing, hedging once': send_with_hedge,
+    'speeds': Policy(Knowledge.SPEEDS).send_query,
+    'queues': Policy(Knowledge.QUEUES).send_query,
+    'queues, leaving out': Policy(Knowledge.QUEUES, True).send_query,
+    'queues, leaving out, refusing': Policy(
+        Knowledge.QUEUES, True, True
+    ).send_query,
+    'all': Policy(Knowledge.ALL).send_query,
+    'all, leaving out': Policy(Knowledge.ALL, True).send_query,
+    'all, leaving out, refusing': Policy(Knowledge.ALL, True, True).send_query,
 }
 
 
@@ -181,11 +187,11 @@
     seconds: float = 4.0,
 ) -> None:
     """Print the part of queries in time, by the number of bad shards."""
-    for name, ask in ROWS.items():
+    for name, send_query in POLICIES.items():
         served: dict[int, list[float]] = {}
         for seed in range(seeds):
-            part, bad = play(seed, ask, shards, rate, seconds)
-            served.setdefault(min(bad, MOST_BAD), []).append(part)
+            part, bad = simulate(seed, send_query, shards, rate, seconds)
+            served.setdefault(min(bad, MAX_BAD_SHARDS), []).append(part)
         found = ', '.join(
             f'{bad} bad: {statistics.mean(parts):.2f}'
             for bad, parts in sorted(served.items())
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -67,9 +67,9 @@
     tracemalloc.start()
     async with standins.run_fleet(deployment, hosts, 1):
         await asyncio.sleep(20.0)
-        held, _ = tracemalloc.get_traced_memory()
+        allocated, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return held
+    return allocated
 
 
 def main() -> None:
--- a/benchmarks/control_http.py
+++ b/benchmarks/control_http.py
@@ -26,7 +26,7 @@
 _SECRETS = frontend.Secrets(peer='bench peer', operator='bench operator')
 _IDLE_S = 20.0
 _EDITS = 100
-_DEADLY_EDITS = 20
+_OUTAGE_EDITS = 20
 _POLL_S = 0.002
 _DEPLOYMENT = standins.Deployment(
     name='control',
@@ -63,7 +63,7 @@
     asyncio.run(serve())
 
 
-def _ask_use(pipes) -> list[tuple[float, int]]:
+def _request_usage(pipes) -> list[tuple[float, int]]:
     for pipe in pipes:
         pipe.send('use')
     return [pipe.recv() for pipe in pipes]
@@ -142,16 +142,16 @@
     await _wait(client, controls, 1)
     loop = asyncio.get_running_loop()
     await asyncio.sleep(5.0)
-    before = await loop.run_in_executor(None, _ask_use, pipes)
+    before = await loop.run_in_executor(None, _request_usage, pipes)
     await asyncio.sleep(_IDLE_S)
-    after = await loop.run_in_executor(None, _ask_use, pipes)
-    spent = [
+    after = await loop.run_in_executor(None, _request_usage, pipes)
+    cpu_fractions = [
         (late[0] - early[0]) / _IDLE_S
         for early, late in zip(before, after, strict=True)
     ]
     print(
-        f'{_HOSTS} idle hosts over HTTP: {100 * max(spent):.2f} % of a core '
-        f'at most, {max(each[1] for each in after) / 1000:.0f} MB at most '
+        f'{_HOSTS} idle hosts over HTTP: {100 * max(cpu_fractions):.2f} % '
+        f'of a core at most, {max(each[1] for each in after) / 1000:.0f} MB at most '
         'for a whole process'
     )
     editor = coordination.TableEditor(
@@ -168,13 +168,15 @@
         f'{1000 * times[len(times) // 2]:.0f} ms, 99 % '
         f'{1000 * times[int(len(times) * 0.99)]:.0f} ms of {_EDITS}'
     )
-    await _report_deadly(served, editor, client, controls)
+    await _report_edits_before_outage(served, editor, client, controls)
 
 
-async def _report_deadly(served, editor, client, controls) -> None:
+async def _report_edits_before_outage(
+    served, editor, client, controls
+) -> None:
     """Measure edits after which the service dies at once."""
     times = []
-    for number in range(_DEADLY_EDITS):
+    for number in range(_OUTAGE_EDITS):
         began = time.monotonic()
         edit = asyncio.create_task(
             _edit(editor, client, controls, 60 + number)
@@ -193,7 +195,7 @@
     print(
         f'the same when the service dies at once: median '
         f'{1000 * times[len(times) // 2]:.0f} ms, longest '
-        f'{1000 * times[-1]:.0f} ms of {_DEADLY_EDITS}'
+        f'{1000 * times[-1]:.0f} ms of {_OUTAGE_EDITS}'
     )
 
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -39,7 +39,10 @@
 
 
 def _run(
-    name: str, baseline: bool, factor: float = 1.0, calm: bool = False
+    name: str,
+    baseline: bool,
+    factor: float = 1.0,
+    without_faults: bool = False,
 ) -> experiments.ExperimentResult:
     plan = experiments.read_plan(_EXAMPLES / f'{name}.toml').unwrap()
     if baseline:
@@ -50,7 +53,7 @@
             for team in plan.teams
         ]
         plan = dataclasses.replace(plan, teams=teams)
-    if calm:
+    if without_faults:
         plan = dataclasses.replace(plan, faults=[])
     return experiments.run_virtual(plan)
 
@@ -94,13 +97,13 @@
             for name in options.plans
         ]
         peak = pool.submit(_run, 'overload', False, _PEAK_FACTOR)
-        calm = pool.submit(_run, 'greedy_team', False, 1.0, True)
+        without_faults = pool.submit(_run, 'greedy_team', False, 1.0, True)
         for name, baseline, ours in pairs:
             _print_pair(name, baseline.result(), ours.result())
             if name == 'overload':
                 _print_goodput(peak.result(), ours.result())
             if name == 'greedy_team':
-                _print_isolation(calm.result(), ours.result())
+                _print_isolation(without_faults.result(), ours.result())
 
 
 def _print_goodput(
@@ -117,9 +120,10 @@
 
 
 def _print_isolation(
-    calm: experiments.ExperimentResult, ours: experiments.ExperimentResult
+    without_faults: experiments.ExperimentResult,
+    ours: experiments.ExperimentResult,
 ) -> None:
-    for before, after in zip(calm.teams, ours.teams, strict=True):
+    for before, after in zip(without_faults.teams, ours.teams, strict=True):
         ratio = after.latency_s['99'] / before.latency_s['99']
         print(
             f'  {after.team}: 99th percentile {ratio:.2f} times that without '
--- a/benchmarks/gateway_request.py
+++ b/benchmarks/gateway_request.py
@@ -81,10 +81,10 @@
     )
     task = asyncio.create_task(process.run())
     await asyncio.sleep(1.0)
-    for name, drop in (('kept', False), ('new', True)):
-        spent = 0.0
+    for name, drops_idle in (('kept', False), ('new', True)):
+        cpu_s = 0.0
         for number in range(ROUNDS):
-            if drop:
+            if drops_idle:
                 process.gateway.book.drop_idle()
                 await asyncio.sleep(0.05)
             request = gateway.Request(
@@ -104,9 +104,9 @@
             reply = await process.gateway.handle(request)
             if profile is not None:
                 profile.disable()
-            spent += time.process_time() - began
+            cpu_s += time.process_time() - began
             assert reply.status == 200, reply
-        each = spent / ROUNDS / SHARDS * 1e6
+        each = cpu_s / ROUNDS / SHARDS * 1e6
         print(f'{name} connections: {each:.0f} us a shard request')
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
--- a/benchmarks/hosts.py
+++ b/benchmarks/hosts.py
@@ -67,9 +67,9 @@
             )
 
 
-async def _ask(fleet, admitted: list[float], pick) -> None:
+async def _send_queries(fleet, admitted: list[float], choose_host) -> None:
     """Ask for three times the limit, noting when each was admitted."""
-    gap_s = 1.0 / (_LIMIT * _ASK_FACTOR)
+    interval_s = 1.0 / (_LIMIT * _ASK_FACTOR)
     tasks = []
 
     async def ask(host: str) -> None:
@@ -78,13 +78,13 @@
         if isinstance(outcome, protocol.Answered):
             admitted.append(began)
 
-    for number in range(round(_RUN_S / gap_s)):
-        tasks.append(asyncio.create_task(ask(pick(number))))
-        await asyncio.sleep(gap_s)
+    for number in range(round(_RUN_S / interval_s)):
+        tasks.append(asyncio.create_task(ask(choose_host(number))))
+        await asyncio.sleep(interval_s)
     await asyncio.gather(*tasks)
 
 
-async def _overshoot(hosts: int, event: str) -> tuple[float, float]:
+async def _measure_overshoot(hosts: int, event: str) -> tuple[float, float]:
     """Return admitted to limit, in the worst second and over all."""
     async with standins.run_fleet(_make_deployment(hosts), hosts, 1) as fleet:
         edit = await fleet.set_row('desk', rate=_LIMIT, deadline_s=1.0)
@@ -94,26 +94,26 @@
         start = fleet.clock.now()
         moved = start + _EVENT_AT_S
 
-        def pick(number: int) -> str:
+        def choose_host(number: int) -> str:
             after = fleet.clock.now() >= moved
             if event == 'skew moves':
                 return 'h2' if after else 'h1'
             live = hosts - 1 if event == 'host crashes' and after else hosts
             return f'h{1 + number % live}'
 
-        load = asyncio.create_task(_ask(fleet, admitted, pick))
+        load = asyncio.create_task(_send_queries(fleet, admitted, choose_host))
         await asyncio.sleep(_EVENT_AT_S)
         if event == 'host crashes':
             await fleet.crash_host(f'h{hosts}')
         elif event == 'hosts part':
-            _part(fleet, hosts)
+            _partition_hosts(fleet, hosts)
         await load
         seconds = [int(at - start) for at in admitted]
         worst = max(seconds.count(each) for each in set(seconds))
         return worst / _LIMIT, len(admitted) / (_LIMIT * _RUN_S)
 
 
-def _part(fleet: standins.MemoryFleet, hosts: int) -> None:
+def _partition_hosts(fleet: standins.MemoryFleet, hosts: int) -> None:
     """Let one half of the hosts hear nothing of the other."""
     addresses = [running.address for running in fleet.hosts.values()]
     for one in addresses[: hosts // 2]:
@@ -126,7 +126,7 @@
     for hosts in (3, 7):
         for event in ('nothing', 'skew moves', 'host crashes', 'hosts part'):
             worst, overall = experiments.run_on_virtual_time(
-                _overshoot(hosts, event)
+                _measure_overshoot(hosts, event)
             )
             print(
                 f'{hosts} hosts, {event:<13}: {worst:.2f} times the limit in '
--- a/benchmarks/shard_request.py
+++ b/benchmarks/shard_request.py
@@ -99,10 +99,10 @@
             for connection, name in zip(connections, names, strict=True)
         )
     )
-    spent = time.process_time() - began
+    cpu_s = time.process_time() - began
     for connection in connections:
         await connection.close()
-    return spent / (queries * _SHARDS)
+    return cpu_s / (queries * _SHARDS)
 
 
 async def _measure_host(kv_address: str, queries: int) -> float:
@@ -135,12 +135,12 @@
         outcome = await host.query(row, query)
         if outcome.coverage.missing:
             raise RuntimeError(f'incomplete: {outcome.coverage}')
-    spent = time.process_time() - began
+    cpu_s = time.process_time() - began
     counters = host.runner.counters
     running.cancel()
     await asyncio.gather(running, return_exceptions=True)
     sent = counters.first + counters.hedges + counters.retries
-    return spent / sent
+    return cpu_s / sent
 
 
 def main() -> None:
@@ -161,15 +161,15 @@
         bare = asyncio.run(_measure_bare(addresses, options.queries))
         host = asyncio.run(_measure_host(kv_address, options.queries))
         runtime.tune_collector()
-        lean = asyncio.run(_measure_host(kv_address, options.queries))
+        host_tuned = asyncio.run(_measure_host(kv_address, options.queries))
         gc.set_threshold(*thresholds)
         gc.unfreeze()
         plain.append(host / bare)
-        tuned.append(lean / bare)
+        tuned.append(host_tuned / bare)
         print(
             f'round {number + 1}: bare {bare * 1e6:.0f} us, host '
             f'{host * 1e6:.0f} us, with the collector tuned '
-            f'{lean * 1e6:.0f} us a shard request',
+            f'{host_tuned * 1e6:.0f} us a shard request',
             flush=True,
         )
     print(
--- a/rudderrock/experiments/__init__.py
+++ b/rudderrock/experiments/__init__.py
@@ -1,11 +1,11 @@
 """The load and experiment tool: plans, runs, reports, comparisons."""
 
-from rudderrock.experiments._faults import play
+from rudderrock.experiments._faults import inject_fault
 from rudderrock.experiments._outcomes import Bin
 from rudderrock.experiments._outcomes import compare_results
 from rudderrock.experiments._outcomes import ExperimentResult
 from rudderrock.experiments._outcomes import format_result
-from rudderrock.experiments._outcomes import Inside
+from rudderrock.experiments._outcomes import InternalMetrics
 from rudderrock.experiments._outcomes import make_mark
 from rudderrock.experiments._outcomes import Mark
 from rudderrock.experiments._outcomes import PERCENTILES
@@ -14,14 +14,13 @@
 from rudderrock.experiments._outcomes import TeamRecorder
 from rudderrock.experiments._outcomes import write_result
 from rudderrock.experiments._plan import Burst
-from rudderrock.experiments._plan import Cold
+from rudderrock.experiments._plan import ColdRestart
+from rudderrock.experiments._plan import Drain
 from rudderrock.experiments._plan import EVERYTHING
 from rudderrock.experiments._plan import FalseLoad
 from rudderrock.experiments._plan import Fault
-from rudderrock.experiments._plan import HostGone
+from rudderrock.experiments._plan import HostDown
 from rudderrock.experiments._plan import KvDown
-from rudderrock.experiments._plan import Leave
-from rudderrock.experiments._plan import Lose
 from rudderrock.experiments._plan import Plan
 from rudderrock.experiments._plan import read_plan
 from rudderrock.experiments._plan import Rollout
@@ -29,20 +28,21 @@
 from rudderrock.experiments._plan import Slow
 from rudderrock.experiments._plan import Straggle
 from rudderrock.experiments._plan import TeamLoad
-from rudderrock.experiments._play import draw_faults
-from rudderrock.experiments._play import DrawnFault
-from rudderrock.experiments._play import lose_kv_replies
-from rudderrock.experiments._play import Player
-from rudderrock.experiments._play import slow_kv_down
-from rudderrock.experiments._play import take_kv_down
+from rudderrock.experiments._plan import UpstreamDown
+from rudderrock.experiments._random_faults import draw_faults
+from rudderrock.experiments._random_faults import DrawnFault
+from rudderrock.experiments._random_faults import FaultInjector
+from rudderrock.experiments._random_faults import inject_kv_delay
+from rudderrock.experiments._random_faults import inject_kv_outage
+from rudderrock.experiments._random_faults import inject_lost_kv_replies
 from rudderrock.experiments._real import read_targets
 from rudderrock.experiments._real import run_real
 from rudderrock.experiments._real import Targets
 from rudderrock.experiments._report import make_report
 from rudderrock.experiments._report import write_report
 from rudderrock.experiments._run import Driver
+from rudderrock.experiments._run import run_and_collect_crashes
 from rudderrock.experiments._run import run_on_virtual_time
-from rudderrock.experiments._run import run_to_the_last_task
 from rudderrock.experiments._run import run_virtual
 from rudderrock.experiments._schedules import Call
 from rudderrock.experiments._schedules import list_broken
@@ -55,22 +55,21 @@
     'Bin',
     'Burst',
     'Call',
-    'Cold',
+    'ColdRestart',
+    'Drain',
     'DrawnFault',
     'Driver',
     'EVERYTHING',
     'ExperimentResult',
     'FalseLoad',
     'Fault',
-    'HostGone',
-    'Inside',
+    'FaultInjector',
+    'HostDown',
+    'InternalMetrics',
     'KvDown',
-    'Leave',
-    'Lose',
     'Mark',
     'PERCENTILES',
     'Plan',
-    'Player',
     'Rollout',
     'ScheduleResult',
     'Shed',
@@ -81,25 +80,26 @@
     'TeamLoad',
     'TeamOutcome',
     'TeamRecorder',
+    'UpstreamDown',
     'compare_results',
     'draw_faults',
     'format_result',
+    'inject_fault',
+    'inject_kv_delay',
+    'inject_kv_outage',
+    'inject_lost_kv_replies',
     'list_broken',
-    'lose_kv_replies',
     'make_mark',
     'make_report',
-    'play',
     'read_plan',
     'read_result',
     'read_targets',
+    'run_and_collect_crashes',
     'run_on_virtual_time',
     'run_real',
     'run_schedule',
     'run_table_schedule',
-    'run_to_the_last_task',
     'run_virtual',
-    'slow_kv_down',
-    'take_kv_down',
     'write_report',
     'write_result',
 ]
--- a/rudderrock/experiments/_faults.py
+++ b/rudderrock/experiments/_faults.py
@@ -10,7 +10,7 @@
 from rudderrock.experiments import _plan as plans
 
 
-async def play(
+async def inject_fault(
     fleet: standins.MemoryFleet,
     fault: plans.Fault,
     start: float,
@@ -26,23 +26,23 @@
         case plans.Rollout():
             await _roll_out(fleet, fault, until)
         case plans.KvDown():
-            await _disturb_kv(fleet, fault, until)
-        case plans.HostGone(host=host, planned=True):
+            await _impair_kv(fleet, fault, until)
+        case plans.HostDown(host=host, planned=True):
             await fleet.stop_host(host)
-        case plans.HostGone(host=host):
+        case plans.HostDown(host=host):
             await fleet.crash_host(host)
         case plans.Burst():
             pass
-        case plans.Cold():
+        case plans.ColdRestart():
             await _restart_cold(fleet, fault, until)
         case _:
-            models = _select(fleet, fault.upstreams)
-            _break(fleet, fault, models)
+            models = _select_upstreams(fleet, fault.upstreams)
+            _inject(fleet, fault, models)
             await _sleep_until(fleet, until)
-            _mend(fault, models)
+            _clear(fault, models)
 
 
-def _break(fleet, fault: plans.Fault, models: list) -> None:
+def _inject(fleet, fault: plans.Fault, models: list) -> None:
     for model in models:
         match fault:
             case plans.Straggle(part=part, factor=factor):
@@ -50,39 +50,39 @@
                 model.faults.straggle_factor = factor
             case plans.Slow(factor=factor):
                 model.faults.slow_factor = factor
-            case plans.Lose(hang=hang):
+            case plans.UpstreamDown(hang=hang):
                 model.faults.hung = hang
                 model.faults.lost = not hang
             case plans.Shed(part=part):
                 model.faults.shed = part
             case plans.FalseLoad(queued=queued):
                 model.faults.false_load = protocol.Load(queued=queued)
-            case plans.Leave():
+            case plans.Drain():
                 model.faults.leaving = True
 
 
-def _mend(fault: plans.Fault, models: list) -> None:
+def _clear(fault: plans.Fault, models: list) -> None:
     for model in models:
         match fault:
             case plans.Straggle():
                 model.faults.straggle = 0.0
             case plans.Slow():
                 model.faults.slow_factor = 1.0
-            case plans.Lose():
+            case plans.UpstreamDown():
                 model.faults.hung = False
                 model.faults.lost = False
             case plans.Shed():
                 model.faults.shed = 0.0
             case plans.FalseLoad():
                 model.faults.false_load = None
-            case plans.Leave():
+            case plans.Drain():
                 model.faults.leaving = False
 
 
 async def _restart_cold(
-    fleet: standins.MemoryFleet, fault: plans.Cold, until: float
+    fleet: standins.MemoryFleet, fault: plans.ColdRestart, until: float
 ) -> None:
-    models = _select(fleet, fault.upstreams)
+    models = _select_upstreams(fleet, fault.upstreams)
     for model in models:
         model.faults.lost = True
     await _sleep_until(fleet, until)
@@ -92,7 +92,7 @@
         model.faults.cold_until = fleet.clock.now() + fault.warm_up_s
 
 
-async def _disturb_kv(
+async def _impair_kv(
     fleet: standins.MemoryFleet, fault: plans.KvDown, until: float
 ) -> None:
     if fault.delay_s:
@@ -122,15 +122,15 @@
     # version is held by some replica of all of them.
     models = [
         fleet.models[upstream]
-        for nth in itertools.zip_longest(*old.shards.values())
-        for upstream in nth
+        for replicas in itertools.zip_longest(*old.shards.values())
+        for upstream in replicas
         if upstream is not None
     ]
     step_s = (until - fleet.clock.now()) / len(models)
     retiring = []
     for model in models:
         model.versions = {old.version, new.version}
-        retire = _retire(model, old.version, fault.overlap_s)
+        retire = _retire_version(model, old.version, fault.overlap_s)
         retiring.append(asyncio.create_task(retire))
         await asyncio.sleep(step_s)
     await asyncio.gather(*retiring)
@@ -140,12 +140,14 @@
     )
 
 
-async def _retire(model, version: state.IndexVersion, wait_s: float) -> None:
+async def _retire_version(
+    model, version: state.IndexVersion, wait_s: float
+) -> None:
     await asyncio.sleep(wait_s)
     model.versions = model.versions - {version}
 
 
-def _select(fleet: standins.MemoryFleet, pattern: str) -> list:
+def _select_upstreams(fleet: standins.MemoryFleet, pattern: str) -> list:
     return [
         model
         for upstream, model in fleet.models.items()
--- a/rudderrock/experiments/_outcomes.py
+++ b/rudderrock/experiments/_outcomes.py
@@ -10,8 +10,8 @@
 
 from rudderrock import protocol
 
-_MICROS = 1_000_000
-_HIGHEST = 120 * _MICROS
+_US_PER_S = 1_000_000
+_MAX_LATENCY_US = 120 * _US_PER_S
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
@@ -65,7 +65,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Inside:
+class InternalMetrics:
     """What only the hosts and the stand-ins of a run know.
 
     `extra_load` is the upstream requests sent beyond one a shard, as a
@@ -103,7 +103,7 @@
     seconds: float
     hosts: int
     teams: list[TeamOutcome]
-    inside: Inside | None
+    inside: InternalMetrics | None
     marks: list[Mark]
 
     @property
@@ -136,7 +136,7 @@
         self._complete = 0
         self._bins: collections.defaultdict[int, _BinCounts]
         self._bins = collections.defaultdict(_BinCounts)
-        self._latency = histogram.HdrHistogram(1, _HIGHEST, 3)
+        self._latency = histogram.HdrHistogram(1, _MAX_LATENCY_US, 3)
 
     def record(
         self, due: float, seconds: float, outcome: protocol.Outcome | None
@@ -155,7 +155,9 @@
                 counts.shards_answered += coverage.answered
                 self._complete += not coverage.missing
                 counts.times.append(seconds)
-                micros = min(max(1, round(seconds * _MICROS)), _HIGHEST)
+                micros = min(
+                    max(1, round(seconds * _US_PER_S)), _MAX_LATENCY_US
+                )
                 self._latency.record_value(micros)
             case protocol.Refused():
                 counts.refused += 1
@@ -165,7 +167,7 @@
     def make_outcome(self) -> TeamOutcome:
         """Return what was counted."""
         counted = self._bins.values()
-        read = self._latency.get_value_at_percentile
+        get_percentile = self._latency.get_value_at_percentile
         return TeamOutcome(
             team=self.team,
             weight=self._weight,
@@ -177,7 +179,7 @@
             shards=sum(each.shards for each in counted),
             shards_answered=sum(each.shards_answered for each in counted),
             latency_s={
-                f'{percentile:g}': read(percentile) / _MICROS
+                f'{percentile:g}': get_percentile(percentile) / _US_PER_S
                 for percentile in PERCENTILES
             },
             bins=[
--- a/rudderrock/experiments/_plan.py
+++ b/rudderrock/experiments/_plan.py
@@ -13,14 +13,14 @@
 from rudderrock import state
 
 _Seconds = Annotated[float, pydantic.Field(ge=0, le=86_400)]
-_Part = Annotated[float, pydantic.Field(ge=0, le=1)]
+_Fraction = Annotated[float, pydantic.Field(ge=0, le=1)]
 _Factor = Annotated[float, pydantic.Field(ge=0, le=10_000)]
 
 EVERYTHING = '*'
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class _Timed:
+class _TimedFault:
     """A fault from `at` to `until`, in seconds of the experiment.
 
     Where `until` is left out the fault lasts to the end.
@@ -33,17 +33,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Straggle(_Timed):
+class Straggle(_TimedFault):
     """A part of requests takes `factor` times as long."""
 
     kind: Literal['straggle']
     upstreams: str = EVERYTHING
-    part: _Part = 0.01
+    part: _Fraction = 0.01
     factor: _Factor = 15.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Slow(_Timed):
+class Slow(_TimedFault):
     """Upstreams take `factor` times as long for everything."""
 
     kind: Literal['slow']
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Lose(_Timed):
+class UpstreamDown(_TimedFault):
     """Upstreams are gone, or with `hang` silent."""
 
     kind: Literal['lose']
@@ -61,16 +61,16 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Shed(_Timed):
+class Shed(_TimedFault):
     """Upstreams refuse a part of what they get."""
 
     kind: Literal['shed']
     upstreams: str
-    part: _Part = 0.5
+    part: _Fraction = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class FalseLoad(_Timed):
+class FalseLoad(_TimedFault):
     """Upstreams report a load that is not theirs."""
 
     kind: Literal['false_load']
@@ -79,7 +79,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Cold(_Timed):
+class ColdRestart(_TimedFault):
     """Upstreams come back cold: gone at `at`, slow after `until`.
 
     They are `factor` times slower for `warm_up_s` seconds.
@@ -92,7 +92,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Leave(_Timed):
+class Drain(_TimedFault):
     """Upstreams leave: they say so and take no new work."""
 
     kind: Literal['leave']
@@ -100,7 +100,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Rollout(_Timed):
+class Rollout(_TimedFault):
     """A new index version comes to one upstream after another.
 
     An upstream holds both versions for `overlap_s`, then only the new
@@ -113,7 +113,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class KvDown(_Timed):
+class KvDown(_TimedFault):
     """The key-value service is down, or with `delay_s` slow."""
 
     kind: Literal['kv_down']
@@ -121,7 +121,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class HostGone(_Timed):
+class HostDown(_TimedFault):
     """A host crashes, or with `planned` is stopped."""
 
     kind: Literal['host_gone']
@@ -130,7 +130,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Burst(_Timed):
+class Burst(_TimedFault):
     """A team asks `factor` times as often."""
 
     kind: Literal['burst']
@@ -141,14 +141,14 @@
 Fault = Annotated[
     Straggle
     | Slow
-    | Lose
+    | UpstreamDown
     | Shed
     | FalseLoad
-    | Cold
-    | Leave
+    | ColdRestart
+    | Drain
     | Rollout
     | KvDown
-    | HostGone
+    | HostDown
     | Burst,
     pydantic.Field(discriminator='kind'),
 ]
--- a/rudderrock/experiments/_play.py
+++ b/rudderrock/experiments/_random_faults.py
@@ -8,10 +8,10 @@
 
 from rudderrock import standins
 
-_SHORTEST_S = 0.05
+_MIN_LENGTH_S = 0.05
 
 # Brings a fault about in a fleet and mends it after so many seconds.
-Player = Callable[
+FaultInjector = Callable[
     [standins.MemoryFleet, float, random.Random], Awaitable[None]
 ]
 
@@ -24,22 +24,22 @@
     at: float
     length_s: float
     seed: int
-    player: Player
+    injector: FaultInjector
 
     def __str__(self) -> str:
         return f'{self.kind} at {self.at:.2f} for {self.length_s:.2f} s'
 
-    async def play(self, fleet: standins.MemoryFleet) -> None:
+    async def inject(self, fleet: standins.MemoryFleet) -> None:
         """Bring the fault about at its time, and mend it at its end."""
         await asyncio.sleep(self.at)
-        await self.player(fleet, self.length_s, random.Random(self.seed))
+        await self.injector(fleet, self.length_s, random.Random(self.seed))
 
 
 def draw_faults(
-    source: random.Random,
-    players: dict[str, Player],
+    rng: random.Random,
+    injectors: dict[str, FaultInjector],
     *,
-    most: int,
+    max_count: int,
     within_s: float,
     length_s: float,
 ) -> list[DrawnFault]:
@@ -48,36 +48,36 @@
     Each lasts up to `length_s`. The same kind may come twice, also at the
     same time.
     """
-    kinds = sorted(players)
+    kinds = sorted(injectors)
     faults = []
-    for _ in range(source.randint(1, most)):
-        kind = source.choice(kinds)
+    for _ in range(rng.randint(1, max_count)):
+        kind = rng.choice(kinds)
         faults.append(
             DrawnFault(
                 kind=kind,
-                at=source.uniform(0, within_s),
-                length_s=source.uniform(_SHORTEST_S, length_s),
-                seed=source.getrandbits(64),
-                player=players[kind],
+                at=rng.uniform(0, within_s),
+                length_s=rng.uniform(_MIN_LENGTH_S, length_s),
+                seed=rng.getrandbits(64),
+                injector=injectors[kind],
             )
         )
     return faults
 
 
-async def take_kv_down(fleet, length_s, draw) -> None:
+async def inject_kv_outage(fleet, length_s, rng) -> None:
     """Let the key-value service be down."""
     await fleet.kv.set_down(True)
     await asyncio.sleep(length_s)
     await fleet.kv.set_down(False)
 
 
-async def slow_kv_down(fleet, length_s, draw) -> None:
+async def inject_kv_delay(fleet, length_s, rng) -> None:
     """Let the key-value service be slow."""
-    fleet.kv.faults.delay_s = draw.uniform(0.01, 1.0)
+    fleet.kv.faults.delay_s = rng.uniform(0.01, 1.0)
     await asyncio.sleep(length_s)
     fleet.kv.faults.delay_s = 0.0
 
 
-async def lose_kv_replies(fleet, length_s, draw) -> None:
+async def inject_lost_kv_replies(fleet, length_s, rng) -> None:
     """Let the next writes take effect without a reply."""
-    fleet.kv.faults.lose_replies += draw.randint(1, 4)
+    fleet.kv.faults.lose_replies += rng.randint(1, 4)
--- a/rudderrock/experiments/_real.py
+++ b/rudderrock/experiments/_real.py
@@ -55,7 +55,7 @@
         runs.Driver(
             load,
             [],
-            _make_ask(load, targets, plan.seed),
+            _make_sender(load, targets, plan.seed),
             loop.time,
             state.make_random(plan.seed, f'load/{load.team}'),
         )
@@ -80,8 +80,8 @@
     )
 
 
-def _make_ask(load: plans.TeamLoad, targets: Targets, seed: int):
-    source = state.make_random(seed, f'targets/{load.team}')
+def _make_sender(load: plans.TeamLoad, targets: Targets, seed: int):
+    rng = state.make_random(seed, f'targets/{load.team}')
     idle: dict[str, list[transport.OwnedConnection]] = {
         host: [] for host in targets.hosts
     }
@@ -92,24 +92,24 @@
         body=msgspec.Raw(b'"load"'),
     )
 
-    async def ask() -> protocol.Outcome | None:
-        host = _choose(source, targets.hosts)
-        kept = idle[host]
-        if kept:
-            connection = kept.pop()
+    async def send_query() -> protocol.Outcome | None:
+        host = _choose(rng, targets.hosts)
+        idle_connections = idle[host]
+        if idle_connections:
+            connection = idle_connections.pop()
         else:
             connection = transport.OwnedConnection(host, headers=headers)
         raw = await connection.post(
             protocol.QUERY_PATH, protocol.encode(query)
         )
-        kept.append(connection)
+        idle_connections.append(connection)
         return _read_outcome(raw)
 
-    return ask
+    return send_query
 
 
-def _choose(source: random.Random, hosts: list[str]) -> str:
-    return source.choice(hosts)
+def _choose(rng: random.Random, hosts: list[str]) -> str:
+    return rng.choice(hosts)
 
 
 def _read_outcome(
@@ -130,6 +130,6 @@
 
 async def _report(loop, start: float, plan: plans.Plan, report) -> None:
     while True:
-        passed = max(0.0, loop.time() - start)
-        report(f'{passed:.0f} of {plan.seconds:g} s')
+        elapsed_s = max(0.0, loop.time() - start)
+        report(f'{elapsed_s:.0f} of {plan.seconds:g} s')
         await asyncio.sleep(_PROGRESS_STEP_S)
--- a/rudderrock/experiments/_report.py
+++ b/rudderrock/experiments/_report.py
@@ -56,9 +56,9 @@
 
 
 def _make_table(outcome: outcomes.ExperimentResult) -> str:
-    heads = ['team', 'asked', 'answered', 'refused', 'coverage %']
-    heads += [f'p{name} ms' for name in outcome.teams[0].latency_s]
-    rows = [''.join(f'<th>{head}</th>' for head in heads)]
+    headers = ['team', 'asked', 'answered', 'refused', 'coverage %']
+    headers += [f'p{name} ms' for name in outcome.teams[0].latency_s]
+    rows = [''.join(f'<th>{head}</th>' for head in headers)]
     for team in outcome.teams:
         cells = [
             html.escape(team.team),
@@ -78,24 +78,24 @@
         figsize=(_WIDTH_INCHES, _HEIGHT_INCHES), layout='constrained'
     )
     axes = figure.add_subplot()
-    got = sum(team.shards_answered for team in outcome.teams) or 1
+    total_answers = sum(team.shards_answered for team in outcome.teams) or 1
     weights = sum(team.weight for team in outcome.teams) or 1
     names = [team.team for team in outcome.teams]
-    places = range(len(names))
+    positions = range(len(names))
     axes.barh(
-        [place + _BAR_OFFSET for place in places],
-        [100 * team.shards_answered / got for team in outcome.teams],
+        [position + _BAR_OFFSET for position in positions],
+        [100 * team.shards_answered / total_answers for team in outcome.teams],
         height=_BAR_HEIGHT,
         label='share of shard answers',
     )
     axes.barh(
-        [place - _BAR_OFFSET for place in places],
+        [position - _BAR_OFFSET for position in positions],
         [100 * team.weight / weights for team in outcome.teams],
         height=_BAR_HEIGHT,
         color=_MARK_COLOUR,
         label='share of weights',
     )
-    axes.set_yticks(places, names)
+    axes.set_yticks(positions, names)
     axes.set_xlabel('%; a team that asks for less than its share gets less')
     axes.legend(fontsize=8, loc='lower right')
     return _make_svg(figure)
--- a/rudderrock/experiments/_run.py
+++ b/rudderrock/experiments/_run.py
@@ -32,17 +32,17 @@
         self,
         load: plans.TeamLoad,
         bursts: list[plans.Burst],
-        ask: Callable,
+        send_query: Callable,
         now: Callable[[], float],
-        source: random.Random,
+        rng: random.Random,
     ):
         weight = float(load.row.get('weight', _DEFAULT_WEIGHT))
         self.recorder = outcomes.TeamRecorder(load.team, weight)
         self._load = load
         self._bursts = bursts
-        self._ask = ask
+        self._send_query = send_query
         self._now = now
-        self._source = source
+        self._rng = rng
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self, start: float, warm_up_s: float, seconds: float):
@@ -53,20 +53,20 @@
             task = asyncio.create_task(self._call(start, due))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-            due += self._source.expovariate(self._get_rate(due - start))
+            due += self._rng.expovariate(self._get_rate(due - start))
         await asyncio.gather(*self._tasks)
 
     async def _call(self, start: float, due: float) -> None:
-        outcome = await self._ask()
+        outcome = await self._send_query()
         if due >= start:
-            passed = self._now() - due
-            self.recorder.record(due - start, passed, outcome)
+            elapsed_s = self._now() - due
+            self.recorder.record(due - start, elapsed_s, outcome)
 
     def _get_rate(self, second: float) -> float:
         rate = self._load.rate
         for burst in self._bursts:
-            over = burst.until is not None and second >= burst.until
-            if second >= burst.at and not over:
+            has_ended = burst.until is not None and second >= burst.until
+            if second >= burst.at and not has_ended:
                 rate *= burst.factor
         return rate
 
@@ -91,7 +91,7 @@
     loop = async_solipsism.EventLoop()
     if crashes is not None:
         loop.set_exception_handler(
-            lambda _, found: crashes.append(_describe_crash(found))
+            lambda _, context: crashes.append(_describe_crash(context))
         )
     with warnings.catch_warnings():
         warnings.simplefilter('ignore', async_solipsism.ResolutionWarning)
@@ -101,7 +101,7 @@
             loop.close()
 
 
-def run_to_the_last_task(coroutine: Coroutine) -> tuple[Any, list[str]]:
+def run_and_collect_crashes(coroutine: Coroutine) -> tuple[Any, list[str]]:
     """Run a coroutine, and return also what its tasks died of.
 
     A task that died of an exception nobody expected breaks a promise too,
@@ -113,10 +113,10 @@
     return done, crashes
 
 
-def _describe_crash(found: dict[str, Any]) -> str:
-    exception = found.get('exception')
-    task = found.get('task') or found.get('future')
-    return f'{found.get("message")}: {exception!r} in {task!r}'
+def _describe_crash(context: dict[str, Any]) -> str:
+    exception = context.get('exception')
+    task = context.get('task') or context.get('future')
+    return f'{context.get("message")}: {exception!r} in {task!r}'
 
 
 async def _run(plan, report) -> outcomes.ExperimentResult:
@@ -131,14 +131,16 @@
         end = start + plan.seconds
         drivers = [_make_driver(plan, fleet, load) for load in plan.teams]
         async with asyncio.TaskGroup() as group:
-            extras = [
-                group.create_task(faults.play(fleet, fault, start, end))
+            background_tasks = [
+                group.create_task(
+                    faults.inject_fault(fleet, fault, start, end)
+                )
                 for fault in plan.faults
             ]
             # Also when nobody wants it: one task more or less changes the
             # order of what falls on the same instant.
-            progress = _report(fleet, start, end, report or _ignore)
-            extras.append(group.create_task(progress))
+            progress = _report(fleet, start, end, report or _discard_progress)
+            background_tasks.append(group.create_task(progress))
             running = [
                 group.create_task(
                     driver.run(start, plan.warm_up_s, plan.seconds)
@@ -146,8 +148,8 @@
                 for driver in drivers
             ]
             await asyncio.gather(*running)
-            for extra in extras:
-                extra.cancel()
+            for background_task in background_tasks:
+                background_task.cancel()
         return _make_result(plan, fleet, drivers)
 
 
@@ -159,11 +161,11 @@
         for fault in plan.faults
         if isinstance(fault, plans.Burst) and fault.team == load.team
     ]
-    source = state.make_random(plan.seed, f'load/{load.team}')
+    rng = state.make_random(plan.seed, f'load/{load.team}')
     to_clients_s = plan.deployment.network.to_clients_s
 
-    async def ask() -> protocol.Outcome | None:
-        host = _balance(fleet, source)
+    async def send_query() -> protocol.Outcome | None:
+        host = _choose_ready_host(fleet, rng)
         if host is None:
             return None
         await asyncio.sleep(to_clients_s)
@@ -171,27 +173,29 @@
         await asyncio.sleep(to_clients_s)
         return outcome
 
-    return Driver(load, bursts, ask, fleet.clock.now, source)
+    return Driver(load, bursts, send_query, fleet.clock.now, rng)
 
 
-def _balance(fleet: standins.MemoryFleet, source: random.Random) -> str | None:
+def _choose_ready_host(
+    fleet: standins.MemoryFleet, rng: random.Random
+) -> str | None:
     """Choose a host as the platform's balancer does: any that is ready."""
     ready = [
         name
         for name, running in fleet.hosts.items()
         if running.host.lifecycle.is_ready and not running.task.done()
     ]
-    return source.choice(ready) if ready else None
+    return rng.choice(ready) if ready else None
 
 
-def _ignore(line: str) -> None:
+def _discard_progress(line: str) -> None:
     """Take no notice of progress."""
 
 
 async def _report(fleet, start, end, report) -> None:
     while True:
-        passed = fleet.clock.now() - start
-        report(f'{max(0.0, passed):.0f} of {end - start:.0f} s')
+        elapsed_s = fleet.clock.now() - start
+        report(f'{max(0.0, elapsed_s):.0f} of {end - start:.0f} s')
         await asyncio.sleep(_PROGRESS_STEP_S)
 
 
@@ -214,7 +218,7 @@
         seconds=plan.seconds,
         hosts=plan.deployment.hosts,
         teams=[driver.recorder.make_outcome() for driver in drivers],
-        inside=outcomes.Inside(
+        inside=outcomes.InternalMetrics(
             extra_load=(hedges + retries) / max(1, shards),
             hedges=hedges,
             retries=retries,
--- a/rudderrock/experiments/_schedules.py
+++ b/rudderrock/experiments/_schedules.py
@@ -15,17 +15,17 @@
 from rudderrock import protocol
 from rudderrock import standins
 from rudderrock import state
-from rudderrock.experiments import _play as play
+from rudderrock.experiments import _random_faults as random_faults
 from rudderrock.experiments import _run as runs
 
 _SERVICES = 4
 _TEAM = 'desk'
 _COLLECTION = 'members'
-_LENGTH_S = 4.0
-_QUERIES = 60
-_COMMANDS = 20
-_KEYS = 8
-_FAULTS = 8
+_DURATION_S = 4.0
+_QUERY_COUNT = 60
+_COMMAND_COUNT = 20
+_KEY_COUNT = 8
+_MAX_FAULTS = 8
 _SETTLE_S = 3.0
 _DEADLINE_S = 0.5
 _DEPLOYMENT = standins.Deployment(
@@ -64,7 +64,7 @@
 
 def run_schedule(seed: int) -> ScheduleResult:
     """Run the schedule of a seed on virtual time and check it."""
-    done, crashes = runs.run_to_the_last_task(_run(seed))
+    done, crashes = runs.run_and_collect_crashes(_run(seed))
     return dataclasses.replace(done, broken=done.broken + crashes)
 
 
@@ -75,36 +75,36 @@
         self.fleet = fleet
         self.calls: list[Call] = []
         self.faults: list[str] = []
-        self._source = state.make_random(seed, 'schedule')
+        self._rng = state.make_random(seed, 'schedule')
         self._keys: list[str] = []
 
     async def run(self) -> None:
         """Play load and faults side by side, then let all end."""
-        source = self._source
-        self._keys = [self.fleet.make_key() for _ in range(_KEYS)]
+        rng = self._rng
+        self._keys = [self.fleet.make_key() for _ in range(_KEY_COUNT)]
         async with asyncio.TaskGroup() as group:
-            for number in range(_QUERIES):
-                at = source.uniform(0, _LENGTH_S)
+            for number in range(_QUERY_COUNT):
+                at = rng.uniform(0, _DURATION_S)
                 group.create_task(self._query(at, f'q{number}'))
-            for number in range(_COMMANDS):
-                at = source.uniform(0, _LENGTH_S)
-                key = source.choice(self._keys)
+            for number in range(_COMMAND_COUNT):
+                at = rng.uniform(0, _DURATION_S)
+                key = rng.choice(self._keys)
                 group.create_task(self._command(at, key))
-            faults = play.draw_faults(
-                source,
-                _PLAYERS,
-                most=_FAULTS,
-                within_s=_LENGTH_S,
+            faults = random_faults.draw_faults(
+                rng,
+                _INJECTORS,
+                max_count=_MAX_FAULTS,
+                within_s=_DURATION_S,
                 length_s=1.5,
             )
             for fault in faults:
                 self.faults.append(str(fault))
-                group.create_task(fault.play(self.fleet))
+                group.create_task(fault.inject(self.fleet))
         await asyncio.sleep(_SETTLE_S)
 
     async def _query(self, at: float, marker: str) -> None:
         await asyncio.sleep(at)
-        host = self._pick_host()
+        host = self._choose_host()
         outcome = None
         if host is not None:
             outcome = await self.fleet.query(
@@ -114,7 +114,7 @@
 
     async def _command(self, at: float, key: str) -> None:
         await asyncio.sleep(at)
-        host = self._pick_host()
+        host = self._choose_host()
         outcome = None
         if host is not None:
             outcome = await self.fleet.command(
@@ -122,86 +122,86 @@
             )
         self.calls.append(Call(key, key, outcome))
 
-    def _pick_host(self) -> str | None:
+    def _choose_host(self) -> str | None:
         running = [
             name
             for name, each in self.fleet.hosts.items()
             if not each.task.done()
         ]
-        return self._source.choice(running) if running else None
+        return self._rng.choice(running) if running else None
 
 
-async def _break_upstream(fleet, length, draw, **faults) -> None:
-    model = draw.choice(list(fleet.models.values()))
-    whole = {name: getattr(model.faults, name) for name in faults}
+async def _impair_upstream(fleet, length, rng, **faults) -> None:
+    model = rng.choice(list(fleet.models.values()))
+    previous = {name: getattr(model.faults, name) for name in faults}
     for name, value in faults.items():
         setattr(model.faults, name, value)
     await asyncio.sleep(length)
-    for name, value in whole.items():
+    for name, value in previous.items():
         setattr(model.faults, name, value)
 
 
-async def _lose(fleet, length, draw):
-    await _break_upstream(fleet, length, draw, lost=True)
+async def _lose(fleet, length, rng):
+    await _impair_upstream(fleet, length, rng, lost=True)
 
 
-async def _hang(fleet, length, draw):
-    await _break_upstream(fleet, length, draw, hung=True)
+async def _hang(fleet, length, rng):
+    await _impair_upstream(fleet, length, rng, hung=True)
 
 
-async def _shed(fleet, length, draw):
-    await _break_upstream(fleet, length, draw, shed=draw.uniform(0.1, 1))
+async def _shed(fleet, length, rng):
+    await _impair_upstream(fleet, length, rng, shed=rng.uniform(0.1, 1))
 
 
-async def _slow(fleet, length, draw):
-    factor = draw.uniform(2, 60)
-    await _break_upstream(fleet, length, draw, slow_factor=factor)
+async def _slow(fleet, length, rng):
+    factor = rng.uniform(2, 60)
+    await _impair_upstream(fleet, length, rng, slow_factor=factor)
 
 
-async def _leave(fleet, length, draw):
-    await _break_upstream(fleet, length, draw, leaving=True)
+async def _leave(fleet, length, rng):
+    await _impair_upstream(fleet, length, rng, leaving=True)
 
 
-async def _straggle(fleet, length, draw):
+async def _straggle(fleet, length, rng):
     for model in fleet.models.values():
-        model.faults.straggle = draw.uniform(0, 0.3)
+        model.faults.straggle = rng.uniform(0, 0.3)
     await asyncio.sleep(length)
     for model in fleet.models.values():
         model.faults.straggle = 0.0
 
 
-async def _break_links(fleet, length, draw):
-    running = draw.choice(list(fleet.hosts.values()))
+async def _impair_links(fleet, length, rng):
+    running = rng.choice(list(fleet.hosts.values()))
     faults = running.upstream_port.faults
-    faults.lose = draw.uniform(0, 0.5)
-    faults.cross = draw.uniform(0, 0.5)
-    faults.delay_s = draw.uniform(0, 0.1)
+    faults.lose = rng.uniform(0, 0.5)
+    faults.cross = rng.uniform(0, 0.5)
+    faults.delay_s = rng.uniform(0, 0.1)
     await asyncio.sleep(length)
     faults.lose = faults.cross = faults.delay_s = 0.0
 
 
-async def _freeze(fleet, length, draw):
+async def _freeze(fleet, length, rng):
     """Let what one host is told arrive late, as after a pause."""
-    name = draw.choice(list(fleet.hosts))
+    name = rng.choice(list(fleet.hosts))
     fleet.freeze(name, True)
     await asyncio.sleep(length)
     fleet.freeze(name, False)
 
 
-async def _crash(fleet, length, draw):
-    name = draw.choice(list(fleet.hosts))
+async def _crash(fleet, length, rng):
+    name = rng.choice(list(fleet.hosts))
     if not fleet.hosts[name].task.done():
         await fleet.crash_host(name)
 
 
-async def _stop(fleet, length, draw):
-    name = draw.choice(list(fleet.hosts))
+async def _stop(fleet, length, rng):
+    name = rng.choice(list(fleet.hosts))
     if not fleet.hosts[name].task.done():
         stopping = fleet.stop_host(name)
         await asyncio.gather(stopping, return_exceptions=True)
 
 
-async def _roll_out(fleet, length, draw):
+async def _roll_out(fleet, length, rng):
     """Bring a new version to upstreams in any order, and take the old."""
     name = state.CollectionId(_COLLECTION)
     old = fleet.layout.collections[name].placements[-1]
@@ -210,11 +210,11 @@
     )
     await _publish(fleet, name, (old, new))
     models = list(fleet.models.values())
-    draw.shuffle(models)
+    rng.shuffle(models)
     for model in models:
         model.versions = {old.version, new.version}
         await asyncio.sleep(length / len(models) / 2)
-    draw.shuffle(models)
+    rng.shuffle(models)
     for model in models:
         model.versions = {new.version}
         await asyncio.sleep(length / len(models) / 2)
@@ -231,17 +231,17 @@
     await fleet.kv.put_unless_down(coordination.LAYOUT_KEY, fleet.layout)
 
 
-_PLAYERS = {
+_INJECTORS = {
     'lose': _lose,
     'hang': _hang,
     'shed': _shed,
     'slow': _slow,
     'leave': _leave,
     'straggle': _straggle,
-    'links': _break_links,
-    'kv_down': play.take_kv_down,
-    'kv_slow': play.slow_kv_down,
-    'kv_loses_replies': play.lose_kv_replies,
+    'links': _impair_links,
+    'kv_down': random_faults.inject_kv_outage,
+    'kv_slow': random_faults.inject_kv_delay,
+    'kv_loses_replies': random_faults.inject_lost_kv_replies,
     'freeze': _freeze,
     'crash': _crash,
     'stop': _stop,
@@ -283,11 +283,11 @@
         by_marker.setdefault(marker, []).append(run)
     broken = []
     for call in calls:
-        own = by_marker.get(call.marker, [])
+        executions = by_marker.get(call.marker, [])
         match call.outcome:
             case protocol.Answered():
-                broken += _check_answer(call, call.outcome, own, shards)
-            case protocol.Refused() if call.key is None and own:
+                broken += _check_answer(call, call.outcome, executions, shards)
+            case protocol.Refused() if call.key is None and executions:
                 broken.append(f'{call.marker}: refused, yet it ran')
     by_key: dict[str, list[Call]] = {}
     for call in calls:
@@ -301,14 +301,14 @@
 def _check_answer(
     call: Call,
     answer: protocol.Answered,
-    own: list[standins.Run],
+    executions: list[standins.Run],
     shards: int,
 ) -> list[str]:
     broken = []
     coverage = answer.coverage
     finished = {
         run.request.shard
-        for run in own
+        for run in executions
         if run.finished and run.request.version == answer.version
     }
     if len(coverage.missing) + coverage.answered != coverage.shards:
@@ -329,21 +329,21 @@
 
 
 def _check_command(
-    key: str, repeats: list[Call], own: list[standins.Run]
+    key: str, repeats: list[Call], executions: list[standins.Run]
 ) -> list[str]:
     broken = []
     outcomes = [call.outcome for call in repeats]
     recorded = [each for each in outcomes if _is_recorded(each)]
-    if len(own) > 1:
-        broken.append(f'{key}: ran {len(own)} times')
-    if recorded and not any(run.finished for run in own):
+    if len(executions) > 1:
+        broken.append(f'{key}: ran {len(executions)} times')
+    if recorded and not any(run.finished for run in executions):
         broken.append(f'{key}: recorded, yet it did not run')
     if sum(not each.repeat for each in recorded) > 1:
         broken.append(f'{key}: two calls say that they ran it')
     if len({tuple(hit.id for hit in each.hits) for each in recorded}) > 1:
         broken.append(f'{key}: recorded with different results')
     refused = all(isinstance(each, protocol.Refused) for each in outcomes)
-    if refused and own:
+    if refused and executions:
         broken.append(f'{key}: refused by all, yet it ran')
     return broken
 
--- a/rudderrock/experiments/_table_schedules.py
+++ b/rudderrock/experiments/_table_schedules.py
@@ -14,14 +14,14 @@
 from rudderrock import coordination
 from rudderrock import standins
 from rudderrock import state
-from rudderrock.experiments import _play as play
+from rudderrock.experiments import _random_faults as random_faults
 from rudderrock.experiments import _run as runs
 
 _HOSTS = 4
 _TEAMS = ('desk', 'kiosk', 'billing')
-_LENGTH_S = 12.0
-_EDITS = 14
-_FAULTS = 7
+_DURATION_S = 12.0
+_EDIT_COUNT = 14
+_MAX_FAULTS = 7
 _EDIT_TIMEOUT_S = 3.0
 _SETTLE_S = 14.0
 _DEPLOYMENT = standins.Deployment(
@@ -44,7 +44,7 @@
 
 def run_table_schedule(seed: int) -> TableScheduleResult:
     """Run the table schedule of a seed on virtual time and check it."""
-    done, crashes = runs.run_to_the_last_task(_run(seed))
+    done, crashes = runs.run_and_collect_crashes(_run(seed))
     return dataclasses.replace(done, broken=done.broken + crashes)
 
 
@@ -55,30 +55,30 @@
         self.fleet = fleet
         self.outcomes: list[tuple[state.Change, coordination.EditOutcome]] = []
         self.faults: list[str] = []
-        self.reverts: list[str] = []
-        self._source = state.make_random(seed, 'table schedule')
+        self.regressions: list[str] = []
+        self._rng = state.make_random(seed, 'table schedule')
         self._started = 0
 
     async def run(self) -> None:
         """Play edits and faults, then mend everything and wait."""
-        source = self._source
+        rng = self._rng
         async with asyncio.TaskGroup() as group:
             watch = group.create_task(self._watch_revisions())
             playing = []
-            for _ in range(_EDITS):
-                at = source.uniform(0, _LENGTH_S)
-                team = source.choice(_TEAMS)
+            for _ in range(_EDIT_COUNT):
+                at = rng.uniform(0, _DURATION_S)
+                team = rng.choice(_TEAMS)
                 playing.append(group.create_task(self._edit(at, team)))
-            faults = play.draw_faults(
-                source,
-                _PLAYERS,
-                most=_FAULTS,
-                within_s=_LENGTH_S,
+            faults = random_faults.draw_faults(
+                rng,
+                _INJECTORS,
+                max_count=_MAX_FAULTS,
+                within_s=_DURATION_S,
                 length_s=5.0,
             )
             for fault in faults:
                 self.faults.append(str(fault))
-                playing.append(group.create_task(fault.play(self.fleet)))
+                playing.append(group.create_task(fault.inject(self.fleet)))
             await asyncio.gather(*playing)
             await asyncio.sleep(_SETTLE_S)
             watch.cancel()
@@ -91,7 +91,7 @@
             return
         base = read.unwrap().rows.get(team)
         row = state.TeamRow(
-            team=team, weight=round(self._source.uniform(1, 100), 3)
+            team=team, weight=round(self._rng.uniform(1, 100), 3)
         )
         change = state.Change(
             edit_id=editor.make_edit_id(),
@@ -110,68 +110,68 @@
             for name, running in self.fleet.hosts.items():
                 revision = running.host.config.table_in_force.revision
                 if revision < latest.get(name, 0):
-                    self.reverts.append(f'{name} went back to {revision}')
+                    self.regressions.append(f'{name} went back to {revision}')
                 latest[name] = revision
             await asyncio.sleep(0.01)
 
 
-def _pick(fleet, draw) -> str | None:
+def _choose_host(fleet, rng) -> str | None:
     running = [
         name for name, each in fleet.hosts.items() if not each.task.done()
     ]
-    return draw.choice(running) if len(running) > 1 else None
+    return rng.choice(running) if len(running) > 1 else None
 
 
-async def _crash(fleet, length, draw):
-    name = _pick(fleet, draw)
+async def _crash(fleet, length, rng):
+    name = _choose_host(fleet, rng)
     if name is not None:
         await fleet.crash_host(name)
         await asyncio.sleep(length)
         fleet.forget_host(name)
 
 
-async def _start(fleet, length, draw):
-    name = f'new-{draw.getrandbits(32):08x}'
+async def _start(fleet, length, rng):
+    name = f'new-{rng.getrandbits(32):08x}'
     fleet.start_host(name, fleet.deployment.network.list_zones()[0])
 
 
-async def _freeze(fleet, length, draw):
-    name = _pick(fleet, draw)
+async def _freeze(fleet, length, rng):
+    name = _choose_host(fleet, rng)
     if name is not None:
         fleet.freeze(name, True)
         await asyncio.sleep(2 * length)
         fleet.freeze(name, False)
 
 
-async def _cut_off(fleet, length, draw):
-    name = _pick(fleet, draw)
+async def _cut_off(fleet, length, rng):
+    name = _choose_host(fleet, rng)
     if name is not None:
         fleet.cut_off(name, True)
         await asyncio.sleep(2 * length)
         fleet.cut_off(name, False)
 
 
-async def _lose_messages(fleet, length, draw):
-    fleet.peers.faults.lose = draw.uniform(0.05, 0.6)
+async def _lose_messages(fleet, length, rng):
+    fleet.peers.faults.lose = rng.uniform(0.05, 0.6)
     await asyncio.sleep(length)
     fleet.peers.faults.lose = 0.0
 
 
-async def _kv_drops_watches(fleet, length, draw):
+async def _kv_drops_watches(fleet, length, rng):
     fleet.kv.faults.drop_watches = True
     await asyncio.sleep(length)
     fleet.kv.faults.drop_watches = False
 
 
-_PLAYERS = {
+_INJECTORS = {
     'crash': _crash,
     'start': _start,
     'freeze': _freeze,
     'cut_off': _cut_off,
     'lose_messages': _lose_messages,
-    'kv_down': play.take_kv_down,
-    'kv_slow': play.slow_kv_down,
-    'kv_loses_replies': play.lose_kv_replies,
+    'kv_down': random_faults.inject_kv_outage,
+    'kv_slow': random_faults.inject_kv_delay,
+    'kv_loses_replies': random_faults.inject_lost_kv_replies,
     'kv_drops_watches': _kv_drops_watches,
 }
 
@@ -181,7 +181,7 @@
         schedule = _TableSchedule(fleet, seed)
         await schedule.run()
         table = (await fleet.editor.read()).unwrap()
-        broken = schedule.reverts
+        broken = schedule.regressions
         broken += _check_edits(schedule.outcomes, table)
         broken += _check_in_force(fleet, table)
         return TableScheduleResult(
--- a/rudderrock/programs/_logs.py
+++ b/rudderrock/programs/_logs.py
@@ -9,7 +9,7 @@
 from rudderrock import state
 
 # What happens for every request goes to the debug level.
-_FREQUENT = frozenset(
+_DEBUG_KINDS = frozenset(
     {
         state.EventKind.ANSWERED,
         state.EventKind.HEDGE,
@@ -17,7 +17,7 @@
         state.EventKind.CLAIM,
     }
 )
-_LOUD = frozenset(
+_WARNING_KINDS = frozenset(
     {
         state.EventKind.TABLE_REJECTED,
         state.EventKind.TABLE_RESTORED,
@@ -41,10 +41,10 @@
 
 def log_event(event: state.Event) -> None:
     """Write one event of the time line to the log."""
-    if event.kind in _FREQUENT:
+    if event.kind in _DEBUG_KINDS:
         if logging.vlog_is_on(1):
             logging.debug('%s', protocol.encode(event).decode())
-    elif event.kind in _LOUD:
+    elif event.kind in _WARNING_KINDS:
         logging.warning('%s', protocol.encode(event).decode())
     else:
         logging.info('%s', protocol.encode(event).decode())
--- a/rudderrock/programs/_runtime.py
+++ b/rudderrock/programs/_runtime.py
@@ -8,10 +8,10 @@
 
 # Allocations between collections of the youngest generation. A wide query
 # makes tens of thousands of short-lived objects, few of them in cycles.
-COLLECT_AFTER = 100_000
+COLLECTION_THRESHOLD = 100_000
 
 
-def tune_collector(collect_after: int = COLLECT_AFTER) -> None:
+def tune_collector(collect_after: int = COLLECTION_THRESHOLD) -> None:
     """Let the garbage collector run less often, and over less.
 
     What has been made by now (modules, settings) stays for the life of
--- a/rudderrock/programs/_secrets.py
+++ b/rudderrock/programs/_secrets.py
@@ -31,15 +31,16 @@
     if place.startswith(_ENV):
         name = place.removeprefix(_ENV)
         secret = os.environ.get(name, '')
-        what = f'environment variable {name}'
+        description = f'environment variable {name}'
     else:
-        what = f'file {place}'
+        description = f'file {place}'
         try:
             secret = pathlib.Path(place).read_text().strip()
         except OSError as exc:
-            return result.Err(f'{what}: {exc.strerror}')
+            return result.Err(f'{description}: {exc.strerror}')
     if len(secret) < _MIN_LENGTH:
         return result.Err(
-            f'{what} must hold a secret of at least {_MIN_LENGTH} characters'
+            f'{description} must hold a secret of at least {_MIN_LENGTH} '
+            'characters'
         )
     return result.Ok(secret)
--- a/rudderrock/programs/_settings_page.py
+++ b/rudderrock/programs/_settings_page.py
@@ -6,7 +6,7 @@
 
 from rudderrock import state
 
-_HEAD = """# Settings of the entry daemon
+_HEADER = """# Settings of the entry daemon
 
 Made by `python -m rudderrock.programs._settings_page` from the declarations
 in `rudderrock/state/_settings.py`; a scenario checks that it is up to date.
@@ -21,12 +21,12 @@
         _describe_section(field.name, field.type)
         for field in dataclasses.fields(state.Settings)
     ]
-    return '\n'.join([_HEAD, *sections])
+    return '\n'.join([_HEADER, *sections])
 
 
 def _describe_section(name: str, cls: type) -> str:
     hints = typing.get_type_hints(cls, include_extras=True)
-    lines = [f'## `[{name}]`', '', _clean(cls.__doc__), '']
+    lines = [f'## `[{name}]`', '', _strip_lines(cls.__doc__), '']
     lines += ['| key | allowed | default |', '| --- | --- | --- |']
     for field in dataclasses.fields(cls):
         allowed = _describe_type(hints[field.name])
@@ -35,7 +35,7 @@
     return '\n'.join([*lines, ''])
 
 
-def _clean(text: str) -> str:
+def _strip_lines(text: str) -> str:
     return '\n'.join(line.strip() for line in text.strip().splitlines())
 
 
@@ -51,10 +51,10 @@
     for extra in extras:
         for bound in extra.metadata:
             bounds.append(_describe_bound(bound))
-    return f'{_NAMES[base]} {" and ".join(bounds)}'
+    return f'{_TYPE_NAMES[base]} {" and ".join(bounds)}'
 
 
-_NAMES = {float: 'number', int: 'whole number', str: 'text'}
+_TYPE_NAMES = {float: 'number', int: 'whole number', str: 'text'}
 
 
 def _describe_bound(bound: typing.Any) -> str:
--- a/rudderrock/programs/_timeline_page.py
+++ b/rudderrock/programs/_timeline_page.py
@@ -7,12 +7,12 @@
 
 _WIDTH = 1100
 _LANE_HEIGHT = 46
-_LEFT = 120
-_TOP = 30
-_DOT = 5
-_STACK = 7
+_LEFT_MARGIN = 120
+_TOP_MARGIN = 30
+_DOT_RADIUS = 5
+_STACK_STEP = 7
 _MAX_ROWS = 2000
-_TICKS = 10
+_TICK_COUNT = 10
 
 _COLOURS = {
     state.EventKind.HOST_STATE: '#1f4e9c',
@@ -41,8 +41,8 @@
 def make_page(events: list[state.Event]) -> str:
     """Return events, already in order, as an HTML page."""
     hosts = sorted({event.host for event in events})
-    kinds = [kind for kind in state.EventKind if _has(events, kind)]
-    key = ''.join(
+    kinds = [kind for kind in state.EventKind if _has_kind(events, kind)]
+    legend = ''.join(
         f'<span><svg width="10" height="10"><circle cx="5" cy="5" r="5" '
         f'fill="{_get_colour(kind)}"/></svg> {kind.value}</span>'
         for kind in kinds
@@ -52,12 +52,12 @@
         f'<title>rudderrock time line</title><style>{_STYLE}</style>'
         f'<h1>Time line</h1><p>{len(events)} events of {len(hosts)} hosts. '
         'Rest the pointer on a dot to read it.</p>'
-        f'<p class="key">{key}</p>{_draw(events, hosts)}'
+        f'<p class="key">{legend}</p>{_draw(events, hosts)}'
         f'{_list_rows(events)}</html>'
     )
 
 
-def _has(events: list[state.Event], kind: state.EventKind) -> bool:
+def _has_kind(events: list[state.Event], kind: state.EventKind) -> bool:
     return any(event.kind is kind for event in events)
 
 
@@ -68,28 +68,28 @@
 def _draw(events: list[state.Event], hosts: list[state.HostId]) -> str:
     first = events[0].stamp.wall
     span = max(events[-1].stamp.wall - first, 1e-3)
-    height = _TOP + _LANE_HEIGHT * len(hosts)
-    scale = (_WIDTH - _LEFT - 20) / span
+    height = _TOP_MARGIN + _LANE_HEIGHT * len(hosts)
+    scale = (_WIDTH - _LEFT_MARGIN - 20) / span
     parts = [
         f'<svg width="{_WIDTH}" height="{height}" '
         'font-family="sans-serif" font-size="12">'
     ]
-    for tick in range(_TICKS + 1):
-        x = _LEFT + scale * span * tick / _TICKS
+    for tick in range(_TICK_COUNT + 1):
+        x = _LEFT_MARGIN + scale * span * tick / _TICK_COUNT
         parts.append(
-            f'<line x1="{x:.1f}" x2="{x:.1f}" y1="{_TOP - 8}" '
+            f'<line x1="{x:.1f}" x2="{x:.1f}" y1="{_TOP_MARGIN - 8}" '
             f'y2="{height}" stroke="#eee"/><text x="{x:.1f}" y="14" '
-            f'text-anchor="middle">{span * tick / _TICKS:.2f} s</text>'
+            f'text-anchor="middle">{span * tick / _TICK_COUNT:.2f} s</text>'
         )
     for number, host in enumerate(hosts):
-        y = _TOP + _LANE_HEIGHT * (number + 0.5)
+        y = _TOP_MARGIN + _LANE_HEIGHT * (number + 0.5)
         parts.append(
             f'<text x="4" y="{y + 4}">{html.escape(host)}</text>'
-            f'<line x1="{_LEFT}" x2="{_WIDTH}" y1="{y}" y2="{y}" '
+            f'<line x1="{_LEFT_MARGIN}" x2="{_WIDTH}" y1="{y}" y2="{y}" '
             'stroke="#ccc"/>'
         )
-        own = [event for event in events if event.host == host]
-        parts.extend(_draw_lane(own, first, scale, y))
+        host_events = [event for event in events if event.host == host]
+        parts.extend(_draw_lane(host_events, first, scale, y))
     return ''.join(parts) + '</svg>'
 
 
@@ -101,13 +101,15 @@
     last_x = -1e9
     level = 0
     for event in events:
-        x = _LEFT + scale * (event.stamp.wall - first)
-        level = (level + 1) % 5 if x - last_x < _DOT else 0
+        x = _LEFT_MARGIN + scale * (event.stamp.wall - first)
+        level = (level + 1) % 5 if x - last_x < _DOT_RADIUS else 0
         last_x = x
-        offset = (level + 1) // 2 * (_STACK if level % 2 else -_STACK)
+        offset = (
+            (level + 1) // 2 * (_STACK_STEP if level % 2 else -_STACK_STEP)
+        )
         text = html.escape(format_event(event))
         dots.append(
-            f'<circle cx="{x:.1f}" cy="{y + offset:.1f}" r="{_DOT}" '
+            f'<circle cx="{x:.1f}" cy="{y + offset:.1f}" r="{_DOT_RADIUS}" '
             f'fill="{_get_colour(event.kind)}"><title>{text}</title>'
             '</circle>'
         )
--- a/rudderrock/programs/demo.py
+++ b/rudderrock/programs/demo.py
@@ -55,10 +55,10 @@
     'kiosk-app': 'front_desk',
 }
 _QUERIES_PER_TEAM = 30
-_GAP_S = 0.2
+_QUERY_INTERVAL_S = 0.2
 _EDIT_TIMEOUT_S = 5.0
 _PERCENTILES = (50.0, 90.0, 99.0)
-_MICROS = 1_000_000
+_US_PER_S = 1_000_000
 _SHOWN_KINDS = frozenset(state.EventKind) - {
     state.EventKind.ANSWERED,
     state.EventKind.HEDGE,
@@ -69,7 +69,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Tally:
+class _TeamStats:
     """What the callers of one team saw."""
 
     outcomes: collections.Counter[str] = dataclasses.field(
@@ -78,7 +78,7 @@
     shards: int = 0
     answered: int = 0
     latency: histogram.HdrHistogram = dataclasses.field(
-        default_factory=lambda: histogram.HdrHistogram(1, 60 * _MICROS, 2)
+        default_factory=lambda: histogram.HdrHistogram(1, 60 * _US_PER_S, 2)
     )
 
 
@@ -88,11 +88,11 @@
     def __init__(self, stack: contextlib.AsyncExitStack):
         self._stack = stack
         self._clock = runtime.make_system_clock()
-        self._source = random.SystemRandom()
+        self._rng = random.SystemRandom()
         self._hosts: list[coordination.EntryHost] = []
-        self._runs: list[asyncio.Task] = []
+        self._host_tasks: list[asyncio.Task] = []
         self._tokens: dict[str, str] = {}
-        self._tallies = {team: _Tally() for team in _TEAMS}
+        self._team_stats = {team: _TeamStats() for team in _TEAMS}
         self._standins: standins.LoopbackStandins | None = None
         self._editor: coordination.TableEditor | None = None
 
@@ -115,7 +115,7 @@
         stopping = asyncio.create_task(self._hosts[2].stop())
         await self._burst()
         await stopping
-        await self._runs[2]
+        await self._host_tasks[2]
         self._report()
 
     async def _start(self) -> None:
@@ -127,7 +127,7 @@
             )
         )
         kv = self._standins.kv
-        self._editor = coordination.TableEditor(kv, self._clock, self._source)
+        self._editor = coordination.TableEditor(kv, self._clock, self._rng)
         for team, fields in _TEAMS.items():
             await self._add_team(team, fields)
         layout = self._standins.layout
@@ -145,9 +145,9 @@
         )
 
     async def _add_team(self, team: str, fields: dict) -> None:
-        token = state.make_token(state.TeamId(team), self._source)
+        token = state.make_token(state.TeamId(team), self._rng)
         self._tokens[team] = token
-        hashed = state.hash_token(token, self._source)
+        hashed = state.hash_token(token, self._rng)
         row = state.TeamRow(team=team, token_hashes=(hashed,), **fields)
         await self._change(team, None, row)
 
@@ -161,10 +161,10 @@
             host.config.table.revision < edit.revision for host in self._hosts
         ):
             await asyncio.sleep(0.001)
-        passed = self._clock.now() - began
+        elapsed_s = self._clock.now() - began
         print(
             f'   revision {edit.revision} in force on all hosts after '
-            f'{passed * 1000:.0f} ms'
+            f'{elapsed_s * 1000:.0f} ms'
         )
 
     async def _change(
@@ -211,7 +211,7 @@
             )
         )
         task = asyncio.create_task(host.run())
-        self._runs.append(task)
+        self._host_tasks.append(task)
         self._stack.push_async_callback(core.end_task, task)
 
     async def _burst(self) -> None:
@@ -229,7 +229,7 @@
             async with asyncio.TaskGroup() as group:
                 for number in range(_QUERIES_PER_TEAM):
                     group.create_task(self._call(team, clients, number))
-                    await asyncio.sleep(_GAP_S)
+                    await asyncio.sleep(_QUERY_INTERVAL_S)
 
     async def _call(
         self,
@@ -249,34 +249,34 @@
         )
         began = self._clock.now()
         replied = await ready[number % len(ready)].query(query)
-        tally = self._tallies[team]
+        stats = self._team_stats[team]
         match replied:
             case result.Ok(transport.RawReply(status=200, body=body)):
                 answer = protocol.decode(protocol.Answered, body).unwrap()
-                tally.outcomes['answered'] += 1
-                tally.shards += answer.coverage.shards
-                tally.answered += answer.coverage.answered
-                micros = round((self._clock.now() - began) * _MICROS)
-                tally.latency.record_value(micros)
+                stats.outcomes['answered'] += 1
+                stats.shards += answer.coverage.shards
+                stats.answered += answer.coverage.answered
+                micros = round((self._clock.now() - began) * _US_PER_S)
+                stats.latency.record_value(micros)
             case result.Ok(reply):
-                tally.outcomes[f'status {reply.status}'] += 1
+                stats.outcomes[f'status {reply.status}'] += 1
             case result.Err(failed):
-                tally.outcomes[failed.detail] += 1
+                stats.outcomes[failed.detail] += 1
 
     def _report(self) -> None:
         print('\nwhat the callers saw')
         print(f'{"team":<12} {"p50 ms":>7} {"p90":>7} {"p99":>7}  coverage')
-        for team, tally in self._tallies.items():
-            read = tally.latency.get_value_at_percentile
-            figures = ' '.join(
+        for team, stats in self._team_stats.items():
+            read = stats.latency.get_value_at_percentile
+            percentiles = ' '.join(
                 f'{read(percentile) / 1000:7.1f}'
                 for percentile in _PERCENTILES
             )
-            coverage = 100 * tally.answered / max(1, tally.shards)
+            coverage = 100 * stats.answered / max(1, stats.shards)
             outcomes = ', '.join(
-                f'{count} {name}' for name, count in tally.outcomes.items()
+                f'{count} {name}' for name, count in stats.outcomes.items()
             )
-            print(f'{team:<12} {figures}  {coverage:.2f} %  {outcomes}')
+            print(f'{team:<12} {percentiles}  {coverage:.2f} %  {outcomes}')
         counters = [host.runner.counters for host in self._hosts]
         shards = sum(each.shards for each in counters)
         extra = sum(each.hedges + each.retries for each in counters)
@@ -295,7 +295,7 @@
         events = [each for each in events if each.kind in _SHOWN_KINDS]
         events.sort(key=lambda each: (each.stamp, each.host))
         first = events[0].stamp.wall
-        shown = [each for each in events if _is_telling(each)]
+        shown = [each for each in events if _is_notable(each)]
         print(f'\ntime line ({len(shown)} of {len(events)} events)')
         for event in shown[:_MAX_SHOWN]:
             upstream = f'{event.upstream} ' if event.upstream else ''
@@ -305,7 +305,7 @@
             )
 
 
-def _is_telling(event: state.Event) -> bool:
+def _is_notable(event: state.Event) -> bool:
     """Leave out that each of a hundred upstreams was connected to."""
     return not event.detail.startswith('up: connected')
 
--- a/rudderrock/programs/gateway.py
+++ b/rudderrock/programs/gateway.py
@@ -19,10 +19,10 @@
 
 # Names the settings file, says the platform.
 CONFIG_VARIABLE = 'RUDDERROCK_CONFIG'
-_STDOUT = 1
+_STDOUT_FD = 1
 # Allocations between collections of the youngest generation: fewer than in
 # an entry host, since memory is paid for on the platform.
-_COLLECT_AFTER = 50_000
+_COLLECTION_THRESHOLD = 50_000
 
 
 def run_gateway(*, config: pathlib.Path | None = None) -> None:
@@ -34,7 +34,7 @@
     :param config: the settings file; else RUDDERROCK_CONFIG names it
     """
     path = config or pathlib.Path(os.environ.get(CONFIG_VARIABLE, ''))
-    gateway.set_up_log(_STDOUT)
+    gateway.set_up_log(_STDOUT_FD)
     match platform.read_boot(path):
         case result.Err(message):
             exits.fail(message, exits.Exit.USAGE)
@@ -62,7 +62,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, process.stop)
     loop.add_signal_handler(signal.SIGHUP, reload)
-    runtime.tune_collector(_COLLECT_AFTER)
+    runtime.tune_collector(_COLLECTION_THRESHOLD)
     try:
         await process.run()
     except OSError as error:
--- a/rudderrock/programs/load.py
+++ b/rudderrock/programs/load.py
@@ -36,7 +36,7 @@
         [tokens] by team
     :param quiet: print no progress
     """
-    checked = _expect(experiments.read_plan(plan))
+    checked = _unwrap_or_exit(experiments.read_plan(plan))
     if seed is not None:
         checked = dataclasses.replace(checked, seed=seed)
 
@@ -47,8 +47,10 @@
     if targets is None:
         outcome = experiments.run_virtual(checked, report)
     else:
-        known = _expect(experiments.read_targets(targets))
-        outcome = asyncio.run(experiments.run_real(checked, known, report))
+        checked_targets = _unwrap_or_exit(experiments.read_targets(targets))
+        outcome = asyncio.run(
+            experiments.run_real(checked, checked_targets, report)
+        )
     name = checked.name.replace(' ', '-')
     experiments.write_result(out / f'{name}.json', outcome)
     experiments.write_report(out / f'{name}.html', outcome)
@@ -62,8 +64,8 @@
     :param one: a result file
     :param other: another
     """
-    first = _expect(experiments.read_result(one))
-    second = _expect(experiments.read_result(other))
+    first = _unwrap_or_exit(experiments.read_result(one))
+    second = _unwrap_or_exit(experiments.read_result(other))
     print(experiments.compare_results(first, second))
 
 
@@ -94,7 +96,7 @@
         raise SystemExit(exits.Exit.FAILED)
 
 
-def _expect(read: result.Result):
+def _unwrap_or_exit(read: result.Result):
     match read:
         case result.Err(message):
             exits.fail(message, exits.Exit.USAGE)
--- a/rudderrock/programs/query.py
+++ b/rudderrock/programs/query.py
@@ -53,7 +53,7 @@
 
     reply = _send(host, token, send)
     if json or reply.status != 200:
-        _finish(reply)
+        _print_and_exit(reply)
         return
     answer = protocol.decode(protocol.Answered, reply.body).unwrap()
     coverage = answer.coverage
@@ -96,11 +96,11 @@
     )
 
     async def send(client: caller.CallerClient):
-        own = key or _make_key()
-        print(f'idempotency key {own}')
-        return await client.command(message, own)
+        used_key = key or _make_key()
+        print(f'idempotency key {used_key}')
+        return await client.command(message, used_key)
 
-    _finish(_send(host, token, send, sent=exits.Exit.UNKNOWN))
+    _print_and_exit(_send(host, token, send, failure_code=exits.Exit.UNKNOWN))
 
 
 def _make_key() -> str:
@@ -112,7 +112,7 @@
     host: str,
     token: str,
     send,
-    sent: exits.Exit = exits.Exit.UNAVAILABLE,
+    failure_code: exits.Exit = exits.Exit.UNAVAILABLE,
 ) -> transport.RawReply:
     read = secrets.read_secret(token)
     if read.is_err():
@@ -127,12 +127,12 @@
 
     match asyncio.run(run()):
         case result.Err(failed):
-            exits.fail(failed.detail, sent)
+            exits.fail(failed.detail, failure_code)
         case result.Ok(reply):
             return reply
 
 
-def _finish(reply: transport.RawReply) -> None:
+def _print_and_exit(reply: transport.RawReply) -> None:
     print(reply.body.decode())
     if reply.status == 200:
         return
--- a/rudderrock/programs/standins.py
+++ b/rudderrock/programs/standins.py
@@ -45,9 +45,11 @@
     if checked.is_err():
         problems = '\n'.join(str(each) for each in checked.unwrap_err())
         exits.fail(problems, exits.Exit.USAGE)
-    listed = [_read_host(each) for each in hosts]
+    listed_hosts = [_read_host(each) for each in hosts]
     try:
-        asyncio.run(_serve(checked.unwrap(), kv, host_list, listed, seed))
+        asyncio.run(
+            _serve(checked.unwrap(), kv, host_list, listed_hosts, seed)
+        )
     except KeyboardInterrupt:
         pass
 
@@ -66,18 +68,18 @@
     deployment: parts.Deployment,
     kv: str,
     host_list: str,
-    listed: list[transport.ListedHost],
+    listed_hosts: list[transport.ListedHost],
     seed: int,
 ) -> None:
-    source = random.Random(seed)
+    rng = random.Random(seed)
     async with parts.serve_standins(
         deployment,
         runtime.make_system_clock(),
-        source,
+        rng,
         kv_address=kv,
         host_list_address=host_list,
     ) as served:
-        served.host_list.hosts.extend(listed)
+        served.host_list.hosts.extend(listed_hosts)
         await parts.publish(served.kv, coordination.LAYOUT_KEY, served.layout)
         table = state.Table(revision=state.Revision(1))
         await parts.publish(served.kv, coordination.TABLE_KEY, table)
--- a/rudderrock/programs/table.py
+++ b/rudderrock/programs/table.py
@@ -26,7 +26,7 @@
 _KV_TIMEOUT_S = 2.0
 _WAIT_POLL_S = 0.1
 _OPERATOR_SECRET = 'env:RUDDERROCK_OPERATOR_SECRET'
-_HIDDEN = ('token_hashes',)
+_HIDDEN_FIELDS = ('token_hashes',)
 
 
 def show(team: str = '', *, kv: str = _KV, json: bool = False) -> None:
@@ -47,11 +47,11 @@
         return
     print(f'revision {table.revision}, {len(rows)} teams')
     for name, row in sorted(rows.items()):
-        fields = _to_plain(row)
+        fields = _to_builtins(row)
         text = ' '.join(
             f'{key}={protocol.encode(value).decode()}'
             for key, value in fields.items()
-            if key not in ('team', *_HIDDEN)
+            if key not in ('team', *_HIDDEN_FIELDS)
         )
         print(f'{name}: {text} tokens={len(row.token_hashes)}')
 
@@ -74,13 +74,13 @@
     fields = dict(_read_assignment(each) for each in assignments)
 
     async def edit() -> coordination.EditOutcome:
-        async with _Editing(kv) as editing:
-            base = (await editing.read_table()).rows.get(team)
+        async with _EditSession(kv) as session:
+            base = (await session.read_table()).rows.get(team)
             known = dataclasses.asdict(base) if base else {'team': team}
             row = _check_row({**known, **fields})
-            return await editing.edit(team, base, row, author, edit_id)
+            return await session.edit(team, base, row, author, edit_id)
 
-    _finish(_run(edit()))
+    _report_outcome(_run(edit()))
 
 
 def remove(team: str, *, kv: str = _KV, author: str = '') -> None:
@@ -92,13 +92,13 @@
     """
 
     async def edit() -> coordination.EditOutcome:
-        async with _Editing(kv) as editing:
-            base = (await editing.read_table()).rows.get(team)
+        async with _EditSession(kv) as session:
+            base = (await session.read_table()).rows.get(team)
             if base is None:
                 exits.fail(f'no team {team!r}', exits.Exit.REFUSED)
-            return await editing.edit(team, base, None, author, '')
+            return await session.edit(team, base, None, author, '')
 
-    _finish(_run(edit()))
+    _report_outcome(_run(edit()))
 
 
 def apply(path: pathlib.Path, *, kv: str = _KV, author: str = '') -> None:
@@ -117,8 +117,8 @@
         exits.fail(f'{path}: {exc}', exits.Exit.USAGE)
 
     async def edit_all() -> list[coordination.EditOutcome]:
-        async with _Editing(kv) as editing:
-            table = await editing.read_table()
+        async with _EditSession(kv) as session:
+            table = await session.read_table()
             rows = {
                 team: _check_row({**_get_fields(table, team), **fields})
                 for team, fields in raw.items()
@@ -127,7 +127,7 @@
             for team, row in rows.items():
                 base = table.rows.get(team)
                 if row != base:
-                    done = await editing.edit(team, base, row, author, '')
+                    done = await session.edit(team, base, row, author, '')
                     outcomes.append(done)
             return outcomes
 
@@ -135,7 +135,7 @@
     if not outcomes:
         print('nothing to change')
     for outcome in outcomes:
-        _finish(outcome)
+        _report_outcome(outcome)
 
 
 def new_token(team: str, *, kv: str = _KV, author: str = '') -> None:
@@ -148,22 +148,22 @@
     :param kv: address of the key-value service
     :param author: who makes the edit; the user's name if left out
     """
-    source = random.SystemRandom()
-    token = state.make_token(state.TeamId(team), source)
+    rng = random.SystemRandom()
+    token = state.make_token(state.TeamId(team), rng)
 
     async def edit() -> coordination.EditOutcome:
-        async with _Editing(kv) as editing:
-            base = (await editing.read_table()).rows.get(team)
+        async with _EditSession(kv) as session:
+            base = (await session.read_table()).rows.get(team)
             row = base or _check_row({'team': team})
-            hashes = (*row.token_hashes, state.hash_token(token, source))
+            hashes = (*row.token_hashes, state.hash_token(token, rng))
             row = dataclasses.replace(row, token_hashes=hashes)
-            return await editing.edit(team, base, row, author, '')
+            return await session.edit(team, base, row, author, '')
 
     outcome = _run(edit())
     if isinstance(outcome, coordination.EditAccepted):
         print(token)
         return
-    _finish(outcome)
+    _report_outcome(outcome)
 
 
 def history(*, kv: str = _KV, most: int = 20, json: bool = False) -> None:
@@ -207,9 +207,9 @@
     if secret.is_err():
         exits.fail(secret.unwrap_err(), exits.Exit.USAGE)
     client = operators.OperatorClient(secret.unwrap())
-    late = _run(_wait(client, revision, host, timeout_s))
-    if late:
-        text = ', '.join(late)
+    pending = _run(_wait(client, revision, host, timeout_s))
+    if pending:
+        text = ', '.join(pending)
         exits.fail(f'not in force on {text}', exits.Exit.UNAVAILABLE)
     print(f'revision {revision} is in force on every host')
 
@@ -226,25 +226,25 @@
     while True:
         hosts = await client.find_hosts(host)
         replies = await client.get_all_status(list(hosts.values()))
-        late = [
+        pending = [
             name
             for name, address in hosts.items()
             if replies[address] is None
             or replies[address].table_revision < revision
         ]
-        if not late or clock.now() >= end:
-            return late
+        if not pending or clock.now() >= end:
+            return pending
         await asyncio.sleep(_WAIT_POLL_S)
 
 
-class _Editing:
+class _EditSession:
     """The table's editor over one connection to the service."""
 
     def __init__(self, kv: str):
         self._kv = transport.HttpKvPort(kv, _KV_TIMEOUT_S)
         self._editor: coordination.TableEditor | None = None
 
-    async def __aenter__(self) -> '_Editing':
+    async def __aenter__(self) -> '_EditSession':
         self._editor = coordination.TableEditor(
             self._kv, runtime.make_system_clock(), random.SystemRandom()
         )
@@ -286,16 +286,16 @@
 
 
 async def _read(kv: str) -> state.Table:
-    async with _Editing(kv) as editing:
-        return await editing.read_table()
+    async with _EditSession(kv) as session:
+        return await session.read_table()
 
 
-def _finish(outcome: coordination.EditOutcome) -> None:
+def _report_outcome(outcome: coordination.EditOutcome) -> None:
     match outcome:
         case coordination.EditAccepted(edit):
             print(f'accepted as revision {edit.revision}')
         case coordination.EditLost(current):
-            plain = _to_plain(current) if current else 'no row'
+            plain = _to_builtins(current) if current else 'no row'
             exits.fail(
                 f'another edit came first; the row is now {plain}',
                 exits.Exit.REFUSED,
@@ -329,7 +329,7 @@
         return name, value
 
 
-def _to_plain(row: state.TeamRow) -> dict[str, Any]:
+def _to_builtins(row: state.TeamRow) -> dict[str, Any]:
     return msgspec.json.decode(protocol.encode(row))
 
 
--- a/rudderrock/programs/timeline.py
+++ b/rudderrock/programs/timeline.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Filter:
+class EventFilter:
     """Which events to show; an empty field lets all pass."""
 
     team: str = ''
@@ -72,25 +72,29 @@
     if secret.is_err():
         exits.fail(secret.unwrap_err(), exits.Exit.USAGE)
     client = operators.OperatorClient(secret.unwrap())
-    chosen = Filter(
+    event_filter = EventFilter(
         team=team, query=query, upstream=upstream, kinds=frozenset(kinds)
     )
     try:
-        silent = asyncio.run(_show(client, host, chosen, follow, json, html))
+        unreachable = asyncio.run(
+            _show(client, host, event_filter, follow, json, html)
+        )
     except KeyboardInterrupt:
         return
-    if silent:
-        exits.fail(f'no word from {", ".join(silent)}', exits.Exit.UNAVAILABLE)
+    if unreachable:
+        exits.fail(
+            f'no word from {", ".join(unreachable)}', exits.Exit.UNAVAILABLE
+        )
 
 
-class Collector:
+class EventCollector:
     """Fetches each host's events once and gives them out in order."""
 
     def __init__(self, client: operators.OperatorClient, host: str):
         self._client = client
         self._host = host
-        self._seen: dict[str, state.Stamp] = {}
-        self._held: list[state.Event] = []
+        self._last_stamps: dict[str, state.Stamp] = {}
+        self._buffered: list[state.Event] = []
 
     async def collect(self) -> list[str]:
         """Fetch what is new; return the hosts that were silent."""
@@ -99,56 +103,56 @@
         replies = await asyncio.gather(
             *(
                 self._client.list_events(
-                    hosts[name], self._seen.get(name, state.Stamp())
+                    hosts[name], self._last_stamps.get(name, state.Stamp())
                 )
                 for name in names
             )
         )
-        silent = []
+        unreachable = []
         for name, reply in zip(names, replies, strict=True):
             match reply:
                 case result.Ok([*events]):
-                    self._held.extend(events)
+                    self._buffered.extend(events)
                     if events:
-                        self._seen[name] = events[-1].stamp
+                        self._last_stamps[name] = events[-1].stamp
                 case result.Err(_):
-                    silent.append(name)
-        self._held.sort(key=lambda each: (each.stamp, each.host))
-        return silent
+                    unreachable.append(name)
+        self._buffered.sort(key=lambda each: (each.stamp, each.host))
+        return unreachable
 
     def take(self, settle_s: float = 0.0) -> list[state.Event]:
         """Return, once and in order, the events older than `settle_s`."""
-        if not self._held:
+        if not self._buffered:
             return []
-        limit = self._held[-1].stamp.wall - settle_s
-        ready = [each for each in self._held if each.stamp.wall <= limit]
-        self._held = self._held[len(ready) :]
+        limit = self._buffered[-1].stamp.wall - settle_s
+        ready = [each for each in self._buffered if each.stamp.wall <= limit]
+        self._buffered = self._buffered[len(ready) :]
         return ready
 
 
 async def _show(
     client: operators.OperatorClient,
     host: str,
-    chosen: Filter,
+    event_filter: EventFilter,
     follow: bool,
     json: bool,
     page: pathlib.Path | None,
 ) -> list[str]:
-    collector = Collector(client, host)
-    silent = await collector.collect()
-    events = [each for each in collector.take() if chosen.passes(each)]
+    collector = EventCollector(client, host)
+    unreachable = await collector.collect()
+    events = [each for each in collector.take() if event_filter.passes(each)]
     if page is not None:
         if not events:
             exits.fail('no event passes the filter', exits.Exit.REFUSED)
         page.write_text(pages.make_page(events))
-        return silent
+        return unreachable
     _print(events, json)
     while follow:
         await asyncio.sleep(_FOLLOW_PAUSE_S)
         await collector.collect()
         ready = collector.take(_SETTLE_S)
-        _print([each for each in ready if chosen.passes(each)], json)
-    return silent
+        _print([each for each in ready if event_filter.passes(each)], json)
+    return unreachable
 
 
 def _print(events: list[state.Event], json: bool) -> None:
