--- a/benchmarks/control_http.py
+++ b/benchmarks/control_http.py
@@ -151,8 +151,8 @@
     ]
     print(
         f'{_HOSTS} idle hosts over HTTP: {100 * max(cpu_fractions):.2f} % '
-        f'of a core at most, {max(each[1] for each in after) / 1000:.0f} MB at most '
-        'for a whole process'
+        f'of a core at most, {max(each[1] for each in after) / 1000:.0f} MB '
+        'at most for a whole process'
     )
     editor = coordination.TableEditor(
         served.kv, runtime.make_system_clock(), random.Random(1)
--- a/rudderrock/experiments/__init__.py
+++ b/rudderrock/experiments/__init__.py
@@ -1,4 +1,4 @@
-"""The load and experiment tool: plans, runs, reports, comparisons."""
+"""Load experiments: plans, runs, reports and random fault schedules."""
 
 from rudderrock.experiments._faults import inject_fault
 from rudderrock.experiments._outcomes import Bin
--- a/rudderrock/experiments/_faults.py
+++ b/rudderrock/experiments/_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a plan, brought about in a fleet on virtual time."""
+"""Injects the faults of a plan into a fleet on virtual time."""
 
 import asyncio
 import fnmatch
@@ -16,9 +16,11 @@
     start: float,
     end: float,
 ) -> None:
-    """Bring a fault about at its time, and mend it at its end.
+    """Inject a fault at its start and clear it at its end.
 
-    `start` is the loop time of the plan's second 0, `end` of its last.
+    `start` and `end` are the loop times, in seconds, at which the plan
+    starts and ends. A burst is ignored here, because the driver of its team
+    applies it.
     """
     await _sleep_until(fleet, start + fault.at)
     until = end if fault.until is None else start + fault.until
@@ -107,7 +109,7 @@
 async def _roll_out(
     fleet: standins.MemoryFleet, fault: plans.Rollout, until: float
 ) -> None:
-    """Add a version to one upstream after another, then retire the old."""
+    """Add a new version upstream by upstream and retire the old one."""
     name = state.CollectionId(fault.collection)
     collection = fleet.layout.collections[name]
     old = collection.placements[-1]
@@ -118,8 +120,8 @@
     await fleet.change_layout(
         collections={**fleet.layout.collections, name: both}
     )
-    # The first replica of every shard, then the second: at any time one
-    # version is held by some replica of all of them.
+    # Update the first replica of every shard, then the second one, so that
+    # at any time at least one version is available on every shard.
     models = [
         fleet.models[upstream]
         for replicas in itertools.zip_longest(*old.shards.values())
--- a/rudderrock/experiments/_outcomes.py
+++ b/rudderrock/experiments/_outcomes.py
@@ -1,4 +1,4 @@
-"""What an experiment saw, team by team and second by second."""
+"""Results of an experiment, per team and per second."""
 
 import collections
 import dataclasses
@@ -17,10 +17,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Bin:
-    """One second of one team: counts, coverage and two percentiles.
+    """Counts, coverage and two latency percentiles of a team in one second.
 
-    Latencies are in seconds, counted from the time at which the query was
-    due, so that waiting is not hidden (no coordinated omission).
+    Latencies are in seconds and are measured from the time at which the
+    query was due, not from when it was sent. This avoids coordinated
+    omission.
     """
 
     second: int
@@ -35,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class TeamOutcome:
-    """One team over the whole experiment; latencies in seconds."""
+    """Totals of one team over the whole experiment; latencies in seconds."""
 
     team: str
     weight: float
@@ -51,13 +52,13 @@
 
     @property
     def coverage(self) -> float:
-        """Return the part of shards that contributed to answers."""
+        """Return the fraction of shards that contributed to answers."""
         return self.shards_answered / self.shards if self.shards else 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Mark:
-    """A fault on the time axis, in seconds of the experiment."""
+    """A fault on the time axis, in seconds since the experiment began."""
 
     label: str
     at: float
@@ -66,11 +67,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class InternalMetrics:
-    """What only the hosts and the stand-ins of a run know.
+    """Metrics that only hosts and stand-ins of a simulated run expose.
 
-    `extra_load` is the upstream requests sent beyond one a shard, as a
-    part of the shards asked for. `connections` is the most that any
-    upstream had open, as a part of what it allows.
+    `extra_load` is the ratio of hedges and retries to shard requests.
+    `connections` is the peak number of open connections of any upstream, as
+    a fraction of its connection limit.
     """
 
     extra_load: float
@@ -93,9 +94,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ExperimentResult:
-    """All that one run gave; the same seed gives the same figures.
+    """Result of one run.
 
-    `inside` is None for a run against real hosts; their metrics have it.
+    A run on virtual time gives the same figures for the same seed. `inside`
+    is None for a run against real hosts, which export these metrics
+    themselves.
     """
 
     name: str
@@ -108,11 +111,11 @@
 
     @property
     def extra_load(self) -> float:
-        """Return the extra load, or NaN where it is not known."""
+        """Return the extra load, or NaN for a run against real hosts."""
         return self.inside.extra_load if self.inside else math.nan
 
     def find_team(self, team: str) -> TeamOutcome:
-        """Return one team's outcome."""
+        """Return the outcome of one team."""
         return next(each for each in self.teams if each.team == team)
 
 
@@ -127,7 +130,7 @@
 
 
 class TeamRecorder:
-    """Counts one team's outcomes while an experiment runs."""
+    """Collects the outcomes of one team during an experiment."""
 
     def __init__(self, team: str, weight: float):
         self.team = team
@@ -141,10 +144,10 @@
     def record(
         self, due: float, seconds: float, outcome: protocol.Outcome | None
     ) -> None:
-        """Count one outcome; None is a call that got no usable reply.
+        """Record one outcome; None is a call without a usable reply.
 
-        `due` is the time of the experiment at which it was to be sent,
-        `seconds` the time from then to its outcome.
+        `due` is when the query was scheduled, in seconds since the
+        experiment began. `seconds` is the time from then to the outcome.
         """
         counts = self._bins[int(due)]
         self._asked += 1
@@ -165,7 +168,7 @@
                 counts.failed += 1
 
     def make_outcome(self) -> TeamOutcome:
-        """Return what was counted."""
+        """Return the totals and bins of the team."""
         counted = self._bins.values()
         get_percentile = self._latency.get_value_at_percentile
         return TeamOutcome(
@@ -204,7 +207,7 @@
 
 
 def write_result(path: pathlib.Path, outcome: ExperimentResult) -> None:
-    """Write a result file, as JSON."""
+    """Write a result to a file as JSON."""
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_bytes(protocol.encode(outcome))
 
@@ -212,7 +215,7 @@
 def read_result(
     path: pathlib.Path,
 ) -> result.Result[ExperimentResult, str]:
-    """Read a result file."""
+    """Return the result in a file, or why it cannot be read."""
     try:
         data = path.read_bytes()
     except OSError as exc:
@@ -222,7 +225,7 @@
 
 
 def format_result(outcome: ExperimentResult) -> str:
-    """Return a result as text for people."""
+    """Return a result as a plain-text table."""
     lines = [
         f'{outcome.name}: {outcome.hosts} hosts, {outcome.seconds:g} s, '
         f'seed {outcome.seed}',
@@ -245,7 +248,7 @@
 
 
 def compare_results(one: ExperimentResult, other: ExperimentResult) -> str:
-    """Set two results side by side; ratios are the second to the first."""
+    """Return a table of two results with ratios of the second to the first."""
     lines = [f'{"":<28}{"first":>12}{"second":>12}{"ratio":>9}']
 
     def add(name: str, first: float, second: float) -> None:
@@ -275,5 +278,5 @@
 
 
 def make_mark(label: str, at: float, until: float | None, end: float) -> Mark:
-    """Return a mark; a fault without an end lasts to that of the run."""
+    """Return a mark; a fault without an end lasts until the run ends."""
     return Mark(label=label, at=at, until=end if until is None else until)
--- a/rudderrock/experiments/_plan.py
+++ b/rudderrock/experiments/_plan.py
@@ -1,4 +1,4 @@
-"""Experiments as TOML files: the systems, the load and the faults."""
+"""Experiment plans in TOML: deployment, load and faults."""
 
 import dataclasses
 import pathlib
@@ -21,9 +21,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class _TimedFault:
-    """A fault from `at` to `until`, in seconds of the experiment.
+    """A fault that is active from `at` to `until`.
 
-    Where `until` is left out the fault lasts to the end.
+    Both are in seconds since the experiment began. Without `until`, the
+    fault lasts until the end.
     """
 
     __pydantic_config__ = state.FORBID_UNKNOWN
@@ -34,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Straggle(_TimedFault):
-    """A part of requests takes `factor` times as long."""
+    """A fraction of the requests takes `factor` times as long."""
 
     kind: Literal['straggle']
     upstreams: str = EVERYTHING
@@ -44,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Slow(_TimedFault):
-    """Upstreams take `factor` times as long for everything."""
+    """Every request to the upstreams takes `factor` times as long."""
 
     kind: Literal['slow']
     upstreams: str = EVERYTHING
@@ -53,7 +54,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class UpstreamDown(_TimedFault):
-    """Upstreams are gone, or with `hang` silent."""
+    """Upstreams drop their connections and accept none.
+
+    With `hang`, they accept requests but never answer.
+    """
 
     kind: Literal['lose']
     upstreams: str
@@ -62,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Shed(_TimedFault):
-    """Upstreams refuse a part of what they get."""
+    """Upstreams reject a fraction of their requests."""
 
     kind: Literal['shed']
     upstreams: str
@@ -71,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class FalseLoad(_TimedFault):
-    """Upstreams report a load that is not theirs."""
+    """Upstreams report a queue length that does not match their load."""
 
     kind: Literal['false_load']
     upstreams: str
@@ -80,9 +84,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ColdRestart(_TimedFault):
-    """Upstreams come back cold: gone at `at`, slow after `until`.
+    """Upstreams stop at `at` and restart with cold caches at `until`.
 
-    They are `factor` times slower for `warm_up_s` seconds.
+    After the restart they are `factor` times slower for `warm_up_s`
+    seconds.
     """
 
     kind: Literal['cold']
@@ -93,7 +98,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Drain(_TimedFault):
-    """Upstreams leave: they say so and take no new work."""
+    """Upstreams drain: they announce it and accept no new requests."""
 
     kind: Literal['leave']
     upstreams: str
@@ -101,10 +106,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Rollout(_TimedFault):
-    """A new index version comes to one upstream after another.
+    """A new index version is rolled out upstream by upstream.
 
-    An upstream holds both versions for `overlap_s`, then only the new
-    one. The rollout takes from `at` to `until`.
+    Each upstream serves both versions for `overlap_s` seconds, then only
+    the new one. The rollout lasts from `at` to `until`.
     """
 
     kind: Literal['rollout']
@@ -114,7 +119,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class KvDown(_TimedFault):
-    """The key-value service is down, or with `delay_s` slow."""
+    """The key-value service is down.
+
+    With `delay_s`, it is up but each call is delayed by that time.
+    """
 
     kind: Literal['kv_down']
     delay_s: _Seconds = 0.0
@@ -122,7 +130,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class HostDown(_TimedFault):
-    """A host crashes, or with `planned` is stopped."""
+    """A host crashes or, with `planned`, is stopped gracefully."""
 
     kind: Literal['host_gone']
     host: str
@@ -131,7 +139,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Burst(_TimedFault):
-    """A team asks `factor` times as often."""
+    """A team sends `factor` times as many queries."""
 
     kind: Literal['burst']
     team: str
@@ -156,9 +164,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class TeamLoad:
-    """One team's load: queries a second to one collection, open loop.
+    """Open-loop load of one team: `rate` queries per second.
 
-    `row` has the fields of the team's row that differ from the defaults.
+    `row` holds the fields of the team's table row that differ from the
+    defaults.
     """
 
     __pydantic_config__ = state.FORBID_UNKNOWN
@@ -173,9 +182,9 @@
 class Plan:
     """An experiment.
 
-    `warm_up_s` seconds pass before anything is counted; faults count
-    their time from there. `settings` are the parts of the hosts' settings
-    that differ from the defaults.
+    Outcomes are recorded only after `warm_up_s` seconds, and times of faults
+    are relative to that moment. `settings` holds the sections and keys of
+    the hosts' settings that differ from the defaults.
     """
 
     __pydantic_config__ = state.FORBID_UNKNOWN
@@ -191,7 +200,11 @@
 
 
 def read_plan(path: pathlib.Path) -> result.Result[Plan, str]:
-    """Read and check a plan; its deployment may be another file's name."""
+    """Return a validated plan, or why it is invalid.
+
+    The deployment may be given as the name of another TOML file, relative to
+    the plan.
+    """
     read = state.read_toml(path)
     if read.is_err():
         return read
--- a/rudderrock/experiments/_random_faults.py
+++ b/rudderrock/experiments/_random_faults.py
@@ -1,4 +1,4 @@
-"""Drawing faults for a random schedule, and those that all schedules share."""
+"""Draws faults for random schedules, and holds the faults that they share."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -10,7 +10,7 @@
 
 _MIN_LENGTH_S = 0.05
 
-# Brings a fault about in a fleet and mends it after so many seconds.
+# Injects a fault into a fleet and clears it after the given seconds.
 FaultInjector = Callable[
     [standins.MemoryFleet, float, random.Random], Awaitable[None]
 ]
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class DrawnFault:
-    """One fault of a schedule; `at` and `length_s` are in seconds."""
+    """One fault of a schedule: `length_s` seconds, starting at `at`."""
 
     kind: str
     at: float
@@ -30,7 +30,7 @@
         return f'{self.kind} at {self.at:.2f} for {self.length_s:.2f} s'
 
     async def inject(self, fleet: standins.MemoryFleet) -> None:
-        """Bring the fault about at its time, and mend it at its end."""
+        """Inject the fault at its start and clear it at its end."""
         await asyncio.sleep(self.at)
         await self.injector(fleet, self.length_s, random.Random(self.seed))
 
@@ -43,10 +43,10 @@
     within_s: float,
     length_s: float,
 ) -> list[DrawnFault]:
-    """Draw one to `most` faults that begin within some seconds.
+    """Return one to `max_count` faults that start within `within_s` seconds.
 
-    Each lasts up to `length_s`. The same kind may come twice, also at the
-    same time.
+    Each lasts at most `length_s` seconds. Faults of the same kind may repeat
+    and overlap.
     """
     kinds = sorted(injectors)
     faults = []
@@ -65,19 +65,19 @@
 
 
 async def inject_kv_outage(fleet, length_s, rng) -> None:
-    """Let the key-value service be down."""
+    """Take the key-value service down."""
     await fleet.kv.set_down(True)
     await asyncio.sleep(length_s)
     await fleet.kv.set_down(False)
 
 
 async def inject_kv_delay(fleet, length_s, rng) -> None:
-    """Let the key-value service be slow."""
+    """Delay calls to the key-value service by 0.01 to 1 s."""
     fleet.kv.faults.delay_s = rng.uniform(0.01, 1.0)
     await asyncio.sleep(length_s)
     fleet.kv.faults.delay_s = 0.0
 
 
 async def inject_lost_kv_replies(fleet, length_s, rng) -> None:
-    """Let the next writes take effect without a reply."""
+    """Apply the next 1 to 4 writes but lose their replies."""
     fleet.kv.faults.lose_replies += rng.randint(1, 4)
--- a/rudderrock/experiments/_real.py
+++ b/rudderrock/experiments/_real.py
@@ -1,4 +1,4 @@
-"""Loading real hosts over HTTP with the same drivers."""
+"""Runs the load of a plan against real hosts over HTTP."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Targets:
-    """Real hosts by their callers' addresses, and tokens by team."""
+    """Caller addresses of the hosts under load, and tokens by team."""
 
     __pydantic_config__ = state.FORBID_UNKNOWN
 
@@ -32,7 +32,7 @@
 
 
 def read_targets(path: pathlib.Path) -> result.Result[Targets, str]:
-    """Read and check a file of targets."""
+    """Return validated targets, or why the file is invalid."""
     read = state.read_toml(path)
     if read.is_err():
         return read
@@ -45,9 +45,10 @@
 async def run_real(
     plan: plans.Plan, targets: Targets, report: Callable[[str], None]
 ) -> outcomes.ExperimentResult:
-    """Send a plan's load to real hosts; its faults are left out.
+    """Send the load of a plan to real hosts, without injecting its faults.
 
-    What only the hosts know, such as extra load, is in their metrics.
+    The result has no internal metrics such as the extra load; the hosts
+    export them.
     """
     loop = asyncio.get_running_loop()
     start = loop.time() + plan.warm_up_s
--- a/rudderrock/experiments/_report.py
+++ b/rudderrock/experiments/_report.py
@@ -1,4 +1,4 @@
-"""One self-contained HTML report with plots, for each result."""
+"""Renders a result as one self-contained HTML page with plots."""
 
 import html
 import io
@@ -24,7 +24,7 @@
 
 
 def write_report(path: pathlib.Path, outcome: outcomes.ExperimentResult):
-    """Write the report of a result."""
+    """Write the report of a result to a file."""
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_text(make_report(outcome))
 
@@ -73,7 +73,7 @@
 
 
 def _plot_shares(outcome: outcomes.ExperimentResult) -> str:
-    """Draw what part of all shard answers each team got, and its weight."""
+    """Return a plot of each team's share of shard answers and of weight."""
     figure = matplotlib.figure.Figure(
         figsize=(_WIDTH_INCHES, _HEIGHT_INCHES), layout='constrained'
     )
@@ -109,7 +109,7 @@
 
 
 def _plot(outcome: outcomes.ExperimentResult, label: str, read) -> str:
-    """Draw one figure over time, a line a team, as inline SVG."""
+    """Return a plot over time as inline SVG, with one line per team."""
     figure = matplotlib.figure.Figure(
         figsize=(_WIDTH_INCHES, _HEIGHT_INCHES), layout='constrained'
     )
--- a/rudderrock/experiments/_run.py
+++ b/rudderrock/experiments/_run.py
@@ -1,4 +1,4 @@
-"""Running a plan on virtual time, with stand-ins at the ports."""
+"""Runs a plan on virtual time, with stand-ins for all remote services."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,10 +22,10 @@
 
 
 class Driver:
-    """Sends one team's queries when they are due, whatever comes back.
+    """Sends the queries of one team in an open loop (Poisson arrivals).
 
-    Parameters: `ask` sends one query of the team and returns its outcome;
-    `now` reads the time; `source` draws the gaps of a Poisson process.
+    Parameters: `send_query` sends one query and returns its outcome; `now`
+    returns the time in seconds; `rng` draws the intervals between queries.
     """
 
     def __init__(
@@ -46,7 +46,11 @@
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self, start: float, warm_up_s: float, seconds: float):
-        """Send from `warm_up_s` before `start` until `seconds` after it."""
+        """Send queries until all are due, then wait for their outcomes.
+
+        The first is due `warm_up_s` seconds before `start`, the last
+        `seconds` after it.
+        """
         due = start - warm_up_s
         while due < start + seconds:
             await asyncio.sleep(max(0.0, due - self._now()))
@@ -74,9 +78,9 @@
 def run_virtual(
     plan: plans.Plan, report: Callable[[str], None] | None = None
 ) -> outcomes.ExperimentResult:
-    """Run a plan on a loop of its own whose time is virtual.
+    """Run a plan on a new event loop with virtual time.
 
-    `report` is given a line of progress now and then.
+    `report` is called with a line of progress every 5 s of virtual time.
     """
     return run_on_virtual_time(_run(plan, report))
 
@@ -84,9 +88,9 @@
 def run_on_virtual_time(
     coroutine: Coroutine, crashes: list[str] | None = None
 ) -> Any:
-    """Run a coroutine on a loop of its own whose time is virtual.
+    """Run a coroutine on a new event loop with virtual time.
 
-    `crashes` is given the exceptions that tasks died of unexpectedly.
+    Descriptions of unhandled exceptions in tasks are appended to `crashes`.
     """
     loop = async_solipsism.EventLoop()
     if crashes is not None:
@@ -102,10 +106,10 @@
 
 
 def run_and_collect_crashes(coroutine: Coroutine) -> tuple[Any, list[str]]:
-    """Run a coroutine, and return also what its tasks died of.
+    """Return the result of a coroutine and its tasks' unhandled exceptions.
 
-    A task that died of an exception nobody expected breaks a promise too,
-    and some are noticed only when the collector finds them.
+    An unhandled exception counts as a violation too. asyncio reports some of
+    them only when the task is garbage-collected, so a collection is forced.
     """
     crashes: list[str] = []
     done = run_on_virtual_time(coroutine, crashes)
@@ -137,8 +141,9 @@
                 )
                 for fault in plan.faults
             ]
-            # Also when nobody wants it: one task more or less changes the
-            # order of what falls on the same instant.
+            # This task runs even without a `report` callback: another number
+            # of tasks would change the order of events that are due at the
+            # same virtual time, and so the result.
             progress = _report(fleet, start, end, report or _discard_progress)
             background_tasks.append(group.create_task(progress))
             running = [
@@ -179,7 +184,7 @@
 def _choose_ready_host(
     fleet: standins.MemoryFleet, rng: random.Random
 ) -> str | None:
-    """Choose a host as the platform's balancer does: any that is ready."""
+    """Return a random ready host, as a load balancer would, or None."""
     ready = [
         name
         for name, running in fleet.hosts.items()
@@ -189,7 +194,7 @@
 
 
 def _discard_progress(line: str) -> None:
-    """Take no notice of progress."""
+    """Ignore a line of progress."""
 
 
 async def _report(fleet, start, end, report) -> None:
--- a/rudderrock/experiments/_schedules.py
+++ b/rudderrock/experiments/_schedules.py
@@ -1,9 +1,10 @@
-"""Random schedules of faults, and what must hold under each of them.
+"""Random schedules of calls and faults, with checks of the guarantees.
 
-A schedule is drawn from a seed: hosts, load, and faults of upstreams, of
-the ways to them, of the key-value service and of hosts, at any moment,
-together or twice. Every call carries a marker of its own, so that what the
-upstreams record as run can be set against what each caller was told.
+The load and the faults of a schedule are drawn from its seed. Faults affect
+upstreams, the links to them, the key-value service and hosts; they may
+overlap and repeat. Every call carries a marker, a command its idempotency
+key, so that the requests that upstreams ran can be compared with the outcome
+that each caller received.
 """
 
 import asyncio
@@ -45,7 +46,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """One call and what its caller was told; None if nothing."""
+    """One call and its outcome, which is None if no host was running.
+
+    `key` is the idempotency key of a command and None for a query.
+    """
 
     marker: str
     key: str | None
@@ -54,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ScheduleResult:
-    """One schedule: how calls ended, and every promise that was broken."""
+    """Result of a schedule: outcomes by type, faults and violations."""
 
     seed: int
     outcomes: dict[str, int]
@@ -63,13 +67,13 @@
 
 
 def run_schedule(seed: int) -> ScheduleResult:
-    """Run the schedule of a seed on virtual time and check it."""
+    """Run the schedule of a seed on virtual time and check its guarantees."""
     done, crashes = runs.run_and_collect_crashes(_run(seed))
     return dataclasses.replace(done, broken=done.broken + crashes)
 
 
 class _Schedule:
-    """One schedule under way."""
+    """A schedule while it runs."""
 
     def __init__(self, fleet: standins.MemoryFleet, seed: int):
         self.fleet = fleet
@@ -79,7 +83,7 @@
         self._keys: list[str] = []
 
     async def run(self) -> None:
-        """Play load and faults side by side, then let all end."""
+        """Run the load and the faults concurrently, then let them settle."""
         rng = self._rng
         self._keys = [self.fleet.make_key() for _ in range(_KEY_COUNT)]
         async with asyncio.TaskGroup() as group:
@@ -181,7 +185,7 @@
 
 
 async def _freeze(fleet, length, rng):
-    """Let what one host is told arrive late, as after a pause."""
+    """Pause one host: messages to it arrive only after the pause."""
     name = rng.choice(list(fleet.hosts))
     fleet.freeze(name, True)
     await asyncio.sleep(length)
@@ -202,7 +206,7 @@
 
 
 async def _roll_out(fleet, length, rng):
-    """Bring a new version to upstreams in any order, and take the old."""
+    """Add a new version to upstreams in random order, then remove the old."""
     name = state.CollectionId(_COLLECTION)
     old = fleet.layout.collections[name].placements[-1]
     new = state.Placement(
@@ -227,7 +231,8 @@
     fleet.layout = dataclasses.replace(
         fleet.layout, revision=revision, collections=collections_now
     )
-    # An outage may refuse it; the hosts then learn of the version late.
+    # The write fails while the key-value service is down. Hosts then receive
+    # the layout with the next successful write.
     await fleet.kv.put_unless_down(coordination.LAYOUT_KEY, fleet.layout)
 
 
@@ -272,10 +277,10 @@
 def list_broken(
     calls: list[Call], records: list[standins.Run], shards: int = _SERVICES
 ) -> list[str]:
-    """List every promise that outcomes and records show as broken.
+    """Return a description of each violation that calls and records show.
 
-    `records` are of all upstreams; `shards` is how many the collection
-    has.
+    `records` are the requests that all upstreams ran. `shards` is the number
+    of shards of the collection.
     """
     by_marker: dict[str, list[standins.Run]] = {}
     for run in records:
@@ -288,7 +293,7 @@
             case protocol.Answered():
                 broken += _check_answer(call, call.outcome, executions, shards)
             case protocol.Refused() if call.key is None and executions:
-                broken.append(f'{call.marker}: refused, yet it ran')
+                broken.append(f'{call.marker}: refused, but it ran')
     by_key: dict[str, list[Call]] = {}
     for call in calls:
         if call.key is not None:
@@ -312,11 +317,15 @@
         if run.finished and run.request.version == answer.version
     }
     if len(coverage.missing) + coverage.answered != coverage.shards:
-        broken.append(f'{call.marker}: coverage does not add up')
+        broken.append(
+            f'{call.marker}: answered and missing shards do not add up'
+        )
     if coverage.shards != shards:
-        broken.append(f'{call.marker}: {coverage.shards} shards counted')
+        broken.append(f'{call.marker}: {coverage.shards} shards in coverage')
     if len(finished - set(coverage.missing)) < coverage.answered:
-        broken.append(f'{call.marker}: counts shards that did not answer')
+        broken.append(
+            f'{call.marker}: coverage counts shards that did not answer'
+        )
     for hit in answer.hits:
         document = json.loads(bytes(hit.document))
         if document['echo'] != call.marker:
@@ -324,7 +333,7 @@
         if document['shard'] in coverage.missing:
             broken.append(f'{call.marker}: has a hit of a missing shard')
         if hit.id.split('-')[-2] != str(answer.version):
-            broken.append(f'{call.marker}: mixes versions')
+            broken.append(f'{call.marker}: has a hit of another version')
     return broken
 
 
@@ -337,14 +346,14 @@
     if len(executions) > 1:
         broken.append(f'{key}: ran {len(executions)} times')
     if recorded and not any(run.finished for run in executions):
-        broken.append(f'{key}: recorded, yet it did not run')
+        broken.append(f'{key}: recorded, but it did not run')
     if sum(not each.repeat for each in recorded) > 1:
-        broken.append(f'{key}: two calls say that they ran it')
+        broken.append(f'{key}: recorded as a first run more than once')
     if len({tuple(hit.id for hit in each.hits) for each in recorded}) > 1:
         broken.append(f'{key}: recorded with different results')
     refused = all(isinstance(each, protocol.Refused) for each in outcomes)
     if refused and executions:
-        broken.append(f'{key}: refused by all, yet it ran')
+        broken.append(f'{key}: refused on every call, but it ran')
     return broken
 
 
--- a/rudderrock/experiments/_table_schedules.py
+++ b/rudderrock/experiments/_table_schedules.py
@@ -1,11 +1,15 @@
-"""Random schedules of edits and faults between hosts.
-
-Operators edit rows, sometimes the same one at the same moment, while hosts
-crash, start, freeze or are cut off, messages are lost, and the key-value
-service goes down, slows or loses replies. Checked are: no host ever goes
-back; what was reported accepted stands once in the history and what was
-reported lost does not; and when all is well again, every host has the last
-accepted edit in force.
+"""Random schedules of table edits and faults, with checks of the guarantees.
+
+Operators edit rows, sometimes the same row concurrently. Meanwhile hosts
+crash, start, pause or are cut off, messages are lost, and the key-value
+service goes down, slows down, loses replies or drops watches. The checks
+are:
+
+- the revision in force on a host never decreases;
+- the history has every accepted edit exactly once, an uncertain edit at most
+  once, and no edit that lost a conflict;
+- after all faults have ended, every running host has the latest table in
+  force.
 """
 
 import asyncio
@@ -34,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TableScheduleResult:
-    """One schedule: how its edits ended, and every promise broken."""
+    """Result of a schedule: outcomes of edits, faults and violations."""
 
     seed: int
     outcomes: list[str]
@@ -49,7 +53,7 @@
 
 
 class _TableSchedule:
-    """One schedule under way."""
+    """A table schedule while it runs."""
 
     def __init__(self, fleet: standins.MemoryFleet, seed: int):
         self.fleet = fleet
@@ -60,7 +64,7 @@
         self._started = 0
 
     async def run(self) -> None:
-        """Play edits and faults, then mend everything and wait."""
+        """Run edits and faults concurrently, then let the hosts settle."""
         rng = self._rng
         async with asyncio.TaskGroup() as group:
             watch = group.create_task(self._watch_revisions())
@@ -104,13 +108,15 @@
         self.outcomes.append((change, outcome))
 
     async def _watch_revisions(self) -> None:
-        """Look at every host all the time; none may ever go back."""
+        """Poll the revision of each host every 10 ms and record decreases."""
         latest: dict[str, int] = {}
         while True:
             for name, running in self.fleet.hosts.items():
                 revision = running.host.config.table_in_force.revision
                 if revision < latest.get(name, 0):
-                    self.regressions.append(f'{name} went back to {revision}')
+                    self.regressions.append(
+                        f'{name} reverted to revision {revision}'
+                    )
                 latest[name] = revision
             await asyncio.sleep(0.01)
 
@@ -198,30 +204,30 @@
     outcomes: list[tuple[state.Change, coordination.EditOutcome]],
     table: state.Table,
 ) -> list[str]:
-    """Set what each operator was told against the history."""
+    """Return violations between the outcomes of edits and the history."""
     broken = []
     for change, outcome in outcomes:
         times = sum(edit.edit_id == change.edit_id for edit in table.history)
         match outcome:
             case coordination.EditAccepted() if times != 1:
-                broken.append(f'accepted, yet it stands {times} times')
+                broken.append(f'accepted, but {times} times in the history')
             case coordination.EditLost() if times:
-                broken.append('lost, yet it stands')
+                broken.append('lost to a conflict, but in the history')
             case coordination.EditUncertain() if times > 1:
-                broken.append(f'uncertain, and it stands {times} times')
+                broken.append(f'uncertain, and {times} times in the history')
     revisions = [edit.revision for edit in table.history]
     if revisions != sorted(set(revisions)):
-        broken.append(f'revisions are out of order: {revisions}')
+        broken.append(f'revisions are not strictly increasing: {revisions}')
     return broken
 
 
 def _check_in_force(
     fleet: standins.MemoryFleet, table: state.Table
 ) -> list[str]:
-    """Check that every host that lives has the last table in force."""
+    """Return the running hosts that do not have the latest table in force."""
     return [
-        f'{name} has {running.host.config.table_in_force.revision} in '
-        f'force, not {table.revision}'
+        f'{name} has revision {running.host.config.table_in_force.revision} '
+        f'in force, not {table.revision}'
         for name, running in fleet.hosts.items()
         if not running.task.done()
         and running.host.config.table_in_force != table
--- a/rudderrock/programs/_caller.py
+++ b/rudderrock/programs/_caller.py
@@ -1,4 +1,4 @@
-"""A caller's side of the tier, for the query program and the demo."""
+"""HTTP client for callers, used by the query program and the demo."""
 
 import contextlib
 
@@ -9,9 +9,9 @@
 
 
 class CallerClient:
-    """Asks one entry host; one connection for each call under way.
+    """Client of one entry host with one connection per query in flight.
 
-    Parameters: `address` is `IP:port`, `token` the team's bearer token.
+    Parameters: `address` is `IP:port`; `token` is the team's bearer token.
     """
 
     def __init__(self, address: str, token: str):
@@ -22,13 +22,16 @@
     async def query(
         self, query: protocol.Query
     ) -> result.Result[transport.RawReply, transport.ExchangeFailed]:
-        """Send a query; the reply is an outcome as HTTP."""
+        """Send a query and return the HTTP reply."""
         return await self._post(protocol.QUERY_PATH, query)
 
     async def command(
         self, command: protocol.Command, key: str
     ) -> result.Result[transport.RawReply, transport.ExchangeFailed]:
-        """Send a non-idempotent request under its idempotency key."""
+        """Send a non-idempotent request with its idempotency key.
+
+        It uses a new connection, which is closed after the reply.
+        """
         headers = {**self._headers, protocol.IDEMPOTENCY_HEADER: key}
         connection = transport.OwnedConnection(self._address, headers=headers)
         async with contextlib.AsyncExitStack() as stack:
@@ -37,7 +40,7 @@
             return await connection.post(protocol.COMMAND_PATH, body)
 
     async def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         for connection in self._idle:
             await connection.close()
 
--- a/rudderrock/programs/_exits.py
+++ b/rudderrock/programs/_exits.py
@@ -1,4 +1,4 @@
-"""Exit codes of all programs, as docs/operators.md lists them."""
+"""Exit codes of all programs; docs/operators.md documents them."""
 
 import enum
 import sys
@@ -6,7 +6,7 @@
 
 
 class Exit(enum.IntEnum):
-    """What a program's exit code means."""
+    """Exit codes of the programs."""
 
     OK = 0
     FAILED = 1
@@ -17,6 +17,6 @@
 
 
 def fail(message: str, code: Exit) -> NoReturn:
-    """Say in one line what is wrong, and exit."""
+    """Print an error message to standard error and exit."""
     print(f'error: {message}', file=sys.stderr)
     sys.exit(code)
--- a/rudderrock/programs/_logs.py
+++ b/rudderrock/programs/_logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line, through absl.logging."""
+"""Structured logs through absl.logging, one JSON object per line."""
 
 import logging as standard_logging
 
@@ -8,7 +8,7 @@
 from rudderrock import protocol
 from rudderrock import state
 
-# What happens for every request goes to the debug level.
+# Kinds that may occur with every request are logged at the debug level.
 _DEBUG_KINDS = frozenset(
     {
         state.EventKind.ANSWERED,
@@ -29,18 +29,22 @@
 
 
 def set_up_logs(level: str) -> None:
-    """Log to standard error from a level on: debug, info, warning, error."""
-    # absl warns before its own flags are parsed; defopt parses ours.
+    """Log to standard error at or above a level.
+
+    The levels are debug, info, warning and error.
+    """
+    # absl warns until its own flags are parsed. The programs parse their
+    # command line with defopt instead.
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
-    # uvicorn reports as errors the waiting watches that a stop ends.
+    # uvicorn logs an error for each pending long poll that a stop cancels.
     standard_logging.getLogger('uvicorn').setLevel(standard_logging.CRITICAL)
     logging.set_verbosity(level)
     logging.set_stderrthreshold(level)
 
 
 def log_event(event: state.Event) -> None:
-    """Write one event of the time line to the log."""
+    """Log one event of the time line as JSON."""
     if event.kind in _DEBUG_KINDS:
         if logging.vlog_is_on(1):
             logging.debug('%s', protocol.encode(event).decode())
--- a/rudderrock/programs/_operator.py
+++ b/rudderrock/programs/_operator.py
@@ -1,4 +1,4 @@
-"""An operator's side of hosts, for the table and time line programs."""
+"""HTTP client for operators, used by the table and time line programs."""
 
 import asyncio
 from typing import Any
@@ -13,9 +13,9 @@
 
 
 class OperatorClient:
-    """Asks the control addresses of hosts.
+    """Client of the control addresses of hosts.
 
-    Parameters: `secret` is what operators show.
+    Parameters: `secret` is the operators' bearer secret.
     """
 
     def __init__(self, secret: str):
@@ -24,7 +24,7 @@
     async def get_status(
         self, address: str
     ) -> result.Result[frontend.HostStatus, transport.PeerUnreachable]:
-        """Return what a host tells of itself."""
+        """Return the status that a host reports."""
         return await self._post(
             address, frontend.STATUS_PATH, {}, frontend.HostStatus
         )
@@ -32,14 +32,18 @@
     async def list_events(
         self, address: str, since: state.Stamp
     ) -> result.Result[list[state.Event], transport.PeerUnreachable]:
-        """Return a host's events later than a stamp."""
+        """Return the events of a host that are later than a stamp."""
         request = frontend.EventsRequest(since=since)
         return await self._post(
             address, frontend.EVENTS_PATH, request, list[state.Event]
         )
 
     async def find_hosts(self, address: str) -> dict[str, str]:
-        """Return the control address of each host that one host knows."""
+        """Return the control address of each member that one host lists.
+
+        If that host is unreachable, its own address is returned under the
+        address as name.
+        """
         status = await self.get_status(address)
         if status.is_err():
             return {address: address}
@@ -50,7 +54,7 @@
     async def get_all_status(
         self, addresses: list[str]
     ) -> dict[str, frontend.HostStatus | None]:
-        """Return the status of each host, None of those that are silent."""
+        """Return the status by address, None for an unreachable host."""
         replies = await asyncio.gather(
             *(self.get_status(address) for address in addresses)
         )
--- a/rudderrock/programs/_runtime.py
+++ b/rudderrock/programs/_runtime.py
@@ -1,4 +1,4 @@
-"""What the programs set up in their own process."""
+"""Process-wide setup that the programs share."""
 
 import asyncio
 import gc
@@ -6,17 +6,18 @@
 
 from rudderrock import core
 
-# Allocations between collections of the youngest generation. A wide query
-# makes tens of thousands of short-lived objects, few of them in cycles.
+# Net allocations before the youngest generation is collected. A wide query
+# allocates tens of thousands of short-lived objects, and few of them are in
+# reference cycles.
 COLLECTION_THRESHOLD = 100_000
 
 
 def tune_collector(collect_after: int = COLLECTION_THRESHOLD) -> None:
-    """Let the garbage collector run less often, and over less.
+    """Make the garbage collector run less often and scan fewer objects.
 
-    What has been made by now (modules, settings) stays for the life of
-    the process and is not looked at again. Measured in
-    `benchmarks/shard_request.py`.
+    Objects that exist at the call (modules, settings) live as long as the
+    process, so they are frozen and no longer scanned.
+    `benchmarks/shard_request.py` measures the effect.
     """
     gc.collect()
     gc.freeze()
@@ -24,6 +25,6 @@
 
 
 def make_system_clock() -> core.Clock:
-    """Return a clock of the running loop that tells the real wall time."""
+    """Return a clock of the running loop with the real wall time."""
     loop = asyncio.get_running_loop()
     return core.Clock(loop, time.time() - loop.time())
--- a/rudderrock/programs/_secrets.py
+++ b/rudderrock/programs/_secrets.py
@@ -1,4 +1,4 @@
-"""Secrets from a file or the environment."""
+"""Reads secrets from files or the environment."""
 
 import os
 import pathlib
@@ -15,7 +15,7 @@
 def read_secrets(
     settings: state.SecretSettings,
 ) -> result.Result[frontend.Secrets, str]:
-    """Read the secrets that the settings point to."""
+    """Return the secrets that the settings refer to, or an error."""
     peer = read_secret(settings.peer)
     operator = read_secret(settings.operator)
     for each in (peer, operator):
@@ -27,7 +27,10 @@
 
 
 def read_secret(place: str) -> result.Result[str, str]:
-    """Read one secret from `env:NAME` or from a file's path."""
+    """Return one secret, or why it cannot be read or is too short.
+
+    `place` is `env:NAME` or the path of a file.
+    """
     if place.startswith(_ENV):
         name = place.removeprefix(_ENV)
         secret = os.environ.get(name, '')
--- a/rudderrock/programs/_serving.py
+++ b/rudderrock/programs/_serving.py
@@ -1,4 +1,4 @@
-"""Running one entry host with its servers inside the running loop."""
+"""Serves one entry host with its HTTP servers on the running loop."""
 
 import contextlib
 import dataclasses
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ServedHost:
-    """A host, and the addresses at which it listens."""
+    """A host and the addresses that its servers listen on."""
 
     host: coordination.EntryHost
     callers: str
@@ -26,10 +26,10 @@
 
 @contextlib.asynccontextmanager
 async def open_host(settings: state.Settings, secrets: frontend.Secrets):
-    """Serve one host while the context lasts.
+    """Serve one host until the context exits.
 
-    Yields a result: the served host, or an error where an address cannot
-    be bound. The host itself has still to be run.
+    Yields the served host, or an error if an address cannot be bound. The
+    servers are running then; the caller must run the host itself.
     """
     async with contextlib.AsyncExitStack() as stack:
         callers = transport.bind(settings.host.callers)
--- a/rudderrock/programs/_settings_page.py
+++ b/rudderrock/programs/_settings_page.py
@@ -1,4 +1,4 @@
-"""The reference of all settings, made from their declarations."""
+"""Generates the settings reference from the declarations of settings."""
 
 import dataclasses
 import enum
@@ -16,7 +16,7 @@
 
 
 def make_page() -> str:
-    """Return the reference as Markdown."""
+    """Return the settings reference as Markdown."""
     sections = [
         _describe_section(field.name, field.type)
         for field in dataclasses.fields(state.Settings)
@@ -64,7 +64,7 @@
     if getattr(bound, 'pattern', None):
         pattern = bound.pattern.replace('|', '\\|')
         return f'matching `{pattern}`'
-    raise TypeError(f'no words for {bound!r}')
+    raise TypeError(f'unsupported constraint: {bound!r}')
 
 
 def _describe_default(field: dataclasses.Field) -> str:
--- a/rudderrock/programs/_timeline_page.py
+++ b/rudderrock/programs/_timeline_page.py
@@ -1,4 +1,4 @@
-"""The time line as one self-contained HTML page, a lane for each host."""
+"""Renders the time line as one HTML page with a lane for each host."""
 
 import datetime
 import html
@@ -39,7 +39,7 @@
 
 
 def make_page(events: list[state.Event]) -> str:
-    """Return events, already in order, as an HTML page."""
+    """Return a self-contained HTML page of events, which must be sorted."""
     hosts = sorted({event.host for event in events})
     kinds = [kind for kind in state.EventKind if _has_kind(events, kind)]
     legend = ''.join(
@@ -51,7 +51,7 @@
         '<!doctype html><html lang="en"><meta charset="utf-8">'
         f'<title>rudderrock time line</title><style>{_STYLE}</style>'
         f'<h1>Time line</h1><p>{len(events)} events of {len(hosts)} hosts. '
-        'Rest the pointer on a dot to read it.</p>'
+        'Hover over a dot to see its event.</p>'
         f'<p class="key">{legend}</p>{_draw(events, hosts)}'
         f'{_list_rows(events)}</html>'
     )
@@ -96,7 +96,7 @@
 def _draw_lane(
     events: list[state.Event], first: float, scale: float, y: float
 ) -> list[str]:
-    """Draw one host's dots; those that would overlap are stacked."""
+    """Return the dots of one host; overlapping dots are stacked."""
     dots = []
     last_x = -1e9
     level = 0
--- a/rudderrock/programs/demo.py
+++ b/rudderrock/programs/demo.py
@@ -1,8 +1,8 @@
-"""A demonstration of the whole tier in one process, over loopback.
+"""A demonstration of the query tier in one process, over loopback sockets.
 
-Stand-ins of a deployment, three entry hosts and a burst of callers run in
-one loop and talk over real sockets. Things go wrong on purpose, and at the
-end it prints what the callers saw and what happened.
+Stand-ins of a deployment, three entry hosts and the callers of three teams
+run on one event loop. The demo injects faults while queries run. At the end
+it prints the outcomes that callers received and a time line of events.
 """
 
 import asyncio
@@ -70,7 +70,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _TeamStats:
-    """What the callers of one team saw."""
+    """Outcomes, coverage and latency that callers of one team observed."""
 
     outcomes: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
@@ -83,7 +83,7 @@
 
 
 class _Demo:
-    """The demo under way."""
+    """The hosts, stand-ins and callers of the demo."""
 
     def __init__(self, stack: contextlib.AsyncExitStack):
         self._stack = stack
@@ -97,21 +97,23 @@
         self._editor: coordination.TableEditor | None = None
 
     async def run(self) -> None:
-        """Play all scenes and print what was seen."""
+        """Run all steps and print the report."""
         await self._start()
-        print('1. a burst of queries from three teams, all well')
+        print('1. a burst of queries from three teams, without faults')
         await self._burst()
-        print('2. one shard straggles: its first replica is 20 times slower')
+        print(
+            '2. a straggler: the first replica of one shard is 20 times slower'
+        )
         models = list(self._standins.models.values())
         models[0].faults.slow_factor = 20.0
         await self._burst()
         models[0].faults.slow_factor = 1.0
         print('3. an operator doubles the weight of kiosk-app')
         await self._edit('kiosk-app', weight=4.0)
-        print('4. an upstream leaves while queries run')
+        print('4. an upstream drains while queries run')
         models[5].faults.leaving = True
         await self._burst()
-        print('5. host-3 is stopped as planned while queries run')
+        print('5. host-3 is stopped gracefully while queries run')
         stopping = asyncio.create_task(self._hosts[2].stop())
         await self._burst()
         await stopping
@@ -184,7 +186,7 @@
         match outcome:
             case coordination.EditAccepted(edit):
                 return edit
-        raise RuntimeError(f'the edit was not accepted: {outcome}')
+        raise RuntimeError(f'edit not accepted: {outcome}')
 
     async def _start_host(self, name: str, zone: state.ZoneId) -> None:
         settings = state.Settings(
@@ -218,7 +220,7 @@
         await asyncio.gather(*(self._call_all(team) for team in _TEAMS))
 
     async def _call_all(self, team: str) -> None:
-        """Send a team's queries at a steady rate, whatever comes back."""
+        """Send the queries of a team at a constant rate (open loop)."""
         async with contextlib.AsyncExitStack() as stack:
             clients = []
             for host in self._hosts:
@@ -237,7 +239,7 @@
         clients: list[caller.CallerClient],
         number: int,
     ) -> None:
-        """Ask one of the hosts that say they are ready, as a balancer."""
+        """Send a query to a ready host, as a load balancer would."""
         ready = [
             client
             for client, host in zip(clients, self._hosts, strict=True)
@@ -264,7 +266,7 @@
                 stats.outcomes[failed.detail] += 1
 
     def _report(self) -> None:
-        print('\nwhat the callers saw')
+        print('\nresults by team')
         print(f'{"team":<12} {"p50 ms":>7} {"p90":>7} {"p99":>7}  coverage')
         for team, stats in self._team_stats.items():
             read = stats.latency.get_value_at_percentile
@@ -306,7 +308,7 @@
 
 
 def _is_notable(event: state.Event) -> bool:
-    """Leave out that each of a hundred upstreams was connected to."""
+    """Return False for the connection events of each upstream."""
     return not event.detail.startswith('up: connected')
 
 
@@ -323,7 +325,7 @@
 
 
 def demo(*, log: str = 'error') -> None:
-    """Show the whole tier in one process, in under a minute.
+    """Run a demonstration of the query tier in under a minute.
 
     :param log: the lowest level logged: debug, info, warning or error
     """
@@ -332,7 +334,7 @@
 
 
 def main() -> None:
-    """Run the program."""
+    """Parse the command line and run the program."""
     defopt.run(demo)
 
 
--- a/rudderrock/programs/entry.py
+++ b/rudderrock/programs/entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon: one host between callers and upstreams."""
+"""The entry daemon, which runs one host."""
 
 import asyncio
 import pathlib
@@ -18,11 +18,12 @@
 
 
 def entry(config: pathlib.Path, *, log: str = 'info') -> None:
-    """Run one entry host until it is told to stop.
+    """Run one entry host until it is stopped by a signal.
 
-    SIGTERM or SIGINT starts a planned stop, which cuts nothing in flight;
-    a second one stops at once. Exits with 0 after either, with 2 if the
-    settings are wrong and with 1 if an address can't be bound.
+    The first SIGTERM or SIGINT starts a graceful stop, which lets requests
+    in flight finish up to a time limit. A second one stops at once. The exit
+    code is 0 after either, 2 if the settings are invalid and 1 if an address
+    cannot be bound.
 
     :param config: the settings file, in TOML
     :param log: the lowest level logged: debug, info, warning or error
@@ -62,7 +63,7 @@
 
 
 def main() -> None:
-    """Run the program."""
+    """Parse the command line and run the program."""
     defopt.run(entry)
 
 
--- a/rudderrock/programs/gateway.py
+++ b/rudderrock/programs/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway daemon: forwards requests on the users' platform."""
+"""The gateway daemon, which forwards requests on the users' platform."""
 
 import asyncio
 import os
@@ -17,21 +17,23 @@
 from rudderrock.programs import _exits as exits
 from rudderrock.programs import _runtime as runtime
 
-# Names the settings file, says the platform.
+# The platform sets this variable to the path of the settings file.
 CONFIG_VARIABLE = 'RUDDERROCK_CONFIG'
 _STDOUT_FD = 1
-# Allocations between collections of the youngest generation: fewer than in
-# an entry host, since memory is paid for on the platform.
+# Net allocations before the youngest generation is collected. It is lower
+# than in an entry host because the platform charges for memory.
 _COLLECTION_THRESHOLD = 50_000
 
 
 def run_gateway(*, config: pathlib.Path | None = None) -> None:
-    """Serve callers until SIGTERM or SIGINT, then stop as planned.
+    """Serve callers until SIGTERM or SIGINT, then stop gracefully.
 
-    SIGHUP reads the settings again. Exits with 0 after a planned stop and
-    with 2 if the settings are wrong.
+    SIGHUP checks the settings file again and logs the result; changes take
+    effect only after a restart. The exit code is 0 after a graceful stop, 1
+    if an address cannot be bound and 2 if the settings are invalid.
 
-    :param config: the settings file; else RUDDERROCK_CONFIG names it
+    :param config: path of the settings file; by default the value of
+        RUDDERROCK_CONFIG
     """
     path = config or pathlib.Path(os.environ.get(CONFIG_VARIABLE, ''))
     gateway.set_up_log(_STDOUT_FD)
@@ -66,17 +68,17 @@
     try:
         await process.run()
     except OSError as error:
-        logging.error('can not listen: %s', error)
+        logging.error('cannot listen: %s', error)
         exits.fail(str(error), exits.Exit.FAILED)
     finally:
         source.close()
 
 
 def main() -> None:
-    """Run the program.
+    """Parse the command line and run the program.
 
-    The command line is only read if there is one: `defopt` takes a third
-    of the time in which a restarted process is ready again.
+    `defopt` is imported only if there are arguments: its import takes a third
+    of the time that a restarted process needs to become ready.
     """
     if len(sys.argv) == 1:
         run_gateway()
--- a/rudderrock/programs/load.py
+++ b/rudderrock/programs/load.py
@@ -105,7 +105,7 @@
 
 
 def main() -> None:
-    """Run the program."""
+    """Parse the command line and run the program."""
     defopt.run({'run': run, 'compare': compare, 'fuzz': fuzz})
 
 
--- a/rudderrock/programs/query.py
+++ b/rudderrock/programs/query.py
@@ -152,7 +152,7 @@
 
 
 def main() -> None:
-    """Run the program."""
+    """Parse the command line and run the program."""
     defopt.run({'ask': ask, 'command': command})
 
 
--- a/rudderrock/programs/soak.py
+++ b/rudderrock/programs/soak.py
@@ -94,7 +94,7 @@
 
 
 def main() -> None:
-    """Run the program."""
+    """Parse the command line and run the program."""
     defopt.run({'run': run})
 
 
--- a/rudderrock/programs/standins.py
+++ b/rudderrock/programs/standins.py
@@ -93,7 +93,7 @@
 
 
 def main() -> None:
-    """Run the program."""
+    """Parse the command line and run the program."""
     defopt.run(standins)
 
 
--- a/rudderrock/programs/table.py
+++ b/rudderrock/programs/table.py
@@ -343,7 +343,7 @@
 
 
 def main() -> None:
-    """Run the program."""
+    """Parse the command line and run the program."""
     defopt.run(
         {
             'show': show,
--- a/rudderrock/programs/timeline.py
+++ b/rudderrock/programs/timeline.py
@@ -165,7 +165,7 @@
 
 
 def main() -> None:
-    """Run the program."""
+    """Parse the command line and run the program."""
     defopt.run(timeline)
 
 
