--- a/rudderrock/programs/load.py
+++ b/rudderrock/programs/load.py
@@ -1,4 +1,4 @@
-"""The load and experiment tool."""
+"""Command line of the load and experiment tool."""
 
 import asyncio
 import collections
@@ -23,18 +23,18 @@
     targets: pathlib.Path | None = None,
     quiet: bool = False,
 ) -> None:
-    """Run an experiment; write its result and an HTML report.
+    """Run an experiment and write its result and an HTML report.
 
-    Without targets it runs on virtual time against stand-ins in memory,
-    and the same seed gives the same figures. With targets it loads real
-    hosts over HTTP, open loop, and the plan's faults are left out.
+    Without targets, the experiment runs on virtual time against stand-ins in
+    memory, and the same seed gives the same figures. With targets, it sends
+    open-loop load to real hosts over HTTP and injects no faults.
 
-    :param plan: the experiment, in TOML
+    :param plan: the experiment plan, in TOML
     :param out: folder for the result file and the report
-    :param seed: seed to use in place of the plan's
+    :param seed: seed that replaces the one of the plan
     :param targets: a TOML file with hosts = [callers' addresses] and
         [tokens] by team
-    :param quiet: print no progress
+    :param quiet: do not print progress
     """
     checked = _unwrap_or_exit(experiments.read_plan(plan))
     if seed is not None:
@@ -59,10 +59,10 @@
 
 
 def compare(one: pathlib.Path, other: pathlib.Path) -> None:
-    """Set two results side by side, as ratios of the second to the first.
+    """Compare two results, with ratios of the second to the first.
 
-    :param one: a result file
-    :param other: another
+    :param one: the first result file
+    :param other: the second result file
     """
     first = _unwrap_or_exit(experiments.read_result(one))
     second = _unwrap_or_exit(experiments.read_result(other))
@@ -72,13 +72,14 @@
 def fuzz(
     *, count: int = 1000, first_seed: int = 1, table: bool = False
 ) -> None:
-    """Run random fault schedules and check every promise under each.
+    """Run random fault schedules and check the guarantees under each.
 
-    Exits with 1 if any promise was broken, and names the seeds.
+    The seeds of schedules with violations are printed, and the exit code is
+    then 1.
 
-    :param count: how many schedules to run
-    :param first_seed: seed of the first; the others follow it
-    :param table: schedules of edits between hosts instead of requests
+    :param count: number of schedules to run
+    :param first_seed: seed of the first schedule; each next one adds 1
+    :param table: run schedules of table edits instead of requests
     """
     run_one = experiments.run_schedule
     if table:
@@ -91,7 +92,7 @@
         if done.broken:
             broken += 1
             print(f'seed {seed}: {done.broken}; faults {done.faults}')
-    print(f'{count} schedules, {broken} with a broken promise, {outcomes}')
+    print(f'{count} schedules, {broken} with violations, {outcomes}')
     if broken:
         raise SystemExit(exits.Exit.FAILED)
 
--- a/rudderrock/programs/query.py
+++ b/rudderrock/programs/query.py
@@ -1,4 +1,4 @@
-"""A caller's client: one query or one command."""
+"""Command line client for callers: sends one query or one command."""
 
 import asyncio
 import random
@@ -30,15 +30,15 @@
 ) -> None:
     """Send one query and print its answer.
 
-    Exits with 0 if it was answered, with 3 if it was refused and so did
-    not run, and with 5 if the host could not be reached.
+    The exit code is 0 if the query was answered, 3 if it was refused and
+    therefore did not run, and 5 if the host could not be reached.
 
     :param host: callers' address of an entry host
-    :param collection: what to search
-    :param body: the query itself, as JSON
-    :param limit: how many hits are wanted
-    :param deadline_s: bound on the answer, in seconds
-    :param token: where the team's token is: env:NAME or a file
+    :param collection: collection to search
+    :param body: query body, as JSON
+    :param limit: maximum number of hits
+    :param deadline_s: time limit for the answer, in seconds
+    :param token: location of the team's token: env:NAME or a file
     :param json: print JSON instead of text
     """
     query = protocol.Query(
@@ -78,16 +78,16 @@
 ) -> None:
     """Send one non-idempotent request, which runs at most once.
 
-    Prints the idempotency key first; use the same key to ask again. Exits
-    with 0 if it ran, with 3 if it certainly did not and with 4 if it may
+    The idempotency key is printed first; pass it as `key` to retry. The exit
+    code is 0 if the request ran, 3 if it certainly did not and 4 if it may
     have run.
 
     :param host: callers' address of an entry host
-    :param collection: where it is to run
-    :param routing_key: what decides on the shard
-    :param body: the request itself, as JSON
-    :param key: idempotency key of an earlier try
-    :param token: where the team's token is: env:NAME or a file
+    :param collection: collection that the request is for
+    :param routing_key: key that determines the shard
+    :param body: request body, as JSON
+    :param key: idempotency key of an earlier attempt
+    :param token: location of the team's token: env:NAME or a file
     """
     message = protocol.Command(
         collection=state.CollectionId(collection),
--- a/rudderrock/programs/soak.py
+++ b/rudderrock/programs/soak.py
@@ -1,4 +1,4 @@
-"""The soak's command line."""
+"""Command line of the soak test."""
 
 import asyncio
 import collections
@@ -26,19 +26,19 @@
     returns: int = 2,
     keep: pathlib.Path | None = None,
 ) -> None:
-    """Play seeds and report; exits with 1 if a promise was broken.
+    """Run the soak test with a range of seeds and report violations.
 
-    A seed is played again by its number. Logs of seeds that broke a promise
-    are kept in `keep`.
+    The exit code is 1 if any guarantee was violated. To repeat a run, pass
+    its seed.
 
     :param seed: the first seed
-    :param count: how many seeds in a row
-    :param minutes: play fresh seeds for so long instead
-    :param length: seconds of load and faults a seed
-    :param hosts: gateway processes
-    :param lethal: requests that crash the upstreams which run them
-    :param returns: how often the store comes back from an older copy
-    :param keep: a folder for the logs
+    :param count: number of consecutive seeds
+    :param minutes: run random seeds for this many minutes instead
+    :param length: duration of load and faults per seed, in seconds
+    :param hosts: number of gateway processes
+    :param lethal: number of requests that crash the upstreams that run them
+    :param returns: how many times the store is restored from an older copy
+    :param keep: folder that receives the logs of seeds with violations
     """
     failed = []
     injected: collections.Counter[str] = collections.Counter()
--- a/rudderrock/programs/standins.py
+++ b/rudderrock/programs/standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins of a whole deployment, over loopback."""
+"""Command line that serves the stand-ins of a deployment."""
 
 import asyncio
 import json
@@ -27,13 +27,13 @@
 ) -> None:
     """Serve stand-ins of a deployment until interrupted.
 
-    Publishes the index layout and, if there is none, an empty table. Prints
-    one line of JSON with the addresses when all of it is being served.
+    The index layout and an empty table are published. When all stand-ins are
+    being served, one line of JSON with their addresses is printed.
 
     :param deployment: the deployment file, in TOML
-    :param kv: address of the key-value service
-    :param host_list: address of the list of live and leaving hosts
-    :param hosts: entry hosts that the list shall name, as ID=ZONE=IP:PORT
+    :param kv: address to serve the key-value service at
+    :param host_list: address to serve the list of hosts at
+    :param hosts: entry hosts to include in the list, as ID=ZONE=IP:PORT
     :param seed: seed of all random choices
     :param log: the lowest level logged: debug, info, warning or error
     """
--- a/rudderrock/programs/table.py
+++ b/rudderrock/programs/table.py
@@ -1,4 +1,4 @@
-"""The operators' client of the table."""
+"""Command line client for operators: shows and edits the table."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -30,9 +30,9 @@
 
 
 def show(team: str = '', *, kv: str = _KV, json: bool = False) -> None:
-    """Show the table, or one team's row.
+    """Show the table, or the row of one team.
 
-    :param team: the team; all if left out
+    :param team: the team; all teams by default
     :param kv: address of the key-value service
     :param json: print JSON instead of text
     """
@@ -63,13 +63,13 @@
     author: str = '',
     edit_id: str = '',
 ) -> None:
-    """Set fields of a team's row, making the row if there is none.
+    """Set fields of a team's row; the row is created if it is missing.
 
     :param team: the team
     :param assignments: fields to set, as NAME=VALUE with a JSON value
     :param kv: address of the key-value service
-    :param author: who makes the edit; the user's name if left out
-    :param edit_id: id of an earlier try of this same edit
+    :param author: author of the edit; the user's name by default
+    :param edit_id: id of an earlier attempt at this edit
     """
     fields = dict(_read_assignment(each) for each in assignments)
 
@@ -84,11 +84,11 @@
 
 
 def remove(team: str, *, kv: str = _KV, author: str = '') -> None:
-    """Remove a team's row; its tokens stop working.
+    """Remove a team's row, which also revokes its tokens.
 
     :param team: the team
     :param kv: address of the key-value service
-    :param author: who makes the edit; the user's name if left out
+    :param author: author of the edit; the user's name by default
     """
 
     async def edit() -> coordination.EditOutcome:
@@ -102,14 +102,14 @@
 
 
 def apply(path: pathlib.Path, *, kv: str = _KV, author: str = '') -> None:
-    """Set the rows that a TOML file has, each under `[teams.NAME]`.
+    """Set the rows in a TOML file, each under `[teams.NAME]`.
 
-    All rows are checked before the first is set; rows that the file does
-    not name stay as they are.
+    All rows are validated before the first one is set. Rows and fields that
+    the file does not contain are not changed.
 
-    :param path: the file
+    :param path: the TOML file
     :param kv: address of the key-value service
-    :param author: who makes the edits; the user's name if left out
+    :param author: author of the edits; the user's name by default
     """
     try:
         raw = tomllib.loads(path.read_text()).get('teams', {})
@@ -139,14 +139,14 @@
 
 
 def new_token(team: str, *, kv: str = _KV, author: str = '') -> None:
-    """Make a new token for a team and print it, this once.
+    """Create a token for a team and print it.
 
-    The tokens that the team has keep working; set `token_hashes=[]` to
-    withdraw them all.
+    The token is not stored and cannot be shown again. Existing tokens of the
+    team stay valid; set `token_hashes=[]` to revoke them all.
 
     :param team: the team
     :param kv: address of the key-value service
-    :param author: who makes the edit; the user's name if left out
+    :param author: author of the edit; the user's name by default
     """
     rng = random.SystemRandom()
     token = state.make_token(state.TeamId(team), rng)
@@ -167,10 +167,10 @@
 
 
 def history(*, kv: str = _KV, most: int = 20, json: bool = False) -> None:
-    """Show who changed what, the latest last.
+    """Show the latest edits and their authors, oldest first.
 
     :param kv: address of the key-value service
-    :param most: how many edits to show
+    :param most: maximum number of edits to show
     :param json: print JSON instead of text
     """
     edits = _run(_read(kv)).history[-most:]
@@ -195,13 +195,14 @@
 ) -> None:
     """Wait until a revision is in force on every host.
 
-    Exits with 0 when it is, and with 5 if some host has not got it, or
-    cannot be asked, within the time; it names them.
+    The exit code is 0 if it is in force everywhere. It is 5 if a host does
+    not have the revision or is unreachable at the timeout; these hosts are
+    listed.
 
     :param revision: the revision
-    :param host: control address of any one host, which names the others
+    :param host: control address of any host, which lists the others
     :param timeout_s: how long to wait, in seconds
-    :param operator: where the operators' secret is: env:NAME or a file
+    :param operator: location of the operators' secret: env:NAME or a file
     """
     secret = secrets.read_secret(operator)
     if secret.is_err():
@@ -220,7 +221,7 @@
     host: str,
     timeout_s: float,
 ) -> list[str]:
-    """Return the hosts on which a revision is not in force in time."""
+    """Return the hosts on which a revision is not in force at the timeout."""
     clock = runtime.make_system_clock()
     end = clock.now() + timeout_s
     while True:
@@ -238,7 +239,7 @@
 
 
 class _EditSession:
-    """The table's editor over one connection to the service."""
+    """An editor of the table with its own client of the key-value service."""
 
     def __init__(self, kv: str):
         self._kv = transport.HttpKvPort(kv, _KV_TIMEOUT_S)
@@ -334,7 +335,7 @@
 
 
 def _get_user() -> str:
-    # The name is only a note in the history, not a proof of anything.
+    # The name is only informative in the history; it is not authenticated.
     return pathlib.Path.home().name or 'operator'
 
 
--- a/rudderrock/programs/timeline.py
+++ b/rudderrock/programs/timeline.py
@@ -1,4 +1,4 @@
-"""The time line of all hosts, merged into one order."""
+"""Command line that shows the merged time line of all hosts."""
 
 import asyncio
 import dataclasses
@@ -16,15 +16,15 @@
 from rudderrock.programs import _timeline_page as pages
 
 _FOLLOW_PAUSE_S = 0.5
-# Events this young wait for the next round, since another host may yet
-# report an earlier one.
+# Events of the last second are held until the next poll, because another host
+# may still report an earlier one.
 _SETTLE_S = 1.0
 _OPERATOR_SECRET = 'env:RUDDERROCK_OPERATOR_SECRET'
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class EventFilter:
-    """Which events to show; an empty field lets all pass."""
+    """Selects the events to show; an empty field matches every event."""
 
     team: str = ''
     query: str = ''
@@ -32,7 +32,7 @@
     kinds: frozenset[state.EventKind] = frozenset()
 
     def passes(self, event: state.Event) -> bool:
-        """Tell whether an event is to be shown."""
+        """Return whether an event matches all fields."""
         return (
             self.team in ('', event.team)
             and self.query in ('', event.query)
@@ -53,20 +53,20 @@
     html: pathlib.Path | None = None,
     operator: str = _OPERATOR_SECRET,
 ) -> None:
-    """Show what happened on all hosts, in one order.
-
-    No event comes before one that caused it. Hosts that can't be asked are
-    named on standard error, and the exit code is then 5.
-
-    :param host: control address of any one host, which names the others
-    :param team: only events of this team
-    :param query: only events of this query
-    :param upstream: only events of this upstream
-    :param kinds: only events of these kinds
-    :param follow: go on showing events as they come
-    :param json: print one JSON object a line instead of text
-    :param html: write one HTML page here instead of printing
-    :param operator: where the operators' secret is: env:NAME or a file
+    """Show the events of all hosts in causal order.
+
+    No event is shown before an event that caused it. Unreachable hosts are
+    listed on standard error, and the exit code is then 5.
+
+    :param host: control address of any host, which lists the others
+    :param team: show only events of this team
+    :param query: show only events of this query
+    :param upstream: show only events of this upstream
+    :param kinds: show only events of these kinds
+    :param follow: keep polling and show new events
+    :param json: print one JSON object per line instead of text
+    :param html: write an HTML page to this path instead of printing
+    :param operator: location of the operators' secret: env:NAME or a file
     """
     secret = secrets.read_secret(operator)
     if secret.is_err():
@@ -83,12 +83,12 @@
         return
     if unreachable:
         exits.fail(
-            f'no word from {", ".join(unreachable)}', exits.Exit.UNAVAILABLE
+            f'unreachable: {", ".join(unreachable)}', exits.Exit.UNAVAILABLE
         )
 
 
 class EventCollector:
-    """Fetches each host's events once and gives them out in order."""
+    """Fetches new events of all hosts and returns them in causal order."""
 
     def __init__(self, client: operators.OperatorClient, host: str):
         self._client = client
@@ -97,7 +97,7 @@
         self._buffered: list[state.Event] = []
 
     async def collect(self) -> list[str]:
-        """Fetch what is new; return the hosts that were silent."""
+        """Fetch new events and return the names of unreachable hosts."""
         hosts = await self._client.find_hosts(self._host)
         names = list(hosts)
         replies = await asyncio.gather(
@@ -121,7 +121,10 @@
         return unreachable
 
     def take(self, settle_s: float = 0.0) -> list[state.Event]:
-        """Return, once and in order, the events older than `settle_s`."""
+        """Return and remove, in order, all events except the newest.
+
+        Events within `settle_s` seconds of the newest one stay buffered.
+        """
         if not self._buffered:
             return []
         limit = self._buffered[-1].stamp.wall - settle_s
@@ -143,7 +146,7 @@
     events = [each for each in collector.take() if event_filter.passes(each)]
     if page is not None:
         if not events:
-            exits.fail('no event passes the filter', exits.Exit.REFUSED)
+            exits.fail('no event matches the filter', exits.Exit.REFUSED)
         page.write_text(pages.make_page(events))
         return unreachable
     _print(events, json)
