--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,7 +1,7 @@
-"""Slopes from which docs/CAPACITY.md works out the size to design for.
+"""Costs per shard, upstream, team and host, as used by docs/CAPACITY.md.
 
-Each part measures a few sizes and prints them with the slope of a straight
-line through the points, so that the page can be checked line by line.
+Each measurement runs at several sizes. It prints the cost at each size and
+the slope of the least-squares line through the points.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 
 
 def _fit_slope(points: list[tuple[float, float]]) -> float:
-    """Return the slope of the least-squares line through points."""
+    """Return the slope of the least-squares line through (x, y) points."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
@@ -41,7 +41,7 @@
 
 
 async def _time_queries(services: int) -> float:
-    """Return seconds of processor time a query, all decisions, no HTTP."""
+    """Return processor seconds per query with all decisions, without HTTP."""
     async with standins.run_fleet(_make_deployment(services), 1, 1) as fleet:
         edit = await fleet.set_row(
             'desk', rate=1e9, concurrency=10**9, deadline_s=5.0
@@ -55,7 +55,7 @@
 
 
 def measure_fan_out() -> None:
-    """Processor time a query by the number of shards it goes to."""
+    """Print the processor time of a query by its number of shards."""
     points = [
         (services, experiments.run_on_virtual_time(_time_queries(services)))
         for services in (20, 200, 800, 1700)
@@ -81,7 +81,7 @@
 
 
 def measure_links() -> None:
-    """Memory of a host by the number of upstreams, stand-ins included."""
+    """Print memory by the number of upstreams, including the stand-ins."""
     points = [
         (
             2 * services,
@@ -122,7 +122,7 @@
 
 
 def measure_table() -> None:
-    """Size of the table, and time to take in one revision, by teams."""
+    """Print the table's size and its decoding time by number of teams."""
     points = []
     for teams in (50, 200, 500):
         data = protocol.encode(_make_table(teams))
@@ -137,7 +137,7 @@
 
 
 async def _time_probes(hosts: int) -> tuple[float, int]:
-    """Return seconds for a host to answer one probe, and a digest's size."""
+    """Return the seconds to answer a probe and the probe's size in bytes."""
     deployment = _make_deployment(1)
     async with standins.run_fleet(deployment, 1, 1) as fleet:
         membership = fleet.hosts['h1'].host.membership
@@ -166,7 +166,7 @@
 
 
 def measure_membership() -> None:
-    """Time and size of a probe by the size of the fleet."""
+    """Print the time and size of a membership probe by fleet size."""
     points = []
     for hosts in (7, 60, 200, 580):
         seconds, size = experiments.run_on_virtual_time(_time_probes(hosts))
@@ -179,7 +179,7 @@
 
 
 def measure_batches() -> None:
-    """Time to write and read shard requests that travel together."""
+    """Print the time to encode and decode a batch of shard requests."""
     request = protocol.ShardRequest(
         request_id='host-1-0123456789abcdef.12',
         shard='members-1',
@@ -216,8 +216,8 @@
 
 
 def main() -> None:
-    """Measure all slopes."""
-    # As the daemon runs.
+    """Run all measurements."""
+    # The entry daemon runs with the same collector settings.
     runtime.tune_collector()
     measure_fan_out()
     measure_links()
--- a/benchmarks/ceiling.py
+++ b/benchmarks/ceiling.py
@@ -1,12 +1,13 @@
-"""What any policy could serve while many upstreams are impaired.
-
-Plays a heavy window of queries over shards with deciders that know more or
-less of the upstreams: all (queues, pauses and the work of each request), the
-queues and speeds, the speeds alone, or nothing but that an answer is late,
-as hosts do that hedge once. Each may leave out what it can spare, and refuse
-what it does not expect in time. No host and no network: an upstream is two
-slots and a queue that is worked off in order. Run
-`python -m benchmarks.ceiling`; times in seconds.
+"""Upper bounds on the queries served in time while upstreams are impaired.
+
+Simulates queries over shards with policies that have different knowledge of
+the upstreams: everything (queues, pauses and the work of each request), their
+queues and speeds, their speeds only, or only whether a reply is late (a
+single hedge). A policy may also skip as many shards as a query can miss, and
+reject queries that it predicts to be late.
+
+The simulation has neither hosts nor a network. An upstream has two slots and
+a FIFO queue. Times are in seconds. Run `python -m benchmarks.ceiling`.
 """
 
 import dataclasses
@@ -22,24 +23,24 @@
 PAUSE_S = 0.25
 PAUSE_EVERY_S = 6.0
 HEDGE_AT_FRACTION = 0.4
-# Windows with so many bad shards or more are counted together.
+# Results with this many bad shards or more are averaged together.
 MAX_BAD_SHARDS = 4
 
 
 @dataclasses.dataclass(slots=True)
 class Upstream:
-    """Two slots, a speed, and a pause now and then."""
+    """An upstream with two slots, a slowdown factor and periodic pauses."""
 
     factor: float
     phase: float
     slots: list[float] = dataclasses.field(default_factory=lambda: [0.0, 0.0])
 
     def find_end(self, now: float, work_s: float) -> float:
-        """Return when a request that arrives now would be answered."""
+        """Return when a request that arrives at `now` would be answered."""
         return self._run(max(now, min(self.slots)), work_s * self.factor)
 
     def take(self, now: float, work_s: float) -> float:
-        """Take a request and return when it is answered."""
+        """Add a request to the queue and return when it is answered."""
         end = self.find_end(now, work_s)
         self.slots[self.slots.index(min(self.slots))] = end
         return end
@@ -58,7 +59,7 @@
 
 
 def draw_shards(rng: random.Random, shards: int) -> list[list[Upstream]]:
-    """Return shards of two upstreams, a third of which is impaired."""
+    """Return shards of two upstreams each; 38 % of upstreams are impaired."""
 
     def draw() -> Upstream:
         kind = rng.random()
@@ -75,13 +76,13 @@
 
 
 def draw_work(rng: random.Random, kind: str) -> float:
-    """Return the work of one request at a sound upstream."""
+    """Return the service time of a request at an unimpaired upstream."""
     work_s = MEAN_WORK_S[kind] * rng.lognormvariate(-0.06, 0.35)
     return work_s * (5.0 if rng.random() < 0.01 else 1.0)
 
 
 class Knowledge(enum.Enum):
-    """What a decider knows of upstreams."""
+    """What a policy knows about upstreams."""
 
     ALL = 'all'
     QUEUES = 'queues and speeds'
@@ -90,7 +91,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Policy:
-    """What a decider knows, and whether it leaves out or refuses."""
+    """A policy: its knowledge, and whether it skips shards or rejects."""
 
     knowledge: Knowledge
     allows_missing: bool = False
@@ -99,7 +100,7 @@
     def predict_end(
         self, upstream: Upstream, work_s: float, now: float, kind: str
     ) -> float:
-        """Return when an answer is expected."""
+        """Return the predicted end of a request."""
         usual_s = MEAN_WORK_S[kind] * upstream.factor
         match self.knowledge:
             case Knowledge.ALL:
@@ -110,7 +111,7 @@
                 return now + usual_s
 
     def send_query(self, shards, works, now: float, kind: str) -> bool:
-        """Send one query; tell if it was served in time."""
+        """Send one query and return whether it was served in time."""
         goal = now + LATENCY_GOALS_S[kind]
         chosen = []
         for replicas, pair in zip(shards, works, strict=True):
@@ -134,7 +135,10 @@
 
 
 def send_with_hedge(shards, works, now: float, kind: str) -> bool:
-    """Ask one upstream of each, and the other if that is late."""
+    """Send one query with a single hedge per shard, without any knowledge.
+
+    Return whether it was served in time.
+    """
     goal = now + LATENCY_GOALS_S[kind]
     late = 0
     for number, (replicas, pair) in enumerate(zip(shards, works, strict=True)):
@@ -151,7 +155,10 @@
 def simulate(
     seed: int, send_query, shards: int, rate: float, seconds: float
 ) -> tuple[float, int]:
-    """Return the part served in time, and the shards that none can serve."""
+    """Return the fraction served in time and the number of bad shards.
+
+    A shard is bad if both of its upstreams are impaired.
+    """
     rng = random.Random(seed)
     found = draw_shards(rng, shards)
     bad = sum(min(each.factor for each in pair) > 5 for pair in found)
@@ -186,7 +193,13 @@
     rate: float = 49.0,
     seconds: float = 4.0,
 ) -> None:
-    """Print the part of queries in time, by the number of bad shards."""
+    """Print the fraction of queries in time by the number of bad shards.
+
+    :param seeds: number of simulations per policy
+    :param shards: number of shards of each query
+    :param rate: queries per second
+    :param seconds: simulated duration
+    """
     for name, send_query in POLICIES.items():
         served: dict[int, list[float]] = {}
         for seed in range(seeds):
--- a/benchmarks/commands.py
+++ b/benchmarks/commands.py
@@ -1,8 +1,8 @@
-"""What commands cost the key-value service, and how long they take.
+"""Latency of commands and their load on the key-value service.
 
-On virtual time: hosts in front of one shard, callers that issue passes at a
-steady rate, one in ten of them repeated at another host. The service takes
-1 ms a call.
+Runs on virtual time. Callers send commands at a constant rate, in turn to
+each host; one in ten repeats the previous key at the next host. A call to the
+key-value service takes 1 ms.
 """
 
 import asyncio
@@ -73,7 +73,7 @@
 
 
 def main() -> None:
-    """Measure each rate at three and at seven hosts."""
+    """Measure each rate with three and with seven hosts."""
     for hosts in (3, 7):
         for rate in _RATES:
             experiments.run_on_virtual_time(_measure(hosts, rate))
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,9 +1,9 @@
-"""What control costs a host, by the size of the fleet.
+"""Cost of the control plane per host, by fleet size.
 
-Idle fleets of 3 to 60 hosts run on virtual time for a minute; one edit of
-the table is made on the way. Bytes are of the messages between hosts as
-they are encoded, calls are those the key-value service counted. Processor
-time is of this process, without HTTP; `control_http` measures that.
+Idle fleets of 3 to 60 hosts run on virtual time for one minute, followed by
+one edit of the table. Message sizes are those of the encoded messages between
+hosts; calls are counted by the stand-in of the key-value service. Processor
+time is that of this process and excludes HTTP, which `control_http` measures.
 """
 
 import asyncio
@@ -62,7 +62,7 @@
 
 
 async def _measure_memory(hosts: int) -> int:
-    """Return the bytes that a fleet of idle hosts holds."""
+    """Return the bytes that a fleet of idle hosts allocates."""
     deployment = _make_deployment(hosts)
     tracemalloc.start()
     async with standins.run_fleet(deployment, hosts, 1):
@@ -73,7 +73,7 @@
 
 
 def main() -> None:
-    """Measure each size of fleet."""
+    """Measure each fleet size."""
     for hosts in _SIZES:
         experiments.run_on_virtual_time(_measure(hosts))
     few, many = (
--- a/benchmarks/control_http.py
+++ b/benchmarks/control_http.py
@@ -1,9 +1,9 @@
-"""What control costs a host over real loopback sockets, and how fast it is.
+"""Cost and latency of the control plane over loopback sockets.
 
-Seven idle hosts, each in a process of its own, beside one process of
-stand-ins. Prints the processor time and memory of a host, then how long an
-edit takes to be in force on all of them, also when the key-value service
-dies as soon as it has accepted it.
+Runs seven idle hosts, each in its own process, and the stand-ins in another
+process. Prints the processor time and memory of a host, and the time until an
+edit is in force on all hosts. The latter is also measured with the key-value
+service going down as soon as it has accepted the edit.
 """
 
 import asyncio
@@ -23,7 +23,9 @@
 from rudderrock.programs import _serving as serving
 
 _HOSTS = 7
-_SECRETS = frontend.Secrets(peer='bench peer', operator='bench operator')
+_SECRETS = frontend.Secrets(
+    peer='benchmark peer', operator='benchmark operator'
+)
 _IDLE_S = 20.0
 _EDITS = 100
 _OUTAGE_EDITS = 20
@@ -37,7 +39,7 @@
 
 
 def _serve_host(pipe, number: int, kv: str, host_list: str) -> None:
-    """Serve one host; report use of the machine when asked."""
+    """Serve one host; send processor time and memory on each request."""
     logs.set_up_logs('error')
 
     async def serve() -> None:
@@ -70,12 +72,12 @@
 
 
 async def _edit(editor, client, controls, weight: float) -> float:
-    """Make one edit; return the seconds until it is in force everywhere."""
+    """Make one edit and return the seconds until all hosts have it."""
     table = (await editor.read()).unwrap()
     base = table.rows.get('desk')
     change = state.Change(
         edit_id=editor.make_edit_id(),
-        author='bench',
+        author='benchmark',
         team='desk',
         base=base,
         row=state.TeamRow(team='desk', weight=weight),
@@ -174,7 +176,7 @@
 async def _report_edits_before_outage(
     served, editor, client, controls
 ) -> None:
-    """Measure edits after which the service dies at once."""
+    """Measure edits after which the key-value service goes down."""
     times = []
     for number in range(_OUTAGE_EDITS):
         began = time.monotonic()
@@ -193,14 +195,14 @@
         await asyncio.sleep(2.0)
     times.sort()
     print(
-        f'the same when the service dies at once: median '
+        f'the same when the key-value service goes down: median '
         f'{1000 * times[len(times) // 2]:.0f} ms, longest '
         f'{1000 * times[-1]:.0f} ms of {_OUTAGE_EDITS}'
     )
 
 
 def main() -> None:
-    """Measure, in processes that are started and ended here."""
+    """Run the benchmark in child processes."""
     context = multiprocessing.get_context('spawn')
     asyncio.run(_measure(context))
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,8 +1,9 @@
-"""Each decision under its fault, ours beside a plain baseline in one run.
+"""Compares the routing and admission decisions with a baseline under faults.
 
-The baseline is the same code with a random replica, first in first out,
-no hedging, no adaptive limit, no refusal for waiting, and retries without
-a budget. Everything runs on virtual time, so the figures repeat exactly.
+The baseline is the same code with random replica choice, FIFO queues, no
+hedging, no adaptive limit, no rejection of queries that would wait too long,
+and practically unlimited retries. Everything runs on virtual time, so the
+figures are reproducible.
 """
 
 import argparse
@@ -34,7 +35,7 @@
     'greedy_team',
     'overload',
 )
-# Overload is compared with the same teams asking for just the capacity.
+# Scales the overload, which is three times the capacity, down to the capacity.
 _PEAK_FACTOR = 1.0 / 3.0
 
 
@@ -77,7 +78,7 @@
 
 
 def main() -> None:
-    """Run what is named, or everything, and print the table."""
+    """Run the given plans, or all of them, and print a table."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument('plans', nargs='*', default=_PLANS)
     parser.add_argument('--workers', type=int, default=4)
--- a/benchmarks/gateway_request.py
+++ b/benchmarks/gateway_request.py
@@ -1,7 +1,7 @@
-"""Processor time of a gateway for one shard request, over loopback.
+"""Processor time of a gateway per shard request, over loopback.
 
-Upstreams run in a process of their own, so only the gateway's time counts.
-Prints microseconds a shard request with kept and with new connections.
+Upstreams run in another process, so only the time of the gateway is measured.
+Prints microseconds per shard request with reused and with new connections.
 """
 
 import asyncio
@@ -81,7 +81,7 @@
     )
     task = asyncio.create_task(process.run())
     await asyncio.sleep(1.0)
-    for name, drops_idle in (('kept', False), ('new', True)):
+    for name, drops_idle in (('reused', False), ('new', True)):
         cpu_s = 0.0
         for number in range(ROUNDS):
             if drops_idle:
@@ -113,7 +113,7 @@
 
 
 def main() -> None:
-    """Run the benchmark; with `--profile` also print a profile."""
+    """Run the benchmark; with `--profile`, also print a profile."""
     served = multiprocessing.Process(
         target=_serve_upstreams, args=(SHARDS,), daemon=True
     )
--- a/benchmarks/hosts.py
+++ b/benchmarks/hosts.py
@@ -1,8 +1,8 @@
-"""False suspicion under loss, and how far limits are overshot.
+"""False suspicions under message loss, and overshoot of rate limits.
 
-On virtual time, so the figures repeat exactly. A limit's overshoot is what
-all hosts admitted in the worst second, and over all, against the limit; the
-team asks for three times its limit throughout.
+Runs on virtual time, so the figures are reproducible. Overshoot is the rate
+that all hosts together admit, in the worst second and on average, relative to
+the limit. The team sends three times its limit throughout.
 """
 
 import asyncio
@@ -39,7 +39,7 @@
 
 
 async def _count_suspicions(hosts: int, loss: float) -> tuple[int, int]:
-    """Return how often some host held another suspect, or failed."""
+    """Return how many times hosts marked a peer as suspect and as failed."""
     async with standins.run_fleet(_make_deployment(hosts), hosts, 1) as fleet:
         fleet.peers.faults.lose = loss
         await asyncio.sleep(_WATCH_S)
@@ -53,7 +53,7 @@
 
 
 def measure_suspicion() -> None:
-    """False suspicions by the part of messages lost."""
+    """Print false suspicions by the fraction of lost messages."""
     for hosts in (7, 20):
         for loss in _LOSSES:
             suspected, failed = experiments.run_on_virtual_time(
@@ -68,7 +68,7 @@
 
 
 async def _send_queries(fleet, admitted: list[float], choose_host) -> None:
-    """Ask for three times the limit, noting when each was admitted."""
+    """Send three times the limit and record when queries were admitted."""
     interval_s = 1.0 / (_LIMIT * _ASK_FACTOR)
     tasks = []
 
@@ -85,7 +85,7 @@
 
 
 async def _measure_overshoot(hosts: int, event: str) -> tuple[float, float]:
-    """Return admitted to limit, in the worst second and over all."""
+    """Return admitted queries relative to the limit: worst second, overall."""
     async with standins.run_fleet(_make_deployment(hosts), hosts, 1) as fleet:
         edit = await fleet.set_row('desk', rate=_LIMIT, deadline_s=1.0)
         await fleet.wait_until_in_force(edit.revision)
@@ -105,7 +105,7 @@
         await asyncio.sleep(_EVENT_AT_S)
         if event == 'host crashes':
             await fleet.crash_host(f'h{hosts}')
-        elif event == 'hosts part':
+        elif event == 'network split':
             _partition_hosts(fleet, hosts)
         await load
         seconds = [int(at - start) for at in admitted]
@@ -114,7 +114,7 @@
 
 
 def _partition_hosts(fleet: standins.MemoryFleet, hosts: int) -> None:
-    """Let one half of the hosts hear nothing of the other."""
+    """Cut all messages between the two halves of the hosts."""
     addresses = [running.address for running in fleet.hosts.values()]
     for one in addresses[: hosts // 2]:
         for other in addresses[hosts // 2 :]:
@@ -122,9 +122,14 @@
 
 
 def measure_limits() -> None:
-    """Overshoot of a limit by what happens to the hosts."""
+    """Print the overshoot of a limit by event."""
     for hosts in (3, 7):
-        for event in ('nothing', 'skew moves', 'host crashes', 'hosts part'):
+        for event in (
+            'nothing',
+            'skew moves',
+            'host crashes',
+            'network split',
+        ):
             worst, overall = experiments.run_on_virtual_time(
                 _measure_overshoot(hosts, event)
             )
@@ -135,7 +140,7 @@
 
 
 def main() -> None:
-    """Measure both."""
+    """Run both measurements."""
     measure_suspicion()
     measure_limits()
 
--- a/benchmarks/run.py
+++ b/benchmarks/run.py
@@ -1,4 +1,4 @@
-"""All benchmarks in turn, in under ten minutes: `make bench`."""
+"""Runs the main benchmarks in under ten minutes (`make bench`)."""
 
 import subprocess
 import sys
@@ -13,7 +13,7 @@
 
 
 def main() -> None:
-    """Run each benchmark in a process of its own."""
+    """Run each benchmark in its own process."""
     for name in _BENCHMARKS:
         print(f'\n== {name}', flush=True)
         command = [sys.executable, '-m', f'benchmarks.{name}']
--- a/benchmarks/shard_request.py
+++ b/benchmarks/shard_request.py
@@ -1,10 +1,10 @@
-"""Processor time of a shard request, beside the bare client library's.
+"""Processor time of a shard request compared with the bare HTTP client.
 
-One stand-in upstream in a process of its own answers at once. Over the
-same loopback connections this process sends the same requests twice: with
-aiosonic alone, and through all of a host's decisions (admission, fair
-queue, replica choice, hedging, merge). The figures are processor time of
-this process alone.
+Stand-in upstreams in another process reply without delay. This process sends
+the same requests over loopback twice: with the HTTP client aiosonic alone,
+and through a host with all its decisions (admission, fair queue, replica
+choice, hedging, merge). The figures are the processor time of this process
+only.
 """
 
 import argparse
@@ -44,7 +44,7 @@
 
 
 def _serve(pipe) -> None:
-    """Serve the stand-ins until the parent closes the pipe."""
+    """Serve the stand-ins until the parent sends a message."""
 
     async def serve() -> None:
         loop = asyncio.get_running_loop()
@@ -70,7 +70,7 @@
 
 
 async def _measure_bare(addresses: list[str], queries: int) -> float:
-    """Return seconds of processor time a request, by the library alone."""
+    """Return processor seconds per request for the client library alone."""
     connections = [
         transport.OwnedConnection(address)
         for address in addresses[: 2 * _SHARDS : 2]
@@ -106,7 +106,7 @@
 
 
 async def _measure_host(kv_address: str, queries: int) -> float:
-    """Return seconds of processor time a shard request, by a whole host."""
+    """Return processor seconds per shard request through a whole host."""
     loop = asyncio.get_running_loop()
     clock = state.Clock(loop, time.time() - loop.time())
     settings = state.Settings(
@@ -144,7 +144,7 @@
 
 
 def main() -> None:
-    """Print both costs and their ratio, for several rounds in turn."""
+    """Print both costs and their ratio for each round."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument('--queries', type=int, default=100)
     parser.add_argument('--rounds', type=int, default=5)
--- a/rudderrock/experiments/_faults.py
+++ b/rudderrock/experiments/_faults.py
@@ -18,9 +18,9 @@
 ) -> None:
     """Inject a fault at its start and clear it at its end.
 
-    `start` and `end` are the loop times, in seconds, at which the plan
-    starts and ends. A burst is ignored here, because the driver of its team
-    applies it.
+    `start` and `end` are the loop times, in seconds, at which the warm-up
+    ends and the plan ends. A burst is ignored here, because the driver of its
+    team applies it.
     """
     await _sleep_until(fleet, start + fault.at)
     until = end if fault.until is None else start + fault.until
--- a/rudderrock/experiments/_outcomes.py
+++ b/rudderrock/experiments/_outcomes.py
@@ -58,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Mark:
-    """A fault on the time axis, in seconds since the experiment began."""
+    """A fault on the time axis, in seconds since the end of the warm-up."""
 
     label: str
     at: float
@@ -146,8 +146,8 @@
     ) -> None:
         """Record one outcome; None is a call without a usable reply.
 
-        `due` is when the query was scheduled, in seconds since the
-        experiment began. `seconds` is the time from then to the outcome.
+        `due` is when the query was scheduled, in seconds since the end of
+        the warm-up. `seconds` is the time from then to the outcome.
         """
         counts = self._bins[int(due)]
         self._asked += 1
--- a/rudderrock/experiments/_plan.py
+++ b/rudderrock/experiments/_plan.py
@@ -23,8 +23,8 @@
 class _TimedFault:
     """A fault that is active from `at` to `until`.
 
-    Both are in seconds since the experiment began. Without `until`, the
-    fault lasts until the end.
+    Both are in seconds since the end of the warm-up. Without `until`, the
+    fault lasts until the end of the plan.
     """
 
     __pydantic_config__ = state.FORBID_UNKNOWN
--- a/rudderrock/experiments/_random_faults.py
+++ b/rudderrock/experiments/_random_faults.py
@@ -1,4 +1,4 @@
-"""Draws faults for random schedules, and holds the faults that they share."""
+"""Random faults of schedules, and the faults that all schedules share."""
 
 import asyncio
 from collections.abc import Awaitable
--- a/rudderrock/experiments/_schedules.py
+++ b/rudderrock/experiments/_schedules.py
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """One call and its outcome, which is None if no host was running.
+    """One call and its outcome, which is None if the caller received none.
 
     `key` is the idempotency key of a command and None for a query.
     """
--- a/rudderrock/programs/_operator.py
+++ b/rudderrock/programs/_operator.py
@@ -41,8 +41,8 @@
     async def find_hosts(self, address: str) -> dict[str, str]:
         """Return the control address of each member that one host lists.
 
-        If that host is unreachable, its own address is returned under the
-        address as name.
+        If that host is unreachable, only its own address is returned, with
+        the address as the name too.
         """
         status = await self.get_status(address)
         if status.is_err():
