--- a/benchmarks/ceiling.py
+++ b/benchmarks/ceiling.py
@@ -160,29 +160,31 @@
     A shard is bad if both of its upstreams are impaired.
     """
     rng = random.Random(seed)
-    found = draw_shards(rng, shards)
-    bad = sum(min(each.factor for each in pair) > 5 for pair in found)
+    shard_replicas = draw_shards(rng, shards)
+    bad = sum(min(each.factor for each in pair) > 5 for pair in shard_replicas)
     now = 0.0
     served = []
     while now < seconds:
         now += rng.expovariate(rate)
         kind = 'search' if rng.random() < 0.75 else 'check'
-        works = [[draw_work(rng, kind) for _ in pair] for pair in found]
-        served.append(send_query(found, works, now, kind))
+        works = [
+            [draw_work(rng, kind) for _ in pair] for pair in shard_replicas
+        ]
+        served.append(send_query(shard_replicas, works, now, kind))
     return sum(served) / len(served), bad
 
 
 POLICIES = {
-    'nothing, hedging once': send_with_hedge,
+    'none, one hedge': send_with_hedge,
     'speeds': Policy(Knowledge.SPEEDS).send_query,
     'queues': Policy(Knowledge.QUEUES).send_query,
-    'queues, leaving out': Policy(Knowledge.QUEUES, True).send_query,
-    'queues, leaving out, refusing': Policy(
+    'queues, skipping': Policy(Knowledge.QUEUES, True).send_query,
+    'queues, skipping, rejecting': Policy(
         Knowledge.QUEUES, True, True
     ).send_query,
     'all': Policy(Knowledge.ALL).send_query,
-    'all, leaving out': Policy(Knowledge.ALL, True).send_query,
-    'all, leaving out, refusing': Policy(Knowledge.ALL, True, True).send_query,
+    'all, skipping': Policy(Knowledge.ALL, True).send_query,
+    'all, skipping, rejecting': Policy(Knowledge.ALL, True, True).send_query,
 }
 
 
@@ -205,11 +207,11 @@
         for seed in range(seeds):
             part, bad = simulate(seed, send_query, shards, rate, seconds)
             served.setdefault(min(bad, MAX_BAD_SHARDS), []).append(part)
-        found = ', '.join(
+        text = ', '.join(
             f'{bad} bad: {statistics.mean(parts):.2f}'
             for bad, parts in sorted(served.items())
         )
-        print(f'{name:32}{found}', flush=True)
+        print(f'{name:32}{text}', flush=True)
 
 
 if __name__ == '__main__':
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -114,8 +114,8 @@
     over = sum(team.complete for team in ours.teams)
     shares = ' to '.join(str(team.complete) for team in ours.teams)
     print(
-        f'  complete answers at three times the capacity: {over}, at once '
-        f'the capacity {at_peak}, ratio {over / at_peak:.2f}; teams of '
+        f'  complete answers at three times the capacity: {over}, at '
+        f'capacity {at_peak}, ratio {over / at_peak:.2f}; teams of '
         f'weight 3 and 1 got {shares}'
     )
 
--- a/benchmarks/hosts.py
+++ b/benchmarks/hosts.py
@@ -72,14 +72,14 @@
     interval_s = 1.0 / (_LIMIT * _ASK_FACTOR)
     tasks = []
 
-    async def ask(host: str) -> None:
+    async def send_query(host: str) -> None:
         began = fleet.clock.now()
         outcome = await fleet.query(host, 'desk', 'members')
         if isinstance(outcome, protocol.Answered):
             admitted.append(began)
 
     for number in range(round(_RUN_S / interval_s)):
-        tasks.append(asyncio.create_task(ask(choose_host(number))))
+        tasks.append(asyncio.create_task(send_query(choose_host(number))))
         await asyncio.sleep(interval_s)
     await asyncio.gather(*tasks)
 
@@ -92,10 +92,10 @@
         await asyncio.sleep(3.0)
         admitted: list[float] = []
         start = fleet.clock.now()
-        moved = start + _EVENT_AT_S
+        event_at = start + _EVENT_AT_S
 
         def choose_host(number: int) -> str:
-            after = fleet.clock.now() >= moved
+            after = fleet.clock.now() >= event_at
             if event == 'skew moves':
                 return 'h2' if after else 'h1'
             live = hosts - 1 if event == 'host crashes' and after else hosts
--- a/rudderrock/experiments/_report.py
+++ b/rudderrock/experiments/_report.py
@@ -96,7 +96,7 @@
         label='share of weights',
     )
     axes.set_yticks(positions, names)
-    axes.set_xlabel('%; a team that asks for less than its share gets less')
+    axes.set_xlabel('%; a team with less load than its share gets less')
     axes.legend(fontsize=8, loc='lower right')
     return _make_svg(figure)
 
--- a/rudderrock/programs/soak.py
+++ b/rudderrock/programs/soak.py
@@ -43,8 +43,8 @@
     failed = []
     injected: collections.Counter[str] = collections.Counter()
     checked = 0
-    for number in _list_seeds(seed, count, minutes):
-        report = _play(number, length, hosts, lethal, returns, keep)
+    for number in _iterate_seeds(seed, count, minutes):
+        report = _run_seed(number, length, hosts, lethal, returns, keep)
         injected += report.injected
         checked += report.checked
         statuses = ', '.join(
@@ -53,18 +53,18 @@
         )
         print(f'seed {number}: {report.checked} requests ({statuses})')
         for broken in report.broken[:10]:
-            print(f'  BROKEN {broken.promise}: {broken.detail}')
+            print(f'  violated {broken.promise}: {broken.detail}')
         if report.broken:
             failed.append(number)
     print(f'checked {checked} requests; injected:')
     for name, times in sorted(injected.items()):
         print(f'  {times:4d} {name}')
-    print(f'seeds that broke a promise: {failed or "none"}')
+    print(f'seeds with violations: {failed or "none"}')
     if failed:
         raise SystemExit(exits.Exit.FAILED)
 
 
-def _list_seeds(seed: int, count: int, minutes: float):
+def _iterate_seeds(seed: int, count: int, minutes: float):
     if not minutes:
         yield from range(seed, seed + count)
         return
@@ -73,7 +73,7 @@
         yield secrets.randbits(_DRAWN_BITS)
 
 
-def _play(
+def _run_seed(
     seed: int,
     length: float,
     hosts: int,
