--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -41,7 +41,7 @@
 
 
 async def _time_queries(services: int) -> float:
-    """Return processor seconds per query with all decisions, without HTTP."""
+    """Return processor seconds per query, with stand-ins but without HTTP."""
     async with standins.run_fleet(_make_deployment(services), 1, 1) as fleet:
         edit = await fleet.set_row(
             'desk', rate=1e9, concurrency=10**9, deadline_s=5.0
@@ -64,7 +64,7 @@
         each = seconds / services
         print(
             f'query to {services:>5} shards: {seconds * 1000:8.2f} ms, '
-            f'{each * 1e6:6.1f} us a shard (stand-in included)'
+            f'{each * 1e6:6.1f} us per shard, including the stand-in upstream'
         )
     print(
         f'slope {_fit_slope(points) * 1e6:.1f} us a shard request without HTTP'
@@ -80,7 +80,7 @@
     return allocated
 
 
-def measure_links() -> None:
+def measure_upstreams() -> None:
     """Print memory by the number of upstreams, including the stand-ins."""
     points = [
         (
@@ -92,8 +92,8 @@
     for upstreams, allocated in points:
         print(f'{upstreams:>5} upstreams: {allocated / 1e6:7.2f} MB')
     print(
-        f'slope {_fit_slope(points) / 1000:.1f} KB an upstream of 6 lanes in '
-        'memory, sockets and HTTP client not included'
+        f'slope {_fit_slope(points) / 1000:.1f} KB of memory per upstream '
+        'with up to 6 connections, without sockets and HTTP client'
     )
 
 
@@ -137,7 +137,9 @@
 
 
 async def _time_probes(hosts: int) -> tuple[float, int]:
-    """Return the seconds to answer a probe and the probe's size in bytes."""
+    """Return the seconds to encode, decode and answer a probe, and its size.
+
+    The size is that of the encoded probe in bytes."""
     deployment = _make_deployment(1)
     async with standins.run_fleet(deployment, 1, 1) as fleet:
         membership = fleet.hosts['h1'].host.membership
@@ -217,10 +219,10 @@
 
 def main() -> None:
     """Run all measurements."""
-    # The entry daemon runs with the same collector settings.
+    # The entry daemon runs with the same garbage collector settings.
     runtime.tune_collector()
     measure_fan_out()
-    measure_links()
+    measure_upstreams()
     measure_table()
     measure_membership()
     measure_batches()
--- a/benchmarks/ceiling.py
+++ b/benchmarks/ceiling.py
@@ -3,8 +3,8 @@
 Simulates queries over shards with policies that have different knowledge of
 the upstreams: everything (queues, pauses and the work of each request), their
 queues and speeds, their speeds only, or only whether a reply is late (a
-single hedge). A policy may also skip as many shards as a query can miss, and
-reject queries that it predicts to be late.
+single hedge). A policy may also leave out as many shards as an answer may
+lack (ALLOWED_MISSING), and reject queries that it predicts to be late.
 
 The simulation has neither hosts nor a network. An upstream has two slots and
 a FIFO queue. Times are in seconds. Run `python -m benchmarks.ceiling`.
@@ -17,6 +17,8 @@
 
 import defopt
 
+# Two kinds of queries: when an answer counts as in time, the mean service
+# time of a shard request, and how many shards an answer may lack.
 LATENCY_GOALS_S = {'search': 0.205, 'check': 0.090}
 MEAN_WORK_S = {'search': 0.030, 'check': 0.010}
 ALLOWED_MISSING = {'search': 2, 'check': 5}
@@ -29,7 +31,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Upstream:
-    """An upstream with two slots, a slowdown factor and periodic pauses."""
+    """An upstream with two slots, a slowdown factor and periodic pauses.
+
+    `slots` holds the time at which each slot becomes free. `phase` shifts
+    the start of the pauses.
+    """
 
     factor: float
     phase: float
@@ -37,7 +43,9 @@
 
     def find_end(self, now: float, work_s: float) -> float:
         """Return when a request that arrives at `now` would be answered."""
-        return self._run(max(now, min(self.slots)), work_s * self.factor)
+        return self._compute_end(
+            max(now, min(self.slots)), work_s * self.factor
+        )
 
     def take(self, now: float, work_s: float) -> float:
         """Add a request to the queue and return when it is answered."""
@@ -45,21 +53,25 @@
         self.slots[self.slots.index(min(self.slots))] = end
         return end
 
-    def _run(self, start: float, left_s: float) -> float:
+    def _compute_end(self, start: float, left_s: float) -> float:
+        """Return the end of `left_s` seconds of work; pauses interrupt it."""
         while True:
-            since = (start + self.phase) % PAUSE_EVERY_S
-            if since < PAUSE_S:
-                start += PAUSE_S - since
-                since = PAUSE_S
-            room_s = PAUSE_EVERY_S - since
-            if left_s <= room_s:
+            since_pause_s = (start + self.phase) % PAUSE_EVERY_S
+            if since_pause_s < PAUSE_S:
+                start += PAUSE_S - since_pause_s
+                since_pause_s = PAUSE_S
+            until_pause_s = PAUSE_EVERY_S - since_pause_s
+            if left_s <= until_pause_s:
                 return start + left_s
-            start += room_s
-            left_s -= room_s
+            start += until_pause_s
+            left_s -= until_pause_s
 
 
 def draw_shards(rng: random.Random, shards: int) -> list[list[Upstream]]:
-    """Return shards of two upstreams each; 38 % of upstreams are impaired."""
+    """Return shards of two upstreams each.
+
+    38 % of the upstreams are slow or down; all of them pause.
+    """
 
     def draw() -> Upstream:
         kind = rng.random()
@@ -76,7 +88,7 @@
 
 
 def draw_work(rng: random.Random, kind: str) -> float:
-    """Return the service time of a request at an unimpaired upstream."""
+    """Return the service time of a request at an upstream of factor 1."""
     work_s = MEAN_WORK_S[kind] * rng.lognormvariate(-0.06, 0.35)
     return work_s * (5.0 if rng.random() < 0.01 else 1.0)
 
@@ -135,9 +147,9 @@
 
 
 def send_with_hedge(shards, works, now: float, kind: str) -> bool:
-    """Send one query with a single hedge per shard, without any knowledge.
+    """Send one query, hedging late shards, and return if it was in time.
 
-    Return whether it was served in time.
+    Each shard is hedged at most once, when its reply is late.
     """
     goal = now + LATENCY_GOALS_S[kind]
     late = 0
@@ -157,7 +169,7 @@
 ) -> tuple[float, int]:
     """Return the fraction served in time and the number of bad shards.
 
-    A shard is bad if both of its upstreams are impaired.
+    A shard is bad if both of its upstreams are slow or down.
     """
     rng = random.Random(seed)
     shard_replicas = draw_shards(rng, shards)
@@ -174,8 +186,9 @@
     return sum(served) / len(served), bad
 
 
+# In these names, 'queues' stands for queues and speeds.
 POLICIES = {
-    'none, one hedge': send_with_hedge,
+    'lateness only, one hedge': send_with_hedge,
     'speeds': Policy(Knowledge.SPEEDS).send_query,
     'queues': Policy(Knowledge.QUEUES).send_query,
     'queues, skipping': Policy(Knowledge.QUEUES, True).send_query,
@@ -205,11 +218,15 @@
     for name, send_query in POLICIES.items():
         served: dict[int, list[float]] = {}
         for seed in range(seeds):
-            part, bad = simulate(seed, send_query, shards, rate, seconds)
-            served.setdefault(min(bad, MAX_BAD_SHARDS), []).append(part)
+            fraction, bad_shards = simulate(
+                seed, send_query, shards, rate, seconds
+            )
+            served.setdefault(min(bad_shards, MAX_BAD_SHARDS), []).append(
+                fraction
+            )
         text = ', '.join(
-            f'{bad} bad: {statistics.mean(parts):.2f}'
-            for bad, parts in sorted(served.items())
+            f'{bad_shards} bad: {statistics.mean(fractions):.2f}'
+            for bad_shards, fractions in sorted(served.items())
         )
         print(f'{name:32}{text}', flush=True)
 
--- a/benchmarks/commands.py
+++ b/benchmarks/commands.py
@@ -1,8 +1,8 @@
-"""Latency of commands and their load on the key-value service.
+"""Latency of commands, and the calls they make to the key-value service.
 
-Runs on virtual time. Callers send commands at a constant rate, in turn to
-each host; one in ten repeats the previous key at the next host. A call to the
-key-value service takes 1 ms.
+A command is a non-idempotent request. Runs on virtual time. Callers send
+commands at a constant rate, in turn to each host; one in ten repeats the
+previous key at the next host. A call to the key-value service takes 1 ms.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 from rudderrock import standins
 
 _SECONDS = 10.0
-_REPEAT_EACH = 10
+_REPEAT_EVERY = 10
 _RATES = (10, 50, 200)
 
 
@@ -52,7 +52,7 @@
         tasks = []
         key = fleet.make_key()
         for number in range(round(rate * _SECONDS)):
-            if number % _REPEAT_EACH:
+            if number % _REPEAT_EVERY:
                 key = fleet.make_key()
             tasks.append(asyncio.create_task(send(number, key)))
             await asyncio.sleep(1.0 / rate)
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -2,8 +2,9 @@
 
 Idle fleets of 3 to 60 hosts run on virtual time for one minute, followed by
 one edit of the table. Message sizes are those of the encoded messages between
-hosts; calls are counted by the stand-in of the key-value service. Processor
-time is that of this process and excludes HTTP, which `control_http` measures.
+hosts. The stand-in of the key-value service counts the calls made to it.
+Processor time is that of this process and excludes HTTP, which `control_http`
+measures.
 """
 
 import asyncio
@@ -51,8 +52,8 @@
         edit = await fleet.set_row('team-0', weight=2.0)
         in_force_s = await fleet.wait_until_in_force(edit.revision)
     print(
-        f'{hosts:>4} hosts: {messages / _SECONDS:5.2f} messages/s, sent and '
-        f'received {2 * sent / 1000:6.2f} KB/s, '
+        f'{hosts:>4} hosts: {messages / _SECONDS:5.2f} messages/s, '
+        f'{2 * sent / 1000:6.2f} KB/s in both directions, '
         f'{100 * cpu / hosts / _SECONDS:6.3f} % of a core without HTTP, '
         f'key-value {kv[0] / _SECONDS:5.2f} reads/s '
         f'{kv[1] / _SECONDS:5.2f} writes/s in all, edit in force after '
@@ -82,7 +83,7 @@
     )
     print(f'memory: {(many - few) / 20 / 1000:.0f} KB more for each host')
     row = state.TeamRow(team='t', token_hashes=('x' * 97,))
-    print(f'a row of the table: about {len(repr(row))} characters')
+    print(f'a row of the table: about {len(repr(row))} characters as repr')
 
 
 if __name__ == '__main__':
--- a/benchmarks/control_http.py
+++ b/benchmarks/control_http.py
@@ -1,9 +1,9 @@
 """Cost and latency of the control plane over loopback sockets.
 
-Runs seven idle hosts, each in its own process, and the stand-ins in another
-process. Prints the processor time and memory of a host, and the time until an
-edit is in force on all hosts. The latter is also measured with the key-value
-service going down as soon as it has accepted the edit.
+Runs seven idle hosts, each in its own process, and the stand-ins in the main
+process. Prints the processor time and memory of a host, and the time until
+an edit is in force on all hosts. The latter is also measured with the
+key-value service going down as soon as it has accepted the edit.
 """
 
 import asyncio
@@ -39,7 +39,10 @@
 
 
 def _serve_host(pipe, number: int, kv: str, host_list: str) -> None:
-    """Serve one host; send processor time and memory on each request."""
+    """Serve one host until the message 'end' arrives on the pipe.
+
+    Any other message is answered with the processor time and the memory.
+    """
     logs.set_up_logs('error')
 
     async def serve() -> None:
@@ -72,7 +75,10 @@
 
 
 async def _edit(editor, client, controls, weight: float) -> float:
-    """Make one edit and return the seconds until all hosts have it."""
+    """Make one edit and return the seconds until it is in force on all hosts.
+
+    The time starts when the edit has been accepted.
+    """
     table = (await editor.read()).unwrap()
     base = table.rows.get('desk')
     change = state.Change(
@@ -195,14 +201,15 @@
         await asyncio.sleep(2.0)
     times.sort()
     print(
-        f'the same when the key-value service goes down: median '
+        'from sending an edit to in force when the key-value service goes '
+        f'down after accepting it: median '
         f'{1000 * times[len(times) // 2]:.0f} ms, longest '
         f'{1000 * times[-1]:.0f} ms of {_OUTAGE_EDITS}'
     )
 
 
 def main() -> None:
-    """Run the benchmark in child processes."""
+    """Run the benchmark, with each host in a child process."""
     context = multiprocessing.get_context('spawn')
     asyncio.run(_measure(context))
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -35,7 +35,7 @@
     'greedy_team',
     'overload',
 )
-# Scales the overload, which is three times the capacity, down to the capacity.
+# The load of the plan `overload` is three times the capacity.
 _PEAK_FACTOR = 1.0 / 3.0
 
 
@@ -64,21 +64,30 @@
     baseline: experiments.ExperimentResult,
     ours: experiments.ExperimentResult,
 ) -> None:
-    for before, after in zip(baseline.teams, ours.teams, strict=True):
-        p99 = before.latency_s['99'], after.latency_s['99']
+    for baseline_team, our_team in zip(
+        baseline.teams, ours.teams, strict=True
+    ):
+        p99 = baseline_team.latency_s['99'], our_team.latency_s['99']
         ratio = p99[1] / p99[0] if p99[0] else 0.0
         print(
-            f'{name:<22}{before.team:<15}'
+            f'{name:<22}{baseline_team.team:<15}'
             f'{p99[0] * 1000:>9.1f}{p99[1] * 1000:>8.1f}{ratio:>7.2f}'
-            f'{100 * before.coverage:>10.3f}{100 * after.coverage:>9.3f}'
-            f'{before.complete:>9}{after.complete:>7}'
+            f'{100 * baseline_team.coverage:>10.3f}'
+            f'{100 * our_team.coverage:>9.3f}'
+            f'{baseline_team.complete:>9}{our_team.complete:>7}'
             f'{100 * ours.extra_load:>8.2f}',
             flush=True,
         )
 
 
 def main() -> None:
-    """Run the given plans, or all of them, and print a table."""
+    """Run the given plans, or all of them, and print a table.
+
+    The 99th percentile is in ms and the coverage in %; `complete` counts
+    complete answers. Each is followed by the value without the baseline's
+    settings (`ours`). `extra %` is the number of hedges and retries per 100
+    shard requests, also without these settings.
+    """
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument('plans', nargs='*', default=_PLANS)
     parser.add_argument('--workers', type=int, default=4)
@@ -115,8 +124,8 @@
     shares = ' to '.join(str(team.complete) for team in ours.teams)
     print(
         f'  complete answers at three times the capacity: {over}, at '
-        f'capacity {at_peak}, ratio {over / at_peak:.2f}; teams of '
-        f'weight 3 and 1 got {shares}'
+        f'capacity {at_peak}, ratio {over / at_peak:.2f}; of '
+        f'the teams of weight 3 and 1: {shares}'
     )
 
 
@@ -124,11 +133,14 @@
     without_faults: experiments.ExperimentResult,
     ours: experiments.ExperimentResult,
 ) -> None:
-    for before, after in zip(without_faults.teams, ours.teams, strict=True):
-        ratio = after.latency_s['99'] / before.latency_s['99']
+    for without_burst, with_burst in zip(
+        without_faults.teams, ours.teams, strict=True
+    ):
+        ratio = with_burst.latency_s['99'] / without_burst.latency_s['99']
         print(
-            f'  {after.team}: 99th percentile {ratio:.2f} times that without '
-            f'the burst, {after.complete} complete answers of {after.asked}'
+            f'  {with_burst.team}: 99th percentile {ratio:.2f} times that '
+            f'without the burst, {with_burst.complete} complete answers of '
+            f'{with_burst.asked}'
         )
 
 
--- a/benchmarks/gateway_request.py
+++ b/benchmarks/gateway_request.py
@@ -1,6 +1,6 @@
 """Processor time of a gateway per shard request, over loopback.
 
-Upstreams run in another process, so only the time of the gateway is measured.
+Upstreams run in another process, so their time is not counted.
 Prints microseconds per shard request with reused and with new connections.
 """
 
@@ -76,16 +76,16 @@
         metrics=('127.0.0.1', _FIRST_PORT + 902),
         peers=('127.0.0.1', _FIRST_PORT + 903),
     )
-    process = gateway_root.make_gateway(
+    running_gateway = gateway_root.make_gateway(
         config, source, clock, 1, gateway.EventLog('g', clock)
     )
-    task = asyncio.create_task(process.run())
+    task = asyncio.create_task(running_gateway.run())
     await asyncio.sleep(1.0)
     for name, drops_idle in (('reused', False), ('new', True)):
         cpu_s = 0.0
         for number in range(ROUNDS):
             if drops_idle:
-                process.gateway.book.drop_idle()
+                running_gateway.gateway.book.drop_idle()
                 await asyncio.sleep(0.05)
             request = gateway.Request(
                 b'GET',
@@ -101,7 +101,7 @@
             began = time.process_time()
             if profile is not None:
                 profile.enable()
-            reply = await process.gateway.handle(request)
+            reply = await running_gateway.gateway.handle(request)
             if profile is not None:
                 profile.disable()
             cpu_s += time.process_time() - began
@@ -114,16 +114,16 @@
 
 def main() -> None:
     """Run the benchmark; with `--profile`, also print a profile."""
-    served = multiprocessing.Process(
+    upstream_process = multiprocessing.Process(
         target=_serve_upstreams, args=(SHARDS,), daemon=True
     )
-    served.start()
+    upstream_process.start()
     time.sleep(1.5)
     profile = cProfile.Profile() if '--profile' in sys.argv else None
     try:
         asyncio.run(_measure(profile))
     finally:
-        served.kill()
+        upstream_process.kill()
     if profile is not None:
         pstats.Stats(profile).sort_stats('tottime').print_stats(28)
 
--- a/benchmarks/hosts.py
+++ b/benchmarks/hosts.py
@@ -46,6 +46,7 @@
         kinds = {'suspect': 0, 'failed': 0}
         for running in fleet.hosts.values():
             for event in running.host.ring.list_since(state.Stamp()):
+                # The last word of the detail is the new state.
                 word = event.detail.rpartition(' ')[2]
                 if event.kind is state.EventKind.PEER_STATE and word in kinds:
                     kinds[word] += 1
@@ -62,13 +63,17 @@
             hours = hosts * _WATCH_S / 3600
             print(
                 f'{hosts:>3} hosts, {100 * loss:2.0f} % lost: '
-                f'{suspected / hours:7.1f} times suspect and '
-                f'{failed / hours:5.1f} failed, an hour and host'
+                f'{suspected / hours:7.1f} times marked as suspect '
+                f'and {failed / hours:5.1f} as failed, per host and hour'
             )
 
 
 async def _send_queries(fleet, admitted: list[float], choose_host) -> None:
-    """Send three times the limit and record when queries were admitted."""
+    """Send queries at three times the limit.
+
+    The time of sending of each query that was answered is added to
+    `admitted`.
+    """
     interval_s = 1.0 / (_LIMIT * _ASK_FACTOR)
     tasks = []
 
@@ -85,7 +90,10 @@
 
 
 async def _measure_overshoot(hosts: int, event: str) -> tuple[float, float]:
-    """Return admitted queries relative to the limit: worst second, overall."""
+    """Return the rate of answered queries as a multiple of the limit.
+
+    The first figure is for the worst second, the second one the average.
+    """
     async with standins.run_fleet(_make_deployment(hosts), hosts, 1) as fleet:
         edit = await fleet.set_row('desk', rate=_LIMIT, deadline_s=1.0)
         await fleet.wait_until_in_force(edit.revision)
@@ -96,7 +104,8 @@
 
         def choose_host(number: int) -> str:
             after = fleet.clock.now() >= event_at
-            if event == 'skew moves':
+            # All queries go to h1, after the event all to h2.
+            if event == 'load moves':
                 return 'h2' if after else 'h1'
             live = hosts - 1 if event == 'host crashes' and after else hosts
             return f'h{1 + number % live}'
@@ -126,7 +135,7 @@
     for hosts in (3, 7):
         for event in (
             'nothing',
-            'skew moves',
+            'load moves',
             'host crashes',
             'network split',
         ):
--- a/benchmarks/shard_request.py
+++ b/benchmarks/shard_request.py
@@ -1,8 +1,8 @@
 """Processor time of a shard request compared with the bare HTTP client.
 
 Stand-in upstreams in another process reply without delay. This process sends
-the same requests over loopback twice: with the HTTP client aiosonic alone,
-and through a host with all its decisions (admission, fair queue, replica
+the same requests over loopback twice: through HTTP connections alone, and
+through a host with all its decisions (admission, fair queue, replica
 choice, hedging, merge). The figures are the processor time of this process
 only.
 """
@@ -77,7 +77,7 @@
     ]
 
     async def ask(connection, shard: str) -> None:
-        loop_wall = time.time()
+        wall = time.time()
         for number in range(queries):
             request = protocol.ShardRequest(
                 request_id=f'{shard}.{number}',
@@ -85,7 +85,7 @@
                 version=1,
                 body=msgspec.Raw(b'"q"'),
                 limit=10,
-                deadline=loop_wall + 60,
+                deadline=wall + 60,
             )
             body = protocol.encode(request)
             raw = await connection.post(protocol.SHARD_PATH, body)
@@ -106,7 +106,7 @@
 
 
 async def _measure_host(kv_address: str, queries: int) -> float:
-    """Return processor seconds per shard request through a whole host."""
+    """Return processor seconds per shard request through a complete host."""
     loop = asyncio.get_running_loop()
     clock = state.Clock(loop, time.time() - loop.time())
     settings = state.Settings(
@@ -144,7 +144,7 @@
 
 
 def main() -> None:
-    """Print both costs and their ratio for each round."""
+    """Print the costs of each round and the median ratios."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument('--queries', type=int, default=100)
     parser.add_argument('--rounds', type=int, default=5)
@@ -154,27 +154,27 @@
     server = context.Process(target=_serve, args=(theirs,), daemon=True)
     server.start()
     kv_address, addresses = ours.recv()
-    plain = []
-    tuned = []
+    ratios = []
+    tuned_ratios = []
     thresholds = gc.get_threshold()
     for number in range(options.rounds):
-        bare = asyncio.run(_measure_bare(addresses, options.queries))
-        host = asyncio.run(_measure_host(kv_address, options.queries))
+        bare_s = asyncio.run(_measure_bare(addresses, options.queries))
+        host_s = asyncio.run(_measure_host(kv_address, options.queries))
         runtime.tune_collector()
-        host_tuned = asyncio.run(_measure_host(kv_address, options.queries))
+        tuned_host_s = asyncio.run(_measure_host(kv_address, options.queries))
         gc.set_threshold(*thresholds)
         gc.unfreeze()
-        plain.append(host / bare)
-        tuned.append(host_tuned / bare)
+        ratios.append(host_s / bare_s)
+        tuned_ratios.append(tuned_host_s / bare_s)
         print(
-            f'round {number + 1}: bare {bare * 1e6:.0f} us, host '
-            f'{host * 1e6:.0f} us, with the collector tuned '
-            f'{host_tuned * 1e6:.0f} us a shard request',
+            f'round {number + 1}: bare {bare_s * 1e6:.0f} us, host '
+            f'{host_s * 1e6:.0f} us, with the collector tuned '
+            f'{tuned_host_s * 1e6:.0f} us a shard request',
             flush=True,
         )
     print(
-        f'median ratio to bare {statistics.median(plain):.2f}, with the '
-        f'collector tuned {statistics.median(tuned):.2f}'
+        f'median ratio to bare {statistics.median(ratios):.2f}, with the '
+        f'collector tuned {statistics.median(tuned_ratios):.2f}'
     )
     ours.send('end')
     server.join()
--- a/rudderrock/experiments/__init__.py
+++ b/rudderrock/experiments/__init__.py
@@ -41,7 +41,7 @@
 from rudderrock.experiments._report import make_report
 from rudderrock.experiments._report import write_report
 from rudderrock.experiments._run import Driver
-from rudderrock.experiments._run import run_and_collect_crashes
+from rudderrock.experiments._run import run_and_collect_exceptions
 from rudderrock.experiments._run import run_on_virtual_time
 from rudderrock.experiments._run import run_virtual
 from rudderrock.experiments._schedules import Call
@@ -94,7 +94,7 @@
     'read_plan',
     'read_result',
     'read_targets',
-    'run_and_collect_crashes',
+    'run_and_collect_exceptions',
     'run_on_virtual_time',
     'run_real',
     'run_schedule',
--- a/rudderrock/experiments/_faults.py
+++ b/rudderrock/experiments/_faults.py
@@ -19,8 +19,8 @@
     """Inject a fault at its start and clear it at its end.
 
     `start` and `end` are the loop times, in seconds, at which the warm-up
-    ends and the plan ends. A burst is ignored here, because the driver of its
-    team applies it.
+    ends and the plan ends. A stopped or crashed host is not started again. A
+    burst is ignored here: the `Driver` of its team raises the rate.
     """
     await _sleep_until(fleet, start + fault.at)
     until = end if fault.until is None else start + fault.until
@@ -109,7 +109,10 @@
 async def _roll_out(
     fleet: standins.MemoryFleet, fault: plans.Rollout, until: float
 ) -> None:
-    """Add a new version upstream by upstream and retire the old one."""
+    """Add a new index version upstream by upstream.
+
+    Each upstream drops the old version `overlap_s` seconds later.
+    """
     name = state.CollectionId(fault.collection)
     collection = fleet.layout.collections[name]
     old = collection.placements[-1]
--- a/rudderrock/experiments/_outcomes.py
+++ b/rudderrock/experiments/_outcomes.py
@@ -17,11 +17,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Bin:
-    """Counts, coverage and two latency percentiles of a team in one second.
+    """Counts and two latency percentiles of a team in one second.
 
     Latencies are in seconds and are measured from the time at which the
-    query was due, not from when it was sent. This avoids coordinated
-    omission.
+    query was due, not from when it was sent, so that delayed queries are not
+    counted as fast (coordinated omission).
     """
 
     second: int
@@ -52,7 +52,10 @@
 
     @property
     def coverage(self) -> float:
-        """Return the fraction of shards that contributed to answers."""
+        """Return the fraction of shards that are in the answers.
+
+        Only the shards of answered queries count.
+        """
         return self.shards_answered / self.shards if self.shards else 0.0
 
 
@@ -67,11 +70,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class InternalMetrics:
-    """Metrics that only hosts and stand-ins of a simulated run expose.
+    """Metrics that are collected only in a run on virtual time.
 
-    `extra_load` is the ratio of hedges and retries to shard requests.
-    `connections` is the peak number of open connections of any upstream, as
-    a fraction of its connection limit.
+    `shard_requests` counts first attempts only. `extra_load` is the ratio of
+    hedges and retries to them. `connections` is the peak number of open
+    connections of any upstream, as a fraction of its connection limit.
     """
 
     extra_load: float
@@ -248,7 +251,10 @@
 
 
 def compare_results(one: ExperimentResult, other: ExperimentResult) -> str:
-    """Return a table of two results with ratios of the second to the first."""
+    """Return a table of two results with ratios of the second to the first.
+
+    Teams that only one of the results has are left out.
+    """
     lines = [f'{"":<28}{"first":>12}{"second":>12}{"ratio":>9}']
 
     def add(name: str, first: float, second: float) -> None:
@@ -278,5 +284,8 @@
 
 
 def make_mark(label: str, at: float, until: float | None, end: float) -> Mark:
-    """Return a mark; a fault without an end lasts until the run ends."""
+    """Return the mark of a fault.
+
+    Without `until`, the fault lasts until `end`, the end of the run.
+    """
     return Mark(label=label, at=at, until=end if until is None else until)
--- a/rudderrock/experiments/_plan.py
+++ b/rudderrock/experiments/_plan.py
@@ -75,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class FalseLoad(_TimedFault):
-    """Upstreams report a queue length that does not match their load."""
+    """Upstreams report `queued` waiting requests, whatever their load is."""
 
     kind: Literal['false_load']
     upstreams: str
@@ -130,7 +130,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class HostDown(_TimedFault):
-    """A host crashes or, with `planned`, is stopped gracefully."""
+    """A host crashes or, with `planned`, is stopped gracefully.
+
+    The host stays down; `until` only ends the mark in the report.
+    """
 
     kind: Literal['host_gone']
     host: str
@@ -180,7 +183,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Plan:
-    """An experiment.
+    """The plan of an experiment: deployment, load, faults and settings.
 
     Outcomes are recorded only after `warm_up_s` seconds, and times of faults
     are relative to that moment. `settings` holds the sections and keys of
@@ -202,8 +205,8 @@
 def read_plan(path: pathlib.Path) -> result.Result[Plan, str]:
     """Return a validated plan, or why it is invalid.
 
-    The deployment may be given as the name of another TOML file, relative to
-    the plan.
+    The deployment may be given as the path of another TOML file, relative to
+    the folder of the plan.
     """
     read = state.read_toml(path)
     if read.is_err():
--- a/rudderrock/experiments/_random_faults.py
+++ b/rudderrock/experiments/_random_faults.py
@@ -1,4 +1,4 @@
-"""Random faults of schedules, and the faults that all schedules share."""
+"""Random faults for fuzz runs, and the faults used by both kinds of runs."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -10,7 +10,7 @@
 
 _MIN_LENGTH_S = 0.05
 
-# Injects a fault into a fleet and clears it after the given seconds.
+# Injects a fault into a fleet; most are cleared after the given seconds.
 FaultInjector = Callable[
     [standins.MemoryFleet, float, random.Random], Awaitable[None]
 ]
@@ -30,7 +30,7 @@
         return f'{self.kind} at {self.at:.2f} for {self.length_s:.2f} s'
 
     async def inject(self, fleet: standins.MemoryFleet) -> None:
-        """Inject the fault at its start and clear it at its end."""
+        """Inject the fault at its start; most are cleared at their end."""
         await asyncio.sleep(self.at)
         await self.injector(fleet, self.length_s, random.Random(self.seed))
 
@@ -41,12 +41,12 @@
     *,
     max_count: int,
     within_s: float,
-    length_s: float,
+    max_length_s: float,
 ) -> list[DrawnFault]:
     """Return one to `max_count` faults that start within `within_s` seconds.
 
-    Each lasts at most `length_s` seconds. Faults of the same kind may repeat
-    and overlap.
+    Each lasts at most `max_length_s` seconds. Faults of the same kind may
+    repeat and overlap.
     """
     kinds = sorted(injectors)
     faults = []
@@ -56,7 +56,7 @@
             DrawnFault(
                 kind=kind,
                 at=rng.uniform(0, within_s),
-                length_s=rng.uniform(_MIN_LENGTH_S, length_s),
+                length_s=rng.uniform(_MIN_LENGTH_S, max_length_s),
                 seed=rng.getrandbits(64),
                 injector=injectors[kind],
             )
@@ -65,14 +65,17 @@
 
 
 async def inject_kv_outage(fleet, length_s, rng) -> None:
-    """Take the key-value service down."""
+    """Take the key-value service down for `length_s` seconds."""
     await fleet.kv.set_down(True)
     await asyncio.sleep(length_s)
     await fleet.kv.set_down(False)
 
 
 async def inject_kv_delay(fleet, length_s, rng) -> None:
-    """Delay calls to the key-value service by 0.01 to 1 s."""
+    """Delay calls to the key-value service by 0.01 to 1 s.
+
+    The delay is removed after `length_s` seconds.
+    """
     fleet.kv.faults.delay_s = rng.uniform(0.01, 1.0)
     await asyncio.sleep(length_s)
     fleet.kv.faults.delay_s = 0.0
--- a/rudderrock/experiments/_real.py
+++ b/rudderrock/experiments/_real.py
@@ -1,4 +1,4 @@
-"""Runs the load of a plan against real hosts over HTTP."""
+"""Runs the load of a plan against running hosts over HTTP."""
 
 import asyncio
 from collections.abc import Callable
@@ -43,12 +43,13 @@
 
 
 async def run_real(
-    plan: plans.Plan, targets: Targets, report: Callable[[str], None]
+    plan: plans.Plan, targets: Targets, on_progress: Callable[[str], None]
 ) -> outcomes.ExperimentResult:
-    """Send the load of a plan to real hosts, without injecting its faults.
+    """Send the load of a plan to running hosts and return the result.
 
-    The result has no internal metrics such as the extra load; the hosts
-    export them.
+    The faults of the plan are not injected. The result has no internal
+    metrics, such as the extra load; the hosts export these themselves.
+    `on_progress` is called with a line of progress every 5 s.
     """
     loop = asyncio.get_running_loop()
     start = loop.time() + plan.warm_up_s
@@ -62,7 +63,9 @@
         )
         for load in plan.teams
     ]
-    progress = asyncio.create_task(_report(loop, start, plan, report))
+    progress = asyncio.create_task(
+        _report_progress(loop, start, plan, on_progress)
+    )
     await asyncio.gather(
         *(
             driver.run(start, plan.warm_up_s, plan.seconds)
@@ -122,6 +125,7 @@
         case result.Ok(transport.RawReply(body=body)):
             problem = protocol.decode(protocol.Problem, body).ok()
             if problem and problem.outcome is protocol.Ran.NOT_RUN:
+                # The reason is not counted, so any will do.
                 return protocol.Refused(
                     reason=protocol.RefusalReason.OVERLOAD,
                     detail=problem.detail,
@@ -129,8 +133,10 @@
     return None
 
 
-async def _report(loop, start: float, plan: plans.Plan, report) -> None:
+async def _report_progress(
+    loop, start: float, plan: plans.Plan, on_progress
+) -> None:
     while True:
         elapsed_s = max(0.0, loop.time() - start)
-        report(f'{elapsed_s:.0f} of {plan.seconds:g} s')
+        on_progress(f'{elapsed_s:.0f} of {plan.seconds:g} s')
         await asyncio.sleep(_PROGRESS_STEP_S)
--- a/rudderrock/experiments/_report.py
+++ b/rudderrock/experiments/_report.py
@@ -36,8 +36,10 @@
         _plot(outcome, '99th percentile, ms', lambda b: b.p99_s * 1000),
         _plot(outcome, 'median, ms', lambda b: b.p50_s * 1000),
         _plot(outcome, 'coverage, %', _get_coverage),
-        _plot(outcome, 'shard answers a second', lambda b: b.shards_answered),
-        _plot(outcome, 'refused a second', lambda b: b.refused),
+        _plot(
+            outcome, 'shard answers per second', lambda b: b.shards_answered
+        ),
+        _plot(outcome, 'refused per second', lambda b: b.refused),
         _plot_shares(outcome),
     ]
     return (
@@ -73,7 +75,7 @@
 
 
 def _plot_shares(outcome: outcomes.ExperimentResult) -> str:
-    """Return a plot of each team's share of shard answers and of weight."""
+    """Return a plot of each team's share of shard answers and of weights."""
     figure = matplotlib.figure.Figure(
         figsize=(_WIDTH_INCHES, _HEIGHT_INCHES), layout='constrained'
     )
@@ -96,7 +98,7 @@
         label='share of weights',
     )
     axes.set_yticks(positions, names)
-    axes.set_xlabel('%; a team with less load than its share gets less')
+    axes.set_xlabel('% (a team that asks for less than its share gets less)')
     axes.legend(fontsize=8, loc='lower right')
     return _make_svg(figure)
 
--- a/rudderrock/experiments/_run.py
+++ b/rudderrock/experiments/_run.py
@@ -46,10 +46,10 @@
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self, start: float, warm_up_s: float, seconds: float):
-        """Send queries until all are due, then wait for their outcomes.
+        """Send all queries, then wait for their outcomes.
 
-        The first is due `warm_up_s` seconds before `start`, the last
-        `seconds` after it.
+        Queries are due from `warm_up_s` seconds before `start` until
+        `seconds` after `start`.
         """
         due = start - warm_up_s
         while due < start + seconds:
@@ -76,26 +76,27 @@
 
 
 def run_virtual(
-    plan: plans.Plan, report: Callable[[str], None] | None = None
+    plan: plans.Plan, on_progress: Callable[[str], None] | None = None
 ) -> outcomes.ExperimentResult:
-    """Run a plan on a new event loop with virtual time.
+    """Return the result of a plan, run on a new loop with virtual time.
 
-    `report` is called with a line of progress every 5 s of virtual time.
+    `on_progress` is called with a line of progress every 5 s of virtual time.
     """
-    return run_on_virtual_time(_run(plan, report))
+    return run_on_virtual_time(_run(plan, on_progress))
 
 
 def run_on_virtual_time(
-    coroutine: Coroutine, crashes: list[str] | None = None
+    coroutine: Coroutine, exceptions: list[str] | None = None
 ) -> Any:
-    """Run a coroutine on a new event loop with virtual time.
+    """Return the result of a coroutine, run on a new loop with virtual time.
 
-    Descriptions of unhandled exceptions in tasks are appended to `crashes`.
+    Descriptions of unhandled exceptions in tasks are appended to
+    `exceptions`.
     """
     loop = async_solipsism.EventLoop()
-    if crashes is not None:
+    if exceptions is not None:
         loop.set_exception_handler(
-            lambda _, context: crashes.append(_describe_crash(context))
+            lambda _, context: exceptions.append(_describe_exception(context))
         )
     with warnings.catch_warnings():
         warnings.simplefilter('ignore', async_solipsism.ResolutionWarning)
@@ -105,25 +106,28 @@
             loop.close()
 
 
-def run_and_collect_crashes(coroutine: Coroutine) -> tuple[Any, list[str]]:
+def run_and_collect_exceptions(
+    coroutine: Coroutine,
+) -> tuple[Any, list[str]]:
     """Return the result of a coroutine and its tasks' unhandled exceptions.
 
-    An unhandled exception counts as a violation too. asyncio reports some of
-    them only when the task is garbage-collected, so a collection is forced.
+    The callers treat the exceptions as violations. asyncio reports some of
+    them only when the task is garbage-collected, so the garbage collector is
+    run.
     """
-    crashes: list[str] = []
-    done = run_on_virtual_time(coroutine, crashes)
+    exceptions: list[str] = []
+    done = run_on_virtual_time(coroutine, exceptions)
     gc.collect()
-    return done, crashes
+    return done, exceptions
 
 
-def _describe_crash(context: dict[str, Any]) -> str:
+def _describe_exception(context: dict[str, Any]) -> str:
     exception = context.get('exception')
     task = context.get('task') or context.get('future')
     return f'{context.get("message")}: {exception!r} in {task!r}'
 
 
-async def _run(plan, report) -> outcomes.ExperimentResult:
+async def _run(plan, on_progress) -> outcomes.ExperimentResult:
     hosts = plan.deployment.hosts
     async with standins.run_fleet(
         plan.deployment, hosts, plan.seed, plan.settings
@@ -141,10 +145,12 @@
                 )
                 for fault in plan.faults
             ]
-            # This task runs even without a `report` callback: another number
-            # of tasks would change the order of events that are due at the
-            # same virtual time, and so the result.
-            progress = _report(fleet, start, end, report or _discard_progress)
+            # This task runs even without an `on_progress` callback. With
+            # fewer tasks, events due at the same virtual time would run in
+            # another order, and the result would differ from a run with it.
+            progress = _report_progress(
+                fleet, start, end, on_progress or _discard_progress
+            )
             background_tasks.append(group.create_task(progress))
             running = [
                 group.create_task(
@@ -197,10 +203,10 @@
     """Ignore a line of progress."""
 
 
-async def _report(fleet, start, end, report) -> None:
+async def _report_progress(fleet, start, end, on_progress) -> None:
     while True:
         elapsed_s = fleet.clock.now() - start
-        report(f'{max(0.0, elapsed_s):.0f} of {end - start:.0f} s')
+        on_progress(f'{max(0.0, elapsed_s):.0f} of {end - start:.0f} s')
         await asyncio.sleep(_PROGRESS_STEP_S)
 
 
--- a/rudderrock/experiments/_schedules.py
+++ b/rudderrock/experiments/_schedules.py
@@ -2,9 +2,17 @@
 
 The load and the faults of a schedule are drawn from its seed. Faults affect
 upstreams, the links to them, the key-value service and hosts; they may
-overlap and repeat. Every call carries a marker, a command its idempotency
-key, so that the requests that upstreams ran can be compared with the outcome
-that each caller received.
+overlap and repeat. Every query carries a unique marker; the marker of a
+command is its idempotency key. The checks use it to compare the requests that
+upstreams ran with the outcomes that callers received:
+
+- a refused query did not run, nor did a command that was refused on every
+  call;
+- a command runs at most once, is reported as a first run at most once, and
+  always with the same results; a recorded command has run;
+- the coverage of an answer adds up and counts only shards that answered;
+- the hits of an answer belong to its query, its index version and shards that
+  are not missing.
 """
 
 import asyncio
@@ -68,8 +76,8 @@
 
 def run_schedule(seed: int) -> ScheduleResult:
     """Run the schedule of a seed on virtual time and check its guarantees."""
-    done, crashes = runs.run_and_collect_crashes(_run(seed))
-    return dataclasses.replace(done, broken=done.broken + crashes)
+    done, exceptions = runs.run_and_collect_exceptions(_run(seed))
+    return dataclasses.replace(done, broken=done.broken + exceptions)
 
 
 class _Schedule:
@@ -83,7 +91,7 @@
         self._keys: list[str] = []
 
     async def run(self) -> None:
-        """Run the load and the faults concurrently, then let them settle."""
+        """Run load and faults concurrently, then let the hosts recover."""
         rng = self._rng
         self._keys = [self.fleet.make_key() for _ in range(_KEY_COUNT)]
         async with asyncio.TaskGroup() as group:
@@ -99,7 +107,7 @@
                 _INJECTORS,
                 max_count=_MAX_FAULTS,
                 within_s=_DURATION_S,
-                length_s=1.5,
+                max_length_s=1.5,
             )
             for fault in faults:
                 self.faults.append(str(fault))
@@ -178,6 +186,7 @@
     running = rng.choice(list(fleet.hosts.values()))
     faults = running.upstream_port.faults
     faults.lose = rng.uniform(0, 0.5)
+    # The fraction of replies that are replaced by an earlier reply.
     faults.cross = rng.uniform(0, 0.5)
     faults.delay_s = rng.uniform(0, 0.1)
     await asyncio.sleep(length)
@@ -192,6 +201,7 @@
     fleet.freeze(name, False)
 
 
+# Crashed and stopped hosts stay down.
 async def _crash(fleet, length, rng):
     name = rng.choice(list(fleet.hosts))
     if not fleet.hosts[name].task.done():
@@ -275,15 +285,17 @@
 
 
 def list_broken(
-    calls: list[Call], records: list[standins.Run], shards: int = _SERVICES
+    calls: list[Call],
+    all_executions: list[standins.Run],
+    shards: int = _SERVICES,
 ) -> list[str]:
-    """Return a description of each violation that calls and records show.
+    """Return a description of each violated guarantee.
 
-    `records` are the requests that all upstreams ran. `shards` is the number
-    of shards of the collection.
+    `all_executions` are the requests that all upstreams ran, also those that
+    did not finish. `shards` is the number of shards of the collection.
     """
     by_marker: dict[str, list[standins.Run]] = {}
-    for run in records:
+    for run in all_executions:
         marker = json.loads(bytes(run.request.body))
         by_marker.setdefault(marker, []).append(run)
     broken = []
@@ -293,7 +305,7 @@
             case protocol.Answered():
                 broken += _check_answer(call, call.outcome, executions, shards)
             case protocol.Refused() if call.key is None and executions:
-                broken.append(f'{call.marker}: refused, but it ran')
+                broken.append(f'{call.marker}: refused, yet it ran')
     by_key: dict[str, list[Call]] = {}
     for call in calls:
         if call.key is not None:
@@ -317,23 +329,20 @@
         if run.finished and run.request.version == answer.version
     }
     if len(coverage.missing) + coverage.answered != coverage.shards:
-        broken.append(
-            f'{call.marker}: answered and missing shards do not add up'
-        )
+        broken.append(f'{call.marker}: coverage does not add up')
     if coverage.shards != shards:
-        broken.append(f'{call.marker}: {coverage.shards} shards in coverage')
+        broken.append(f'{call.marker}: {coverage.shards} shards counted')
     if len(finished - set(coverage.missing)) < coverage.answered:
-        broken.append(
-            f'{call.marker}: coverage counts shards that did not answer'
-        )
+        broken.append(f'{call.marker}: counts shards that did not answer')
     for hit in answer.hits:
         document = json.loads(bytes(hit.document))
         if document['echo'] != call.marker:
             broken.append(f'{call.marker}: has a hit of {document["echo"]}')
         if document['shard'] in coverage.missing:
             broken.append(f'{call.marker}: has a hit of a missing shard')
+        # The stand-ins' hit ids end in VERSION-NUMBER.
         if hit.id.split('-')[-2] != str(answer.version):
-            broken.append(f'{call.marker}: has a hit of another version')
+            broken.append(f'{call.marker}: mixes versions')
     return broken
 
 
@@ -346,14 +355,14 @@
     if len(executions) > 1:
         broken.append(f'{key}: ran {len(executions)} times')
     if recorded and not any(run.finished for run in executions):
-        broken.append(f'{key}: recorded, but it did not run')
+        broken.append(f'{key}: recorded, yet it did not run')
     if sum(not each.repeat for each in recorded) > 1:
-        broken.append(f'{key}: recorded as a first run more than once')
+        broken.append(f'{key}: two calls say that they ran it')
     if len({tuple(hit.id for hit in each.hits) for each in recorded}) > 1:
         broken.append(f'{key}: recorded with different results')
     refused = all(isinstance(each, protocol.Refused) for each in outcomes)
     if refused and executions:
-        broken.append(f'{key}: refused on every call, but it ran')
+        broken.append(f'{key}: refused by all, yet it ran')
     return broken
 
 
--- a/rudderrock/experiments/_table_schedules.py
+++ b/rudderrock/experiments/_table_schedules.py
@@ -6,8 +6,8 @@
 are:
 
 - the revision in force on a host never decreases;
-- the history has every accepted edit exactly once, an uncertain edit at most
-  once, and no edit that lost a conflict;
+- the history has every accepted edit exactly once, an edit whose outcome is
+  unknown at most once, and no edit that lost a conflict;
 - after all faults have ended, every running host has the latest table in
   force.
 """
@@ -38,7 +38,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TableScheduleResult:
-    """Result of a schedule: outcomes of edits, faults and violations."""
+    """Result of a schedule: outcomes of edits, faults and violations.
+
+    `outcomes` are the class names of the outcomes.
+    """
 
     seed: int
     outcomes: list[str]
@@ -48,8 +51,8 @@
 
 def run_table_schedule(seed: int) -> TableScheduleResult:
     """Run the table schedule of a seed on virtual time and check it."""
-    done, crashes = runs.run_and_collect_crashes(_run(seed))
-    return dataclasses.replace(done, broken=done.broken + crashes)
+    done, exceptions = runs.run_and_collect_exceptions(_run(seed))
+    return dataclasses.replace(done, broken=done.broken + exceptions)
 
 
 class _TableSchedule:
@@ -68,22 +71,22 @@
         rng = self._rng
         async with asyncio.TaskGroup() as group:
             watch = group.create_task(self._watch_revisions())
-            playing = []
+            tasks = []
             for _ in range(_EDIT_COUNT):
                 at = rng.uniform(0, _DURATION_S)
                 team = rng.choice(_TEAMS)
-                playing.append(group.create_task(self._edit(at, team)))
+                tasks.append(group.create_task(self._edit(at, team)))
             faults = random_faults.draw_faults(
                 rng,
                 _INJECTORS,
                 max_count=_MAX_FAULTS,
                 within_s=_DURATION_S,
-                length_s=5.0,
+                max_length_s=5.0,
             )
             for fault in faults:
                 self.faults.append(str(fault))
-                playing.append(group.create_task(fault.inject(self.fleet)))
-            await asyncio.gather(*playing)
+                tasks.append(group.create_task(fault.inject(self.fleet)))
+            await asyncio.gather(*tasks)
             await asyncio.sleep(_SETTLE_S)
             watch.cancel()
 
@@ -114,14 +117,13 @@
             for name, running in self.fleet.hosts.items():
                 revision = running.host.config.table_in_force.revision
                 if revision < latest.get(name, 0):
-                    self.regressions.append(
-                        f'{name} reverted to revision {revision}'
-                    )
+                    self.regressions.append(f'{name} went back to {revision}')
                 latest[name] = revision
             await asyncio.sleep(0.01)
 
 
 def _choose_host(fleet, rng) -> str | None:
+    """Return a random running host, or None if fewer than two run."""
     running = [
         name for name, each in fleet.hosts.items() if not each.task.done()
     ]
@@ -210,24 +212,24 @@
         times = sum(edit.edit_id == change.edit_id for edit in table.history)
         match outcome:
             case coordination.EditAccepted() if times != 1:
-                broken.append(f'accepted, but {times} times in the history')
+                broken.append(f'accepted, yet it stands {times} times')
             case coordination.EditLost() if times:
-                broken.append('lost to a conflict, but in the history')
+                broken.append('lost, yet it stands')
             case coordination.EditUncertain() if times > 1:
-                broken.append(f'uncertain, and {times} times in the history')
+                broken.append(f'uncertain, and it stands {times} times')
     revisions = [edit.revision for edit in table.history]
     if revisions != sorted(set(revisions)):
-        broken.append(f'revisions are not strictly increasing: {revisions}')
+        broken.append(f'revisions are out of order: {revisions}')
     return broken
 
 
 def _check_in_force(
     fleet: standins.MemoryFleet, table: state.Table
 ) -> list[str]:
-    """Return the running hosts that do not have the latest table in force."""
+    """Return a description of each running host without the latest table."""
     return [
-        f'{name} has revision {running.host.config.table_in_force.revision} '
-        f'in force, not {table.revision}'
+        f'{name} has {running.host.config.table_in_force.revision} in '
+        f'force, not {table.revision}'
         for name, running in fleet.hosts.items()
         if not running.task.done()
         and running.host.config.table_in_force != table
--- a/rudderrock/programs/_caller.py
+++ b/rudderrock/programs/_caller.py
@@ -28,9 +28,10 @@
     async def command(
         self, command: protocol.Command, key: str
     ) -> result.Result[transport.RawReply, transport.ExchangeFailed]:
-        """Send a non-idempotent request with its idempotency key.
+        """Send a command with its idempotency key and return the HTTP reply.
 
-        It uses a new connection, which is closed after the reply.
+        A command is not idempotent. Its connection is new and is closed after
+        the reply.
         """
         headers = {**self._headers, protocol.IDEMPOTENCY_HEADER: key}
         connection = transport.OwnedConnection(self._address, headers=headers)
--- a/rudderrock/programs/_exits.py
+++ b/rudderrock/programs/_exits.py
@@ -6,13 +6,19 @@
 
 
 class Exit(enum.IntEnum):
-    """Exit codes of the programs."""
+    """How a program ended."""
 
     OK = 0
+    # An address cannot be bound, or a test run found violations.
     FAILED = 1
+    # The arguments, settings or secrets are invalid.
     USAGE = 2
+    # The request or edit was refused and has no effect, or what was asked for
+    # does not exist.
     REFUSED = 3
+    # The request or edit may have taken effect.
     UNKNOWN = 4
+    # A service or host did not reply, or did not get ready in time.
     UNAVAILABLE = 5
 
 
--- a/rudderrock/programs/_operator.py
+++ b/rudderrock/programs/_operator.py
@@ -39,10 +39,10 @@
         )
 
     async def find_hosts(self, address: str) -> dict[str, str]:
-        """Return the control address of each member that one host lists.
+        """Return control addresses by host id, as listed by one host.
 
-        If that host is unreachable, only its own address is returned, with
-        the address as the name too.
+        If that host is unreachable, the only entry maps its address to
+        itself.
         """
         status = await self.get_status(address)
         if status.is_err():
--- a/rudderrock/programs/_serving.py
+++ b/rudderrock/programs/_serving.py
@@ -28,20 +28,20 @@
 async def open_host(settings: state.Settings, secrets: frontend.Secrets):
     """Serve one host until the context exits.
 
-    Yields the served host, or an error if an address cannot be bound. The
-    servers are running then; the caller must run the host itself.
+    Yields a host whose servers listen, or an error if an address cannot be
+    bound. The code in the context must run the host.
     """
     async with contextlib.AsyncExitStack() as stack:
-        callers = transport.bind(settings.host.callers)
-        if callers.is_err():
-            yield callers
+        caller_socket = transport.bind(settings.host.callers)
+        if caller_socket.is_err():
+            yield caller_socket
             return
-        stack.callback(callers.unwrap().close)
-        control = transport.bind(settings.host.control)
-        if control.is_err():
-            yield control
+        stack.callback(caller_socket.unwrap().close)
+        control_socket = transport.bind(settings.host.control)
+        if control_socket.is_err():
+            yield control_socket
             return
-        stack.callback(control.unwrap().close)
+        stack.callback(control_socket.unwrap().close)
         host = _make_host(settings, secrets, stack)
         limits = transport.HeadLimits(
             timeout_s=settings.intake.head_timeout_s,
@@ -50,14 +50,14 @@
         control_address = await stack.enter_async_context(
             transport.serve(
                 frontend.make_control_app(host, secrets),
-                control.unwrap(),
+                control_socket.unwrap(),
                 limits=limits,
             )
         )
         caller_address = await stack.enter_async_context(
             transport.serve(
                 frontend.make_caller_app(host),
-                callers.unwrap(),
+                caller_socket.unwrap(),
                 limits=limits,
                 max_connections=settings.intake.max_connections,
             )
--- a/rudderrock/programs/_settings_page.py
+++ b/rudderrock/programs/_settings_page.py
@@ -9,7 +9,7 @@
 _HEADER = """# Settings of the entry daemon
 
 Made by `python -m rudderrock.programs._settings_page` from the declarations
-in `rudderrock/state/_settings.py`; a scenario checks that it is up to date.
+in `rudderrock/state/_settings.py`; a test checks that it is up to date.
 Names that end in `_s` are in seconds, `_bytes` in bytes; a fraction goes
 from 0 to 1.
 """
--- a/rudderrock/programs/_timeline_page.py
+++ b/rudderrock/programs/_timeline_page.py
@@ -39,7 +39,10 @@
 
 
 def make_page(events: list[state.Event]) -> str:
-    """Return a self-contained HTML page of events, which must be sorted."""
+    """Return a self-contained HTML page of a non-empty list of events.
+
+    The events must be sorted by stamp. The table lists the last `_MAX_ROWS`.
+    """
     hosts = sorted({event.host for event in events})
     kinds = [kind for kind in state.EventKind if _has_kind(events, kind)]
     legend = ''.join(
@@ -152,5 +155,6 @@
 
 
 def _format_time(event: state.Event) -> str:
+    """Return the time and a count that orders events of the same time."""
     at = datetime.datetime.fromtimestamp(event.stamp.wall, datetime.UTC)
     return f'{at:%H:%M:%S.%f}+{event.stamp.count}'
--- a/rudderrock/programs/demo.py
+++ b/rudderrock/programs/demo.py
@@ -99,23 +99,23 @@
     async def run(self) -> None:
         """Run all steps and print the report."""
         await self._start()
-        print('1. a burst of queries from three teams, without faults')
-        await self._burst()
+        print('1. queries from three teams, without faults')
+        await self._send_queries()
         print(
             '2. a straggler: the first replica of one shard is 20 times slower'
         )
         models = list(self._standins.models.values())
         models[0].faults.slow_factor = 20.0
-        await self._burst()
+        await self._send_queries()
         models[0].faults.slow_factor = 1.0
         print('3. an operator doubles the weight of kiosk-app')
         await self._edit('kiosk-app', weight=4.0)
         print('4. an upstream drains while queries run')
         models[5].faults.leaving = True
-        await self._burst()
+        await self._send_queries()
         print('5. host-3 is stopped gracefully while queries run')
         stopping = asyncio.create_task(self._hosts[2].stop())
-        await self._burst()
+        await self._send_queries()
         await stopping
         await self._host_tasks[2]
         self._report()
@@ -216,7 +216,7 @@
         self._host_tasks.append(task)
         self._stack.push_async_callback(core.end_task, task)
 
-    async def _burst(self) -> None:
+    async def _send_queries(self) -> None:
         await asyncio.gather(*(self._call_all(team) for team in _TEAMS))
 
     async def _call_all(self, team: str) -> None:
@@ -308,7 +308,7 @@
 
 
 def _is_notable(event: state.Event) -> bool:
-    """Return False for the connection events of each upstream."""
+    """Return whether an event is other than the connecting of an upstream."""
     return not event.detail.startswith('up: connected')
 
 
--- a/rudderrock/programs/entry.py
+++ b/rudderrock/programs/entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon, which runs one host."""
+"""The entry daemon: runs one host of the query tier, which serves callers."""
 
 import asyncio
 import pathlib
@@ -21,9 +21,9 @@
     """Run one entry host until it is stopped by a signal.
 
     The first SIGTERM or SIGINT starts a graceful stop, which lets requests
-    in flight finish up to a time limit. A second one stops at once. The exit
-    code is 0 after either, 2 if the settings are invalid and 1 if an address
-    cannot be bound.
+    in flight finish up to a time limit. A second signal ends the requests
+    that are still in flight. The exit code is 0 after a stop by signal, 2 if
+    the settings or secrets are invalid and 1 if an address cannot be bound.
 
     :param config: the settings file, in TOML
     :param log: the lowest level logged: debug, info, warning or error
@@ -37,12 +37,14 @@
     match secrets.read_secrets(settings.secrets):
         case result.Err(message):
             exits.fail(message, exits.Exit.USAGE)
-        case result.Ok(read):
-            core.run_loop(_serve(settings, read))
+        case result.Ok(found_secrets):
+            core.run_loop(_serve(settings, found_secrets))
 
 
-async def _serve(settings: state.Settings, read: frontend.Secrets) -> None:
-    async with serving.open_host(settings, read) as opened:
+async def _serve(
+    settings: state.Settings, found_secrets: frontend.Secrets
+) -> None:
+    async with serving.open_host(settings, found_secrets) as opened:
         if opened.is_err():
             exits.fail(opened.unwrap_err(), exits.Exit.FAILED)
         host = opened.unwrap().host
--- a/rudderrock/programs/gateway.py
+++ b/rudderrock/programs/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway daemon, which forwards requests on the users' platform."""
+"""The gateway daemon, which forwards callers' requests to upstreams."""
 
 import asyncio
 import os
@@ -20,8 +20,8 @@
 # The platform sets this variable to the path of the settings file.
 CONFIG_VARIABLE = 'RUDDERROCK_CONFIG'
 _STDOUT_FD = 1
-# Net allocations before the youngest generation is collected. It is lower
-# than in an entry host because the platform charges for memory.
+# Net allocations before the youngest generation is collected. A lower
+# value than in an entry host saves memory, which the platform charges for.
 _COLLECTION_THRESHOLD = 50_000
 
 
@@ -54,6 +54,7 @@
         config, source, clock, secrets.randbits(32), events
     )
 
+    # Only checks the file: changes take effect after a restart.
     def reload() -> None:
         match platform.read_boot(path):
             case result.Ok(_):
@@ -75,14 +76,12 @@
 
 
 def main() -> None:
-    """Parse the command line and run the program.
-
-    `defopt` is imported only if there are arguments: its import takes a third
-    of the time that a restarted process needs to become ready.
-    """
+    """Parse the command line and run the program."""
     if len(sys.argv) == 1:
         run_gateway()
         return
+    # Imported only if there are arguments, because the import takes a third of
+    # the time that a restarted process needs to become ready.
     import defopt
 
     defopt.run(run_gateway)
--- a/rudderrock/programs/load.py
+++ b/rudderrock/programs/load.py
@@ -32,8 +32,8 @@
     :param plan: the experiment plan, in TOML
     :param out: folder for the result file and the report
     :param seed: seed that replaces the one of the plan
-    :param targets: a TOML file with hosts = [callers' addresses] and
-        [tokens] by team
+    :param targets: a TOML file: the list `hosts` with the hosts' addresses
+        for callers, and the section `[tokens]` with a token for each team
     :param quiet: do not print progress
     """
     checked = _unwrap_or_exit(experiments.read_plan(plan))
@@ -72,13 +72,15 @@
 def fuzz(
     *, count: int = 1000, first_seed: int = 1, table: bool = False
 ) -> None:
-    """Run random fault schedules and check the guarantees under each.
+    """Run random schedules of calls and faults, one per seed.
 
-    The seeds of schedules with violations are printed, and the exit code is
-    then 1.
+    Each run checks that requests and edits keep their guarantees, such as
+    that a command runs at most once. The seeds of schedules with violations
+    are printed, and the exit code is then 1.
 
     :param count: number of schedules to run
-    :param first_seed: seed of the first schedule; each next one adds 1
+    :param first_seed: seed of the first schedule; the others use the
+        following numbers
     :param table: run schedules of table edits instead of requests
     """
     run_one = experiments.run_schedule
@@ -92,7 +94,7 @@
         if done.broken:
             broken += 1
             print(f'seed {seed}: {done.broken}; faults {done.faults}')
-    print(f'{count} schedules, {broken} with violations, {outcomes}')
+    print(f'{count} schedules, {broken} with a broken promise, {outcomes}')
     if broken:
         raise SystemExit(exits.Exit.FAILED)
 
--- a/rudderrock/programs/query.py
+++ b/rudderrock/programs/query.py
@@ -30,10 +30,11 @@
 ) -> None:
     """Send one query and print its answer.
 
-    The exit code is 0 if the query was answered, 3 if it was refused and
-    therefore did not run, and 5 if the host could not be reached.
+    The exit code is 0 if the query was answered, 2 if an argument is invalid,
+    3 if the query was refused and therefore did not run, 4 if it may have run
+    and 5 if the host did not reply.
 
-    :param host: callers' address of an entry host
+    :param host: address at which an entry host accepts callers, IP:PORT
     :param collection: collection to search
     :param body: query body, as JSON
     :param limit: maximum number of hits
@@ -78,11 +79,12 @@
 ) -> None:
     """Send one non-idempotent request, which runs at most once.
 
-    The idempotency key is printed first; pass it as `key` to retry. The exit
-    code is 0 if the request ran, 3 if it certainly did not and 4 if it may
-    have run.
+    The idempotency key is printed first; pass it with --key to retry. The
+    exit code is 0 if the request ran, 2 if an argument is invalid, 3 if the
+    request certainly did not run and 4 if it may have run or the host did not
+    reply.
 
-    :param host: callers' address of an entry host
+    :param host: address at which an entry host accepts callers, IP:PORT
     :param collection: collection that the request is for
     :param routing_key: key that determines the shard
     :param body: request body, as JSON
--- a/rudderrock/programs/soak.py
+++ b/rudderrock/programs/soak.py
@@ -33,7 +33,8 @@
 
     :param seed: the first seed
     :param count: number of consecutive seeds
-    :param minutes: run random seeds for this many minutes instead
+    :param minutes: if set, run random seeds for this many minutes;
+        `seed` and `count` are then ignored
     :param length: duration of load and faults per seed, in seconds
     :param hosts: number of gateway processes
     :param lethal: number of requests that crash the upstreams that run them
@@ -53,13 +54,13 @@
         )
         print(f'seed {number}: {report.checked} requests ({statuses})')
         for broken in report.broken[:10]:
-            print(f'  violated {broken.promise}: {broken.detail}')
+            print(f'  BROKEN {broken.promise}: {broken.detail}')
         if report.broken:
             failed.append(number)
     print(f'checked {checked} requests; injected:')
     for name, times in sorted(injected.items()):
         print(f'  {times:4d} {name}')
-    print(f'seeds with violations: {failed or "none"}')
+    print(f'seeds that broke a promise: {failed or "none"}')
     if failed:
         raise SystemExit(exits.Exit.FAILED)
 
--- a/rudderrock/programs/standins.py
+++ b/rudderrock/programs/standins.py
@@ -28,7 +28,8 @@
     """Serve stand-ins of a deployment until interrupted.
 
     The index layout and an empty table are published. When all stand-ins are
-    being served, one line of JSON with their addresses is printed.
+    being served, one line of JSON is printed: the addresses of the key-value
+    service and of the host list, and the number of upstreams.
 
     :param deployment: the deployment file, in TOML
     :param kv: address to serve the key-value service at
--- a/rudderrock/programs/table.py
+++ b/rudderrock/programs/table.py
@@ -104,7 +104,8 @@
 def apply(path: pathlib.Path, *, kv: str = _KV, author: str = '') -> None:
     """Set the rows in a TOML file, each under `[teams.NAME]`.
 
-    All rows are validated before the first one is set. Rows and fields that
+    All rows are validated before the first one is set. Each row is then an
+    edit of its own: some may be accepted and others not. Rows and fields that
     the file does not contain are not changed.
 
     :param path: the TOML file
@@ -142,7 +143,8 @@
     """Create a token for a team and print it.
 
     The token is not stored and cannot be shown again. Existing tokens of the
-    team stay valid; set `token_hashes=[]` to revoke them all.
+    team stay valid; run `set TEAM token_hashes=[]` to revoke them
+    all.
 
     :param team: the team
     :param kv: address of the key-value service
@@ -279,8 +281,9 @@
         outcome = await self._editor.edit(change, _KV_TIMEOUT_S * 3)
         if isinstance(outcome, coordination.EditUncertain):
             exits.fail(
-                f'{outcome.detail}; it may have taken effect. Try again '
-                f'with --edit-id {change.edit_id}',
+                f'{outcome.detail}; it may have taken effect. Look it up '
+                'with `history`, or repeat `set` with --edit-id '
+                f'{change.edit_id}',
                 exits.Exit.UNKNOWN,
             )
         return outcome
--- a/rudderrock/programs/timeline.py
+++ b/rudderrock/programs/timeline.py
@@ -16,8 +16,8 @@
 from rudderrock.programs import _timeline_page as pages
 
 _FOLLOW_PAUSE_S = 0.5
-# Events of the last second are held until the next poll, because another host
-# may still report an earlier one.
+# An event is held until one that is at least this much later has arrived,
+# because another host may still report an earlier one.
 _SETTLE_S = 1.0
 _OPERATOR_SECRET = 'env:RUDDERROCK_OPERATOR_SECRET'
 
@@ -55,8 +55,9 @@
 ) -> None:
     """Show the events of all hosts in causal order.
 
-    No event is shown before an event that caused it. Unreachable hosts are
-    listed on standard error, and the exit code is then 5.
+    No event is shown before an event that caused it. Without --follow,
+    unreachable hosts are listed on standard error, and the exit code is then
+    5. It is 3 if there is no event for the page of --html.
 
     :param host: control address of any host, which lists the others
     :param team: show only events of this team
@@ -121,9 +122,10 @@
         return unreachable
 
     def take(self, settle_s: float = 0.0) -> list[state.Event]:
-        """Return and remove, in order, all events except the newest.
+        """Remove and return, in order, the events that have settled.
 
-        Events within `settle_s` seconds of the newest one stay buffered.
+        These are the events that are at least `settle_s` seconds older than
+        the newest one, which by default are all.
         """
         if not self._buffered:
             return []
