--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,7 +1,7 @@
-"""Slopes from which docs/CAPACITY.md works out the size to design for.
+"""Costs per shard, upstream, team and host, as used by docs/CAPACITY.md.
 
-Each part measures a few sizes and prints them with the slope of a straight
-line through the points, so that the page can be checked line by line.
+Each measurement runs at several sizes. It prints the cost at each size and
+the slope of the least-squares line through the points.
 """
 
 import asyncio
@@ -31,17 +31,17 @@
     )
 
 
-def _fit(points: list[tuple[float, float]]) -> float:
-    """Return the slope of the least-squares line through points."""
+def _fit_slope(points: list[tuple[float, float]]) -> float:
+    """Return the slope of the least-squares line through (x, y) points."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
-    above = sum((x - mean_x) * (y - mean_y) for x, y in points)
-    return above / sum((x - mean_x) ** 2 for x, _ in points)
+    covariance = sum((x - mean_x) * (y - mean_y) for x, y in points)
+    return covariance / sum((x - mean_x) ** 2 for x, _ in points)
 
 
 async def _time_queries(services: int) -> float:
-    """Return seconds of processor time a query, all decisions, no HTTP."""
+    """Return processor seconds per query, with stand-ins but without HTTP."""
     async with standins.run_fleet(_make_deployment(services), 1, 1) as fleet:
         edit = await fleet.set_row(
             'desk', rate=1e9, concurrency=10**9, deadline_s=5.0
@@ -55,7 +55,7 @@
 
 
 def measure_fan_out() -> None:
-    """Processor time a query by the number of shards it goes to."""
+    """Print the processor time of a query by its number of shards."""
     points = [
         (services, experiments.run_on_virtual_time(_time_queries(services)))
         for services in (20, 200, 800, 1700)
@@ -64,31 +64,36 @@
         each = seconds / services
         print(
             f'query to {services:>5} shards: {seconds * 1000:8.2f} ms, '
-            f'{each * 1e6:6.1f} us a shard (stand-in included)'
+            f'{each * 1e6:6.1f} us per shard, including the stand-in upstream'
         )
-    print(f'slope {_fit(points) * 1e6:.1f} us a shard request without HTTP')
+    print(
+        f'slope {_fit_slope(points) * 1e6:.1f} us a shard request without HTTP'
+    )
 
 
-async def _hold_fleet(services: int) -> int:
+async def _measure_fleet_memory(services: int) -> int:
     tracemalloc.start()
     async with standins.run_fleet(_make_deployment(services), 1, 1):
         await asyncio.sleep(5.0)
-        held, _ = tracemalloc.get_traced_memory()
+        allocated, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return held
+    return allocated
 
 
-def measure_links() -> None:
-    """Memory of a host by the number of upstreams, stand-ins included."""
+def measure_upstreams() -> None:
+    """Print memory by the number of upstreams, including the stand-ins."""
     points = [
-        (2 * services, experiments.run_on_virtual_time(_hold_fleet(services)))
+        (
+            2 * services,
+            experiments.run_on_virtual_time(_measure_fleet_memory(services)),
+        )
         for services in (10, 100, 400)
     ]
-    for upstreams, held in points:
-        print(f'{upstreams:>5} upstreams: {held / 1e6:7.2f} MB')
+    for upstreams, allocated in points:
+        print(f'{upstreams:>5} upstreams: {allocated / 1e6:7.2f} MB')
     print(
-        f'slope {_fit(points) / 1000:.1f} KB an upstream of 6 lanes in '
-        'memory, sockets and HTTP client not included'
+        f'slope {_fit_slope(points) / 1000:.1f} KB of memory per upstream '
+        'with up to 6 connections, without sockets and HTTP client'
     )
 
 
@@ -117,7 +122,7 @@
 
 
 def measure_table() -> None:
-    """Size of the table, and time to take in one revision, by teams."""
+    """Print the table's size and its decoding time by number of teams."""
     points = []
     for teams in (50, 200, 500):
         data = protocol.encode(_make_table(teams))
@@ -128,11 +133,13 @@
             f'{len(data) / 1000:6.1f} KB, {seconds * 1000:6.2f} ms to read '
             'and check'
         )
-    print(f'slope {_fit(points) * 1e6:.0f} us a team')
+    print(f'slope {_fit_slope(points) * 1e6:.0f} us a team')
 
 
 async def _time_probes(hosts: int) -> tuple[float, int]:
-    """Return seconds for a host to answer one probe, and a digest's size."""
+    """Return the seconds to encode, decode and answer a probe, and its size.
+
+    The size is that of the encoded probe in bytes."""
     deployment = _make_deployment(1)
     async with standins.run_fleet(deployment, 1, 1) as fleet:
         membership = fleet.hosts['h1'].host.membership
@@ -161,7 +168,7 @@
 
 
 def measure_membership() -> None:
-    """Time and size of a probe by the size of the fleet."""
+    """Print the time and size of a membership probe by fleet size."""
     points = []
     for hosts in (7, 60, 200, 580):
         seconds, size = experiments.run_on_virtual_time(_time_probes(hosts))
@@ -170,11 +177,11 @@
             f'probe in a fleet of {hosts:>4}: {seconds * 1e6:7.0f} us to '
             f'read and answer, {size} bytes'
         )
-    print(f'slope {_fit(points) * 1e6:.2f} us a host in the fleet')
+    print(f'slope {_fit_slope(points) * 1e6:.2f} us a host in the fleet')
 
 
 def measure_batches() -> None:
-    """Time to write and read shard requests that travel together."""
+    """Print the time to encode and decode a batch of shard requests."""
     request = protocol.ShardRequest(
         request_id='host-1-0123456789abcdef.12',
         shard='members-1',
@@ -205,15 +212,17 @@
         seconds = (time.process_time() - began) / _BATCH_ROUNDS
         points.append((size, seconds))
         print(f'batch of {size:>3}: {seconds * 1e6:7.1f} us to write and read')
-    print(f'slope {_fit(points) * 1e6:.1f} us a shard request in a batch')
+    print(
+        f'slope {_fit_slope(points) * 1e6:.1f} us a shard request in a batch'
+    )
 
 
 def main() -> None:
-    """Measure all slopes."""
-    # As the daemon runs.
+    """Run all measurements."""
+    # The entry daemon runs with the same garbage collector settings.
     runtime.tune_collector()
     measure_fan_out()
-    measure_links()
+    measure_upstreams()
     measure_table()
     measure_membership()
     measure_batches()
--- a/benchmarks/commands.py
+++ b/benchmarks/commands.py
@@ -1,8 +1,8 @@
-"""What commands cost the key-value service, and how long they take.
+"""Latency of commands, and the calls they make to the key-value service.
 
-On virtual time: hosts in front of one shard, callers that issue passes at a
-steady rate, one in ten of them repeated at another host. The service takes
-1 ms a call.
+A command is a non-idempotent request. Runs on virtual time. Callers send
+commands at a constant rate, in turn to each host; one in ten repeats the
+previous key at the next host. A call to the key-value service takes 1 ms.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 from rudderrock import standins
 
 _SECONDS = 10.0
-_REPEAT_EACH = 10
+_REPEAT_EVERY = 10
 _RATES = (10, 50, 200)
 
 
@@ -52,7 +52,7 @@
         tasks = []
         key = fleet.make_key()
         for number in range(round(rate * _SECONDS)):
-            if number % _REPEAT_EACH:
+            if number % _REPEAT_EVERY:
                 key = fleet.make_key()
             tasks.append(asyncio.create_task(send(number, key)))
             await asyncio.sleep(1.0 / rate)
@@ -73,7 +73,7 @@
 
 
 def main() -> None:
-    """Measure each rate at three and at seven hosts."""
+    """Measure each rate with three and with seven hosts."""
     for hosts in (3, 7):
         for rate in _RATES:
             experiments.run_on_virtual_time(_measure(hosts, rate))
--- a/benchmarks/control_http.py
+++ b/benchmarks/control_http.py
@@ -1,9 +1,9 @@
-"""What control costs a host over real loopback sockets, and how fast it is.
+"""Cost and latency of the control plane over loopback sockets.
 
-Seven idle hosts, each in a process of its own, beside one process of
-stand-ins. Prints the processor time and memory of a host, then how long an
-edit takes to be in force on all of them, also when the key-value service
-dies as soon as it has accepted it.
+Runs seven idle hosts, each in its own process, and the stand-ins in the main
+process. Prints the processor time and memory of a host, and the time until
+an edit is in force on all hosts. The latter is also measured with the
+key-value service going down as soon as it has accepted the edit.
 """
 
 import asyncio
@@ -23,10 +23,12 @@
 from rudderrock.programs import _serving as serving
 
 _HOSTS = 7
-_SECRETS = frontend.Secrets(peer='bench peer', operator='bench operator')
+_SECRETS = frontend.Secrets(
+    peer='benchmark peer', operator='benchmark operator'
+)
 _IDLE_S = 20.0
 _EDITS = 100
-_DEADLY_EDITS = 20
+_OUTAGE_EDITS = 20
 _POLL_S = 0.002
 _DEPLOYMENT = standins.Deployment(
     name='control',
@@ -37,7 +39,10 @@
 
 
 def _serve_host(pipe, number: int, kv: str, host_list: str) -> None:
-    """Serve one host; report use of the machine when asked."""
+    """Serve one host until the message 'end' arrives on the pipe.
+
+    Any other message is answered with the processor time and the memory.
+    """
     logs.set_up_logs('error')
 
     async def serve() -> None:
@@ -63,19 +68,22 @@
     asyncio.run(serve())
 
 
-def _ask_use(pipes) -> list[tuple[float, int]]:
+def _request_usage(pipes) -> list[tuple[float, int]]:
     for pipe in pipes:
         pipe.send('use')
     return [pipe.recv() for pipe in pipes]
 
 
 async def _edit(editor, client, controls, weight: float) -> float:
-    """Make one edit; return the seconds until it is in force everywhere."""
+    """Make one edit and return the seconds until it is in force on all hosts.
+
+    The time starts when the edit has been accepted.
+    """
     table = (await editor.read()).unwrap()
     base = table.rows.get('desk')
     change = state.Change(
         edit_id=editor.make_edit_id(),
-        author='bench',
+        author='benchmark',
         team='desk',
         base=base,
         row=state.TeamRow(team='desk', weight=weight),
@@ -142,17 +150,17 @@
     await _wait(client, controls, 1)
     loop = asyncio.get_running_loop()
     await asyncio.sleep(5.0)
-    before = await loop.run_in_executor(None, _ask_use, pipes)
+    before = await loop.run_in_executor(None, _request_usage, pipes)
     await asyncio.sleep(_IDLE_S)
-    after = await loop.run_in_executor(None, _ask_use, pipes)
-    spent = [
+    after = await loop.run_in_executor(None, _request_usage, pipes)
+    cpu_fractions = [
         (late[0] - early[0]) / _IDLE_S
         for early, late in zip(before, after, strict=True)
     ]
     print(
-        f'{_HOSTS} idle hosts over HTTP: {100 * max(spent):.2f} % of a core '
-        f'at most, {max(each[1] for each in after) / 1000:.0f} MB at most '
-        'for a whole process'
+        f'{_HOSTS} idle hosts over HTTP: {100 * max(cpu_fractions):.2f} % '
+        f'of a core at most, {max(each[1] for each in after) / 1000:.0f} MB '
+        'at most for a whole process'
     )
     editor = coordination.TableEditor(
         served.kv, runtime.make_system_clock(), random.Random(1)
@@ -168,13 +176,15 @@
         f'{1000 * times[len(times) // 2]:.0f} ms, 99 % '
         f'{1000 * times[int(len(times) * 0.99)]:.0f} ms of {_EDITS}'
     )
-    await _report_deadly(served, editor, client, controls)
+    await _report_edits_before_outage(served, editor, client, controls)
 
 
-async def _report_deadly(served, editor, client, controls) -> None:
-    """Measure edits after which the service dies at once."""
+async def _report_edits_before_outage(
+    served, editor, client, controls
+) -> None:
+    """Measure edits after which the key-value service goes down."""
     times = []
-    for number in range(_DEADLY_EDITS):
+    for number in range(_OUTAGE_EDITS):
         began = time.monotonic()
         edit = asyncio.create_task(
             _edit(editor, client, controls, 60 + number)
@@ -191,14 +201,15 @@
         await asyncio.sleep(2.0)
     times.sort()
     print(
-        f'the same when the service dies at once: median '
+        'from sending an edit to in force when the key-value service goes '
+        f'down after accepting it: median '
         f'{1000 * times[len(times) // 2]:.0f} ms, longest '
-        f'{1000 * times[-1]:.0f} ms of {_DEADLY_EDITS}'
+        f'{1000 * times[-1]:.0f} ms of {_OUTAGE_EDITS}'
     )
 
 
 def main() -> None:
-    """Measure, in processes that are started and ended here."""
+    """Run the benchmark, with each host in a child process."""
     context = multiprocessing.get_context('spawn')
     asyncio.run(_measure(context))
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,8 +1,9 @@
-"""Each decision under its fault, ours beside a plain baseline in one run.
+"""Compares the routing and admission decisions with a baseline under faults.
 
-The baseline is the same code with a random replica, first in first out,
-no hedging, no adaptive limit, no refusal for waiting, and retries without
-a budget. Everything runs on virtual time, so the figures repeat exactly.
+The baseline is the same code with random replica choice, FIFO queues, no
+hedging, no adaptive limit, no rejection of queries that would wait too long,
+and practically unlimited retries. Everything runs on virtual time, so the
+figures are reproducible.
 """
 
 import argparse
@@ -34,12 +35,15 @@
     'greedy_team',
     'overload',
 )
-# Overload is compared with the same teams asking for just the capacity.
+# The load of the plan `overload` is three times the capacity.
 _PEAK_FACTOR = 1.0 / 3.0
 
 
 def _run(
-    name: str, baseline: bool, factor: float = 1.0, calm: bool = False
+    name: str,
+    baseline: bool,
+    factor: float = 1.0,
+    without_faults: bool = False,
 ) -> experiments.ExperimentResult:
     plan = experiments.read_plan(_EXAMPLES / f'{name}.toml').unwrap()
     if baseline:
@@ -50,7 +54,7 @@
             for team in plan.teams
         ]
         plan = dataclasses.replace(plan, teams=teams)
-    if calm:
+    if without_faults:
         plan = dataclasses.replace(plan, faults=[])
     return experiments.run_virtual(plan)
 
@@ -60,21 +64,30 @@
     baseline: experiments.ExperimentResult,
     ours: experiments.ExperimentResult,
 ) -> None:
-    for before, after in zip(baseline.teams, ours.teams, strict=True):
-        p99 = before.latency_s['99'], after.latency_s['99']
+    for baseline_team, our_team in zip(
+        baseline.teams, ours.teams, strict=True
+    ):
+        p99 = baseline_team.latency_s['99'], our_team.latency_s['99']
         ratio = p99[1] / p99[0] if p99[0] else 0.0
         print(
-            f'{name:<22}{before.team:<15}'
+            f'{name:<22}{baseline_team.team:<15}'
             f'{p99[0] * 1000:>9.1f}{p99[1] * 1000:>8.1f}{ratio:>7.2f}'
-            f'{100 * before.coverage:>10.3f}{100 * after.coverage:>9.3f}'
-            f'{before.complete:>9}{after.complete:>7}'
+            f'{100 * baseline_team.coverage:>10.3f}'
+            f'{100 * our_team.coverage:>9.3f}'
+            f'{baseline_team.complete:>9}{our_team.complete:>7}'
             f'{100 * ours.extra_load:>8.2f}',
             flush=True,
         )
 
 
 def main() -> None:
-    """Run what is named, or everything, and print the table."""
+    """Run the given plans, or all of them, and print a table.
+
+    The 99th percentile is in ms and the coverage in %; `complete` counts
+    complete answers. Each is followed by the value without the baseline's
+    settings (`ours`). `extra %` is the number of hedges and retries per 100
+    shard requests, also without these settings.
+    """
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument('plans', nargs='*', default=_PLANS)
     parser.add_argument('--workers', type=int, default=4)
@@ -94,13 +107,13 @@
             for name in options.plans
         ]
         peak = pool.submit(_run, 'overload', False, _PEAK_FACTOR)
-        calm = pool.submit(_run, 'greedy_team', False, 1.0, True)
+        without_faults = pool.submit(_run, 'greedy_team', False, 1.0, True)
         for name, baseline, ours in pairs:
             _print_pair(name, baseline.result(), ours.result())
             if name == 'overload':
                 _print_goodput(peak.result(), ours.result())
             if name == 'greedy_team':
-                _print_isolation(calm.result(), ours.result())
+                _print_isolation(without_faults.result(), ours.result())
 
 
 def _print_goodput(
@@ -110,20 +123,24 @@
     over = sum(team.complete for team in ours.teams)
     shares = ' to '.join(str(team.complete) for team in ours.teams)
     print(
-        f'  complete answers at three times the capacity: {over}, at once '
-        f'the capacity {at_peak}, ratio {over / at_peak:.2f}; teams of '
-        f'weight 3 and 1 got {shares}'
+        f'  complete answers at three times the capacity: {over}, at '
+        f'capacity {at_peak}, ratio {over / at_peak:.2f}; of '
+        f'the teams of weight 3 and 1: {shares}'
     )
 
 
 def _print_isolation(
-    calm: experiments.ExperimentResult, ours: experiments.ExperimentResult
+    without_faults: experiments.ExperimentResult,
+    ours: experiments.ExperimentResult,
 ) -> None:
-    for before, after in zip(calm.teams, ours.teams, strict=True):
-        ratio = after.latency_s['99'] / before.latency_s['99']
+    for without_burst, with_burst in zip(
+        without_faults.teams, ours.teams, strict=True
+    ):
+        ratio = with_burst.latency_s['99'] / without_burst.latency_s['99']
         print(
-            f'  {after.team}: 99th percentile {ratio:.2f} times that without '
-            f'the burst, {after.complete} complete answers of {after.asked}'
+            f'  {with_burst.team}: 99th percentile {ratio:.2f} times that '
+            f'without the burst, {with_burst.complete} complete answers of '
+            f'{with_burst.asked}'
         )
 
 
--- a/benchmarks/hosts.py
+++ b/benchmarks/hosts.py
@@ -1,8 +1,8 @@
-"""False suspicion under loss, and how far limits are overshot.
+"""False suspicions under message loss, and overshoot of rate limits.
 
-On virtual time, so the figures repeat exactly. A limit's overshoot is what
-all hosts admitted in the worst second, and over all, against the limit; the
-team asks for three times its limit throughout.
+Runs on virtual time, so the figures are reproducible. Overshoot is the rate
+that all hosts together admit, in the worst second and on average, relative to
+the limit. The team sends three times its limit throughout.
 """
 
 import asyncio
@@ -39,13 +39,14 @@
 
 
 async def _count_suspicions(hosts: int, loss: float) -> tuple[int, int]:
-    """Return how often some host held another suspect, or failed."""
+    """Return how many times hosts marked a peer as suspect and as failed."""
     async with standins.run_fleet(_make_deployment(hosts), hosts, 1) as fleet:
         fleet.peers.faults.lose = loss
         await asyncio.sleep(_WATCH_S)
         kinds = {'suspect': 0, 'failed': 0}
         for running in fleet.hosts.values():
             for event in running.host.ring.list_since(state.Stamp()):
+                # The last word of the detail is the new state.
                 word = event.detail.rpartition(' ')[2]
                 if event.kind is state.EventKind.PEER_STATE and word in kinds:
                     kinds[word] += 1
@@ -53,7 +54,7 @@
 
 
 def measure_suspicion() -> None:
-    """False suspicions by the part of messages lost."""
+    """Print false suspicions by the fraction of lost messages."""
     for hosts in (7, 20):
         for loss in _LOSSES:
             suspected, failed = experiments.run_on_virtual_time(
@@ -62,59 +63,67 @@
             hours = hosts * _WATCH_S / 3600
             print(
                 f'{hosts:>3} hosts, {100 * loss:2.0f} % lost: '
-                f'{suspected / hours:7.1f} times suspect and '
-                f'{failed / hours:5.1f} failed, an hour and host'
+                f'{suspected / hours:7.1f} times marked as suspect '
+                f'and {failed / hours:5.1f} as failed, per host and hour'
             )
 
 
-async def _ask(fleet, admitted: list[float], pick) -> None:
-    """Ask for three times the limit, noting when each was admitted."""
-    gap_s = 1.0 / (_LIMIT * _ASK_FACTOR)
+async def _send_queries(fleet, admitted: list[float], choose_host) -> None:
+    """Send queries at three times the limit.
+
+    The time of sending of each query that was answered is added to
+    `admitted`.
+    """
+    interval_s = 1.0 / (_LIMIT * _ASK_FACTOR)
     tasks = []
 
-    async def ask(host: str) -> None:
+    async def send_query(host: str) -> None:
         began = fleet.clock.now()
         outcome = await fleet.query(host, 'desk', 'members')
         if isinstance(outcome, protocol.Answered):
             admitted.append(began)
 
-    for number in range(round(_RUN_S / gap_s)):
-        tasks.append(asyncio.create_task(ask(pick(number))))
-        await asyncio.sleep(gap_s)
+    for number in range(round(_RUN_S / interval_s)):
+        tasks.append(asyncio.create_task(send_query(choose_host(number))))
+        await asyncio.sleep(interval_s)
     await asyncio.gather(*tasks)
 
 
-async def _overshoot(hosts: int, event: str) -> tuple[float, float]:
-    """Return admitted to limit, in the worst second and over all."""
+async def _measure_overshoot(hosts: int, event: str) -> tuple[float, float]:
+    """Return the rate of answered queries as a multiple of the limit.
+
+    The first figure is for the worst second, the second one the average.
+    """
     async with standins.run_fleet(_make_deployment(hosts), hosts, 1) as fleet:
         edit = await fleet.set_row('desk', rate=_LIMIT, deadline_s=1.0)
         await fleet.wait_until_in_force(edit.revision)
         await asyncio.sleep(3.0)
         admitted: list[float] = []
         start = fleet.clock.now()
-        moved = start + _EVENT_AT_S
+        event_at = start + _EVENT_AT_S
 
-        def pick(number: int) -> str:
-            after = fleet.clock.now() >= moved
-            if event == 'skew moves':
+        def choose_host(number: int) -> str:
+            after = fleet.clock.now() >= event_at
+            # All queries go to h1, after the event all to h2.
+            if event == 'load moves':
                 return 'h2' if after else 'h1'
             live = hosts - 1 if event == 'host crashes' and after else hosts
             return f'h{1 + number % live}'
 
-        load = asyncio.create_task(_ask(fleet, admitted, pick))
+        load = asyncio.create_task(_send_queries(fleet, admitted, choose_host))
         await asyncio.sleep(_EVENT_AT_S)
         if event == 'host crashes':
             await fleet.crash_host(f'h{hosts}')
-        elif event == 'hosts part':
-            _part(fleet, hosts)
+        elif event == 'network split':
+            _partition_hosts(fleet, hosts)
         await load
         seconds = [int(at - start) for at in admitted]
         worst = max(seconds.count(each) for each in set(seconds))
         return worst / _LIMIT, len(admitted) / (_LIMIT * _RUN_S)
 
 
-def _part(fleet: standins.MemoryFleet, hosts: int) -> None:
-    """Let one half of the hosts hear nothing of the other."""
+def _partition_hosts(fleet: standins.MemoryFleet, hosts: int) -> None:
+    """Cut all messages between the two halves of the hosts."""
     addresses = [running.address for running in fleet.hosts.values()]
     for one in addresses[: hosts // 2]:
         for other in addresses[hosts // 2 :]:
@@ -122,11 +131,16 @@
 
 
 def measure_limits() -> None:
-    """Overshoot of a limit by what happens to the hosts."""
+    """Print the overshoot of a limit by event."""
     for hosts in (3, 7):
-        for event in ('nothing', 'skew moves', 'host crashes', 'hosts part'):
+        for event in (
+            'nothing',
+            'load moves',
+            'host crashes',
+            'network split',
+        ):
             worst, overall = experiments.run_on_virtual_time(
-                _overshoot(hosts, event)
+                _measure_overshoot(hosts, event)
             )
             print(
                 f'{hosts} hosts, {event:<13}: {worst:.2f} times the limit in '
@@ -135,7 +149,7 @@
 
 
 def main() -> None:
-    """Measure both."""
+    """Run both measurements."""
     measure_suspicion()
     measure_limits()
 
--- a/benchmarks/shard_request.py
+++ b/benchmarks/shard_request.py
@@ -1,10 +1,10 @@
-"""Processor time of a shard request, beside the bare client library's.
+"""Processor time of a shard request compared with the bare HTTP client.
 
-One stand-in upstream in a process of its own answers at once. Over the
-same loopback connections this process sends the same requests twice: with
-aiosonic alone, and through all of a host's decisions (admission, fair
-queue, replica choice, hedging, merge). The figures are processor time of
-this process alone.
+Stand-in upstreams in another process reply without delay. This process sends
+the same requests over loopback twice: through HTTP connections alone, and
+through a host with all its decisions (admission, fair queue, replica
+choice, hedging, merge). The figures are the processor time of this process
+only.
 """
 
 import argparse
@@ -44,7 +44,7 @@
 
 
 def _serve(pipe) -> None:
-    """Serve the stand-ins until the parent closes the pipe."""
+    """Serve the stand-ins until the parent sends a message."""
 
     async def serve() -> None:
         loop = asyncio.get_running_loop()
@@ -70,14 +70,14 @@
 
 
 async def _measure_bare(addresses: list[str], queries: int) -> float:
-    """Return seconds of processor time a request, by the library alone."""
+    """Return processor seconds per request for the client library alone."""
     connections = [
         transport.OwnedConnection(address)
         for address in addresses[: 2 * _SHARDS : 2]
     ]
 
     async def ask(connection, shard: str) -> None:
-        loop_wall = time.time()
+        wall = time.time()
         for number in range(queries):
             request = protocol.ShardRequest(
                 request_id=f'{shard}.{number}',
@@ -85,7 +85,7 @@
                 version=1,
                 body=msgspec.Raw(b'"q"'),
                 limit=10,
-                deadline=loop_wall + 60,
+                deadline=wall + 60,
             )
             body = protocol.encode(request)
             raw = await connection.post(protocol.SHARD_PATH, body)
@@ -99,14 +99,14 @@
             for connection, name in zip(connections, names, strict=True)
         )
     )
-    spent = time.process_time() - began
+    cpu_s = time.process_time() - began
     for connection in connections:
         await connection.close()
-    return spent / (queries * _SHARDS)
+    return cpu_s / (queries * _SHARDS)
 
 
 async def _measure_host(kv_address: str, queries: int) -> float:
-    """Return seconds of processor time a shard request, by a whole host."""
+    """Return processor seconds per shard request through a complete host."""
     loop = asyncio.get_running_loop()
     clock = state.Clock(loop, time.time() - loop.time())
     settings = state.Settings(
@@ -135,16 +135,16 @@
         outcome = await host.query(row, query)
         if outcome.coverage.missing:
             raise RuntimeError(f'incomplete: {outcome.coverage}')
-    spent = time.process_time() - began
+    cpu_s = time.process_time() - began
     counters = host.runner.counters
     running.cancel()
     await asyncio.gather(running, return_exceptions=True)
     sent = counters.first + counters.hedges + counters.retries
-    return spent / sent
+    return cpu_s / sent
 
 
 def main() -> None:
-    """Print both costs and their ratio, for several rounds in turn."""
+    """Print the costs of each round and the median ratios."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument('--queries', type=int, default=100)
     parser.add_argument('--rounds', type=int, default=5)
@@ -154,27 +154,27 @@
     server = context.Process(target=_serve, args=(theirs,), daemon=True)
     server.start()
     kv_address, addresses = ours.recv()
-    plain = []
-    tuned = []
+    ratios = []
+    tuned_ratios = []
     thresholds = gc.get_threshold()
     for number in range(options.rounds):
-        bare = asyncio.run(_measure_bare(addresses, options.queries))
-        host = asyncio.run(_measure_host(kv_address, options.queries))
+        bare_s = asyncio.run(_measure_bare(addresses, options.queries))
+        host_s = asyncio.run(_measure_host(kv_address, options.queries))
         runtime.tune_collector()
-        lean = asyncio.run(_measure_host(kv_address, options.queries))
+        tuned_host_s = asyncio.run(_measure_host(kv_address, options.queries))
         gc.set_threshold(*thresholds)
         gc.unfreeze()
-        plain.append(host / bare)
-        tuned.append(lean / bare)
+        ratios.append(host_s / bare_s)
+        tuned_ratios.append(tuned_host_s / bare_s)
         print(
-            f'round {number + 1}: bare {bare * 1e6:.0f} us, host '
-            f'{host * 1e6:.0f} us, with the collector tuned '
-            f'{lean * 1e6:.0f} us a shard request',
+            f'round {number + 1}: bare {bare_s * 1e6:.0f} us, host '
+            f'{host_s * 1e6:.0f} us, with the collector tuned '
+            f'{tuned_host_s * 1e6:.0f} us a shard request',
             flush=True,
         )
     print(
-        f'median ratio to bare {statistics.median(plain):.2f}, with the '
-        f'collector tuned {statistics.median(tuned):.2f}'
+        f'median ratio to bare {statistics.median(ratios):.2f}, with the '
+        f'collector tuned {statistics.median(tuned_ratios):.2f}'
     )
     ours.send('end')
     server.join()
--- a/rudderrock/experiments/_outcomes.py
+++ b/rudderrock/experiments/_outcomes.py
@@ -1,4 +1,4 @@
-"""What an experiment saw, team by team and second by second."""
+"""Results of an experiment, per team and per second."""
 
 import collections
 import dataclasses
@@ -10,17 +10,18 @@
 
 from rudderrock import protocol
 
-_MICROS = 1_000_000
-_HIGHEST = 120 * _MICROS
+_US_PER_S = 1_000_000
+_MAX_LATENCY_US = 120 * _US_PER_S
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Bin:
-    """One second of one team: counts, coverage and two percentiles.
+    """Counts and two latency percentiles of a team in one second.
 
-    Latencies are in seconds, counted from the time at which the query was
-    due, so that waiting is not hidden (no coordinated omission).
+    Latencies are in seconds and are measured from the time at which the
+    query was due, not from when it was sent, so that delayed queries are not
+    counted as fast (coordinated omission).
     """
 
     second: int
@@ -35,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class TeamOutcome:
-    """One team over the whole experiment; latencies in seconds."""
+    """Totals of one team over the whole experiment; latencies in seconds."""
 
     team: str
     weight: float
@@ -51,13 +52,16 @@
 
     @property
     def coverage(self) -> float:
-        """Return the part of shards that contributed to answers."""
+        """Return the fraction of shards that are in the answers.
+
+        Only the shards of answered queries count.
+        """
         return self.shards_answered / self.shards if self.shards else 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Mark:
-    """A fault on the time axis, in seconds of the experiment."""
+    """A fault on the time axis, in seconds since the end of the warm-up."""
 
     label: str
     at: float
@@ -65,12 +69,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Inside:
-    """What only the hosts and the stand-ins of a run know.
+class InternalMetrics:
+    """Metrics that are collected only in a run on virtual time.
 
-    `extra_load` is the upstream requests sent beyond one a shard, as a
-    part of the shards asked for. `connections` is the most that any
-    upstream had open, as a part of what it allows.
+    `shard_requests` counts first attempts only. `extra_load` is the ratio of
+    hedges and retries to them. `connections` is the peak number of open
+    connections of any upstream, as a fraction of its connection limit.
     """
 
     extra_load: float
@@ -93,9 +97,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ExperimentResult:
-    """All that one run gave; the same seed gives the same figures.
+    """Result of one run.
 
-    `inside` is None for a run against real hosts; their metrics have it.
+    A run on virtual time gives the same figures for the same seed. `inside`
+    is None for a run against real hosts, which export these metrics
+    themselves.
     """
 
     name: str
@@ -103,16 +109,16 @@
     seconds: float
     hosts: int
     teams: list[TeamOutcome]
-    inside: Inside | None
+    inside: InternalMetrics | None
     marks: list[Mark]
 
     @property
     def extra_load(self) -> float:
-        """Return the extra load, or NaN where it is not known."""
+        """Return the extra load, or NaN for a run against real hosts."""
         return self.inside.extra_load if self.inside else math.nan
 
     def find_team(self, team: str) -> TeamOutcome:
-        """Return one team's outcome."""
+        """Return the outcome of one team."""
         return next(each for each in self.teams if each.team == team)
 
 
@@ -127,7 +133,7 @@
 
 
 class TeamRecorder:
-    """Counts one team's outcomes while an experiment runs."""
+    """Collects the outcomes of one team during an experiment."""
 
     def __init__(self, team: str, weight: float):
         self.team = team
@@ -136,15 +142,15 @@
         self._complete = 0
         self._bins: collections.defaultdict[int, _BinCounts]
         self._bins = collections.defaultdict(_BinCounts)
-        self._latency = histogram.HdrHistogram(1, _HIGHEST, 3)
+        self._latency = histogram.HdrHistogram(1, _MAX_LATENCY_US, 3)
 
     def record(
         self, due: float, seconds: float, outcome: protocol.Outcome | None
     ) -> None:
-        """Count one outcome; None is a call that got no usable reply.
+        """Record one outcome; None is a call without a usable reply.
 
-        `due` is the time of the experiment at which it was to be sent,
-        `seconds` the time from then to its outcome.
+        `due` is when the query was scheduled, in seconds since the end of
+        the warm-up. `seconds` is the time from then to the outcome.
         """
         counts = self._bins[int(due)]
         self._asked += 1
@@ -155,7 +161,9 @@
                 counts.shards_answered += coverage.answered
                 self._complete += not coverage.missing
                 counts.times.append(seconds)
-                micros = min(max(1, round(seconds * _MICROS)), _HIGHEST)
+                micros = min(
+                    max(1, round(seconds * _US_PER_S)), _MAX_LATENCY_US
+                )
                 self._latency.record_value(micros)
             case protocol.Refused():
                 counts.refused += 1
@@ -163,9 +171,9 @@
                 counts.failed += 1
 
     def make_outcome(self) -> TeamOutcome:
-        """Return what was counted."""
+        """Return the totals and bins of the team."""
         counted = self._bins.values()
-        read = self._latency.get_value_at_percentile
+        get_percentile = self._latency.get_value_at_percentile
         return TeamOutcome(
             team=self.team,
             weight=self._weight,
@@ -177,7 +185,7 @@
             shards=sum(each.shards for each in counted),
             shards_answered=sum(each.shards_answered for each in counted),
             latency_s={
-                f'{percentile:g}': read(percentile) / _MICROS
+                f'{percentile:g}': get_percentile(percentile) / _US_PER_S
                 for percentile in PERCENTILES
             },
             bins=[
@@ -202,7 +210,7 @@
 
 
 def write_result(path: pathlib.Path, outcome: ExperimentResult) -> None:
-    """Write a result file, as JSON."""
+    """Write a result to a file as JSON."""
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_bytes(protocol.encode(outcome))
 
@@ -210,7 +218,7 @@
 def read_result(
     path: pathlib.Path,
 ) -> result.Result[ExperimentResult, str]:
-    """Read a result file."""
+    """Return the result in a file, or why it cannot be read."""
     try:
         data = path.read_bytes()
     except OSError as exc:
@@ -220,7 +228,7 @@
 
 
 def format_result(outcome: ExperimentResult) -> str:
-    """Return a result as text for people."""
+    """Return a result as a plain-text table."""
     lines = [
         f'{outcome.name}: {outcome.hosts} hosts, {outcome.seconds:g} s, '
         f'seed {outcome.seed}',
@@ -243,7 +251,10 @@
 
 
 def compare_results(one: ExperimentResult, other: ExperimentResult) -> str:
-    """Set two results side by side; ratios are the second to the first."""
+    """Return a table of two results with ratios of the second to the first.
+
+    Teams that only one of the results has are left out.
+    """
     lines = [f'{"":<28}{"first":>12}{"second":>12}{"ratio":>9}']
 
     def add(name: str, first: float, second: float) -> None:
@@ -273,5 +284,8 @@
 
 
 def make_mark(label: str, at: float, until: float | None, end: float) -> Mark:
-    """Return a mark; a fault without an end lasts to that of the run."""
+    """Return the mark of a fault.
+
+    Without `until`, the fault lasts until `end`, the end of the run.
+    """
     return Mark(label=label, at=at, until=end if until is None else until)
--- a/rudderrock/experiments/_plan.py
+++ b/rudderrock/experiments/_plan.py
@@ -1,4 +1,4 @@
-"""Experiments as TOML files: the systems, the load and the faults."""
+"""Experiment plans in TOML: deployment, load and faults."""
 
 import dataclasses
 import pathlib
@@ -13,17 +13,18 @@
 from rudderrock import state
 
 _Seconds = Annotated[float, pydantic.Field(ge=0, le=86_400)]
-_Part = Annotated[float, pydantic.Field(ge=0, le=1)]
+_Fraction = Annotated[float, pydantic.Field(ge=0, le=1)]
 _Factor = Annotated[float, pydantic.Field(ge=0, le=10_000)]
 
 EVERYTHING = '*'
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class _Timed:
-    """A fault from `at` to `until`, in seconds of the experiment.
+class _TimedFault:
+    """A fault that is active from `at` to `until`.
 
-    Where `until` is left out the fault lasts to the end.
+    Both are in seconds since the end of the warm-up. Without `until`, the
+    fault lasts until the end of the plan.
     """
 
     __pydantic_config__ = state.FORBID_UNKNOWN
@@ -33,18 +34,18 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Straggle(_Timed):
-    """A part of requests takes `factor` times as long."""
+class Straggle(_TimedFault):
+    """A fraction of the requests takes `factor` times as long."""
 
     kind: Literal['straggle']
     upstreams: str = EVERYTHING
-    part: _Part = 0.01
+    part: _Fraction = 0.01
     factor: _Factor = 15.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Slow(_Timed):
-    """Upstreams take `factor` times as long for everything."""
+class Slow(_TimedFault):
+    """Every request to the upstreams takes `factor` times as long."""
 
     kind: Literal['slow']
     upstreams: str = EVERYTHING
@@ -52,8 +53,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Lose(_Timed):
-    """Upstreams are gone, or with `hang` silent."""
+class UpstreamDown(_TimedFault):
+    """Upstreams drop their connections and accept none.
+
+    With `hang`, they accept requests but never answer.
+    """
 
     kind: Literal['lose']
     upstreams: str
@@ -61,17 +65,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Shed(_Timed):
-    """Upstreams refuse a part of what they get."""
+class Shed(_TimedFault):
+    """Upstreams reject a fraction of their requests."""
 
     kind: Literal['shed']
     upstreams: str
-    part: _Part = 0.5
+    part: _Fraction = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class FalseLoad(_Timed):
-    """Upstreams report a load that is not theirs."""
+class FalseLoad(_TimedFault):
+    """Upstreams report `queued` waiting requests, whatever their load is."""
 
     kind: Literal['false_load']
     upstreams: str
@@ -79,10 +83,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Cold(_Timed):
-    """Upstreams come back cold: gone at `at`, slow after `until`.
+class ColdRestart(_TimedFault):
+    """Upstreams stop at `at` and restart with cold caches at `until`.
 
-    They are `factor` times slower for `warm_up_s` seconds.
+    After the restart they are `factor` times slower for `warm_up_s`
+    seconds.
     """
 
     kind: Literal['cold']
@@ -92,19 +97,19 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Leave(_Timed):
-    """Upstreams leave: they say so and take no new work."""
+class Drain(_TimedFault):
+    """Upstreams drain: they announce it and accept no new requests."""
 
     kind: Literal['leave']
     upstreams: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Rollout(_Timed):
-    """A new index version comes to one upstream after another.
+class Rollout(_TimedFault):
+    """A new index version is rolled out upstream by upstream.
 
-    An upstream holds both versions for `overlap_s`, then only the new
-    one. The rollout takes from `at` to `until`.
+    Each upstream serves both versions for `overlap_s` seconds, then only
+    the new one. The rollout lasts from `at` to `until`.
     """
 
     kind: Literal['rollout']
@@ -113,16 +118,22 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class KvDown(_Timed):
-    """The key-value service is down, or with `delay_s` slow."""
+class KvDown(_TimedFault):
+    """The key-value service is down.
+
+    With `delay_s`, it is up but each call is delayed by that time.
+    """
 
     kind: Literal['kv_down']
     delay_s: _Seconds = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class HostGone(_Timed):
-    """A host crashes, or with `planned` is stopped."""
+class HostDown(_TimedFault):
+    """A host crashes or, with `planned`, is stopped gracefully.
+
+    The host stays down; `until` only ends the mark in the report.
+    """
 
     kind: Literal['host_gone']
     host: str
@@ -130,8 +141,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Burst(_Timed):
-    """A team asks `factor` times as often."""
+class Burst(_TimedFault):
+    """A team sends `factor` times as many queries."""
 
     kind: Literal['burst']
     team: str
@@ -141,14 +152,14 @@
 Fault = Annotated[
     Straggle
     | Slow
-    | Lose
+    | UpstreamDown
     | Shed
     | FalseLoad
-    | Cold
-    | Leave
+    | ColdRestart
+    | Drain
     | Rollout
     | KvDown
-    | HostGone
+    | HostDown
     | Burst,
     pydantic.Field(discriminator='kind'),
 ]
@@ -156,9 +167,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class TeamLoad:
-    """One team's load: queries a second to one collection, open loop.
+    """Open-loop load of one team: `rate` queries per second.
 
-    `row` has the fields of the team's row that differ from the defaults.
+    `row` holds the fields of the team's table row that differ from the
+    defaults.
     """
 
     __pydantic_config__ = state.FORBID_UNKNOWN
@@ -171,11 +183,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Plan:
-    """An experiment.
+    """The plan of an experiment: deployment, load, faults and settings.
 
-    `warm_up_s` seconds pass before anything is counted; faults count
-    their time from there. `settings` are the parts of the hosts' settings
-    that differ from the defaults.
+    Outcomes are recorded only after `warm_up_s` seconds, and times of faults
+    are relative to that moment. `settings` holds the sections and keys of
+    the hosts' settings that differ from the defaults.
     """
 
     __pydantic_config__ = state.FORBID_UNKNOWN
@@ -191,7 +203,11 @@
 
 
 def read_plan(path: pathlib.Path) -> result.Result[Plan, str]:
-    """Read and check a plan; its deployment may be another file's name."""
+    """Return a validated plan, or why it is invalid.
+
+    The deployment may be given as the path of another TOML file, relative to
+    the folder of the plan.
+    """
     read = state.read_toml(path)
     if read.is_err():
         return read
--- a/rudderrock/experiments/_real.py
+++ b/rudderrock/experiments/_real.py
@@ -1,4 +1,4 @@
-"""Loading real hosts over HTTP with the same drivers."""
+"""Runs the load of a plan against running hosts over HTTP."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Targets:
-    """Real hosts by their callers' addresses, and tokens by team."""
+    """Caller addresses of the hosts under load, and tokens by team."""
 
     __pydantic_config__ = state.FORBID_UNKNOWN
 
@@ -32,7 +32,7 @@
 
 
 def read_targets(path: pathlib.Path) -> result.Result[Targets, str]:
-    """Read and check a file of targets."""
+    """Return validated targets, or why the file is invalid."""
     read = state.read_toml(path)
     if read.is_err():
         return read
@@ -43,11 +43,13 @@
 
 
 async def run_real(
-    plan: plans.Plan, targets: Targets, report: Callable[[str], None]
+    plan: plans.Plan, targets: Targets, on_progress: Callable[[str], None]
 ) -> outcomes.ExperimentResult:
-    """Send a plan's load to real hosts; its faults are left out.
+    """Send the load of a plan to running hosts and return the result.
 
-    What only the hosts know, such as extra load, is in their metrics.
+    The faults of the plan are not injected. The result has no internal
+    metrics, such as the extra load; the hosts export these themselves.
+    `on_progress` is called with a line of progress every 5 s.
     """
     loop = asyncio.get_running_loop()
     start = loop.time() + plan.warm_up_s
@@ -55,13 +57,15 @@
         runs.Driver(
             load,
             [],
-            _make_ask(load, targets, plan.seed),
+            _make_sender(load, targets, plan.seed),
             loop.time,
             state.make_random(plan.seed, f'load/{load.team}'),
         )
         for load in plan.teams
     ]
-    progress = asyncio.create_task(_report(loop, start, plan, report))
+    progress = asyncio.create_task(
+        _report_progress(loop, start, plan, on_progress)
+    )
     await asyncio.gather(
         *(
             driver.run(start, plan.warm_up_s, plan.seconds)
@@ -80,8 +84,8 @@
     )
 
 
-def _make_ask(load: plans.TeamLoad, targets: Targets, seed: int):
-    source = state.make_random(seed, f'targets/{load.team}')
+def _make_sender(load: plans.TeamLoad, targets: Targets, seed: int):
+    rng = state.make_random(seed, f'targets/{load.team}')
     idle: dict[str, list[transport.OwnedConnection]] = {
         host: [] for host in targets.hosts
     }
@@ -92,24 +96,24 @@
         body=msgspec.Raw(b'"load"'),
     )
 
-    async def ask() -> protocol.Outcome | None:
-        host = _choose(source, targets.hosts)
-        kept = idle[host]
-        if kept:
-            connection = kept.pop()
+    async def send_query() -> protocol.Outcome | None:
+        host = _choose(rng, targets.hosts)
+        idle_connections = idle[host]
+        if idle_connections:
+            connection = idle_connections.pop()
         else:
             connection = transport.OwnedConnection(host, headers=headers)
         raw = await connection.post(
             protocol.QUERY_PATH, protocol.encode(query)
         )
-        kept.append(connection)
+        idle_connections.append(connection)
         return _read_outcome(raw)
 
-    return ask
+    return send_query
 
 
-def _choose(source: random.Random, hosts: list[str]) -> str:
-    return source.choice(hosts)
+def _choose(rng: random.Random, hosts: list[str]) -> str:
+    return rng.choice(hosts)
 
 
 def _read_outcome(
@@ -121,6 +125,7 @@
         case result.Ok(transport.RawReply(body=body)):
             problem = protocol.decode(protocol.Problem, body).ok()
             if problem and problem.outcome is protocol.Ran.NOT_RUN:
+                # The reason is not counted, so any will do.
                 return protocol.Refused(
                     reason=protocol.RefusalReason.OVERLOAD,
                     detail=problem.detail,
@@ -128,8 +133,10 @@
     return None
 
 
-async def _report(loop, start: float, plan: plans.Plan, report) -> None:
+async def _report_progress(
+    loop, start: float, plan: plans.Plan, on_progress
+) -> None:
     while True:
-        passed = max(0.0, loop.time() - start)
-        report(f'{passed:.0f} of {plan.seconds:g} s')
+        elapsed_s = max(0.0, loop.time() - start)
+        on_progress(f'{elapsed_s:.0f} of {plan.seconds:g} s')
         await asyncio.sleep(_PROGRESS_STEP_S)
--- a/rudderrock/experiments/_report.py
+++ b/rudderrock/experiments/_report.py
@@ -1,4 +1,4 @@
-"""One self-contained HTML report with plots, for each result."""
+"""Renders a result as one self-contained HTML page with plots."""
 
 import html
 import io
@@ -24,7 +24,7 @@
 
 
 def write_report(path: pathlib.Path, outcome: outcomes.ExperimentResult):
-    """Write the report of a result."""
+    """Write the report of a result to a file."""
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_text(make_report(outcome))
 
@@ -36,8 +36,10 @@
         _plot(outcome, '99th percentile, ms', lambda b: b.p99_s * 1000),
         _plot(outcome, 'median, ms', lambda b: b.p50_s * 1000),
         _plot(outcome, 'coverage, %', _get_coverage),
-        _plot(outcome, 'shard answers a second', lambda b: b.shards_answered),
-        _plot(outcome, 'refused a second', lambda b: b.refused),
+        _plot(
+            outcome, 'shard answers per second', lambda b: b.shards_answered
+        ),
+        _plot(outcome, 'refused per second', lambda b: b.refused),
         _plot_shares(outcome),
     ]
     return (
@@ -56,9 +58,9 @@
 
 
 def _make_table(outcome: outcomes.ExperimentResult) -> str:
-    heads = ['team', 'asked', 'answered', 'refused', 'coverage %']
-    heads += [f'p{name} ms' for name in outcome.teams[0].latency_s]
-    rows = [''.join(f'<th>{head}</th>' for head in heads)]
+    headers = ['team', 'asked', 'answered', 'refused', 'coverage %']
+    headers += [f'p{name} ms' for name in outcome.teams[0].latency_s]
+    rows = [''.join(f'<th>{head}</th>' for head in headers)]
     for team in outcome.teams:
         cells = [
             html.escape(team.team),
@@ -73,30 +75,30 @@
 
 
 def _plot_shares(outcome: outcomes.ExperimentResult) -> str:
-    """Draw what part of all shard answers each team got, and its weight."""
+    """Return a plot of each team's share of shard answers and of weights."""
     figure = matplotlib.figure.Figure(
         figsize=(_WIDTH_INCHES, _HEIGHT_INCHES), layout='constrained'
     )
     axes = figure.add_subplot()
-    got = sum(team.shards_answered for team in outcome.teams) or 1
+    total_answers = sum(team.shards_answered for team in outcome.teams) or 1
     weights = sum(team.weight for team in outcome.teams) or 1
     names = [team.team for team in outcome.teams]
-    places = range(len(names))
+    positions = range(len(names))
     axes.barh(
-        [place + _BAR_OFFSET for place in places],
-        [100 * team.shards_answered / got for team in outcome.teams],
+        [position + _BAR_OFFSET for position in positions],
+        [100 * team.shards_answered / total_answers for team in outcome.teams],
         height=_BAR_HEIGHT,
         label='share of shard answers',
     )
     axes.barh(
-        [place - _BAR_OFFSET for place in places],
+        [position - _BAR_OFFSET for position in positions],
         [100 * team.weight / weights for team in outcome.teams],
         height=_BAR_HEIGHT,
         color=_MARK_COLOUR,
         label='share of weights',
     )
-    axes.set_yticks(places, names)
-    axes.set_xlabel('%; a team that asks for less than its share gets less')
+    axes.set_yticks(positions, names)
+    axes.set_xlabel('% (a team that asks for less than its share gets less)')
     axes.legend(fontsize=8, loc='lower right')
     return _make_svg(figure)
 
@@ -109,7 +111,7 @@
 
 
 def _plot(outcome: outcomes.ExperimentResult, label: str, read) -> str:
-    """Draw one figure over time, a line a team, as inline SVG."""
+    """Return a plot over time as inline SVG, with one line per team."""
     figure = matplotlib.figure.Figure(
         figsize=(_WIDTH_INCHES, _HEIGHT_INCHES), layout='constrained'
     )
--- a/rudderrock/experiments/_schedules.py
+++ b/rudderrock/experiments/_schedules.py
@@ -1,9 +1,18 @@
-"""Random schedules of faults, and what must hold under each of them.
-
-A schedule is drawn from a seed: hosts, load, and faults of upstreams, of
-the ways to them, of the key-value service and of hosts, at any moment,
-together or twice. Every call carries a marker of its own, so that what the
-upstreams record as run can be set against what each caller was told.
+"""Random schedules of calls and faults, with checks of the guarantees.
+
+The load and the faults of a schedule are drawn from its seed. Faults affect
+upstreams, the links to them, the key-value service and hosts; they may
+overlap and repeat. Every query carries a unique marker; the marker of a
+command is its idempotency key. The checks use it to compare the requests that
+upstreams ran with the outcomes that callers received:
+
+- a refused query did not run, nor did a command that was refused on every
+  call;
+- a command runs at most once, is reported as a first run at most once, and
+  always with the same results; a recorded command has run;
+- the coverage of an answer adds up and counts only shards that answered;
+- the hits of an answer belong to its query, its index version and shards that
+  are not missing.
 """
 
 import asyncio
@@ -15,17 +24,17 @@
 from rudderrock import protocol
 from rudderrock import standins
 from rudderrock import state
-from rudderrock.experiments import _play as play
+from rudderrock.experiments import _random_faults as random_faults
 from rudderrock.experiments import _run as runs
 
 _SERVICES = 4
 _TEAM = 'desk'
 _COLLECTION = 'members'
-_LENGTH_S = 4.0
-_QUERIES = 60
-_COMMANDS = 20
-_KEYS = 8
-_FAULTS = 8
+_DURATION_S = 4.0
+_QUERY_COUNT = 60
+_COMMAND_COUNT = 20
+_KEY_COUNT = 8
+_MAX_FAULTS = 8
 _SETTLE_S = 3.0
 _DEADLINE_S = 0.5
 _DEPLOYMENT = standins.Deployment(
@@ -45,7 +54,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """One call and what its caller was told; None if nothing."""
+    """One call and its outcome, which is None if the caller received none.
+
+    `key` is the idempotency key of a command and None for a query.
+    """
 
     marker: str
     key: str | None
@@ -54,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ScheduleResult:
-    """One schedule: how calls ended, and every promise that was broken."""
+    """Result of a schedule: outcomes by type, faults and violations."""
 
     seed: int
     outcomes: dict[str, int]
@@ -63,48 +75,48 @@
 
 
 def run_schedule(seed: int) -> ScheduleResult:
-    """Run the schedule of a seed on virtual time and check it."""
-    done, crashes = runs.run_to_the_last_task(_run(seed))
-    return dataclasses.replace(done, broken=done.broken + crashes)
+    """Run the schedule of a seed on virtual time and check its guarantees."""
+    done, exceptions = runs.run_and_collect_exceptions(_run(seed))
+    return dataclasses.replace(done, broken=done.broken + exceptions)
 
 
 class _Schedule:
-    """One schedule under way."""
+    """A schedule while it runs."""
 
     def __init__(self, fleet: standins.MemoryFleet, seed: int):
         self.fleet = fleet
         self.calls: list[Call] = []
         self.faults: list[str] = []
-        self._source = state.make_random(seed, 'schedule')
+        self._rng = state.make_random(seed, 'schedule')
         self._keys: list[str] = []
 
     async def run(self) -> None:
-        """Play load and faults side by side, then let all end."""
-        source = self._source
-        self._keys = [self.fleet.make_key() for _ in range(_KEYS)]
+        """Run load and faults concurrently, then let the hosts recover."""
+        rng = self._rng
+        self._keys = [self.fleet.make_key() for _ in range(_KEY_COUNT)]
         async with asyncio.TaskGroup() as group:
-            for number in range(_QUERIES):
-                at = source.uniform(0, _LENGTH_S)
+            for number in range(_QUERY_COUNT):
+                at = rng.uniform(0, _DURATION_S)
                 group.create_task(self._query(at, f'q{number}'))
-            for number in range(_COMMANDS):
-                at = source.uniform(0, _LENGTH_S)
-                key = source.choice(self._keys)
+            for number in range(_COMMAND_COUNT):
+                at = rng.uniform(0, _DURATION_S)
+                key = rng.choice(self._keys)
                 group.create_task(self._command(at, key))
-            faults = play.draw_faults(
-                source,
-                _PLAYERS,
-                most=_FAULTS,
-                within_s=_LENGTH_S,
-                length_s=1.5,
+            faults = random_faults.draw_faults(
+                rng,
+                _INJECTORS,
+                max_count=_MAX_FAULTS,
+                within_s=_DURATION_S,
+                max_length_s=1.5,
             )
             for fault in faults:
                 self.faults.append(str(fault))
-                group.create_task(fault.play(self.fleet))
+                group.create_task(fault.inject(self.fleet))
         await asyncio.sleep(_SETTLE_S)
 
     async def _query(self, at: float, marker: str) -> None:
         await asyncio.sleep(at)
-        host = self._pick_host()
+        host = self._choose_host()
         outcome = None
         if host is not None:
             outcome = await self.fleet.query(
@@ -114,7 +126,7 @@
 
     async def _command(self, at: float, key: str) -> None:
         await asyncio.sleep(at)
-        host = self._pick_host()
+        host = self._choose_host()
         outcome = None
         if host is not None:
             outcome = await self.fleet.command(
@@ -122,87 +134,89 @@
             )
         self.calls.append(Call(key, key, outcome))
 
-    def _pick_host(self) -> str | None:
+    def _choose_host(self) -> str | None:
         running = [
             name
             for name, each in self.fleet.hosts.items()
             if not each.task.done()
         ]
-        return self._source.choice(running) if running else None
+        return self._rng.choice(running) if running else None
 
 
-async def _break_upstream(fleet, length, draw, **faults) -> None:
-    model = draw.choice(list(fleet.models.values()))
-    whole = {name: getattr(model.faults, name) for name in faults}
+async def _impair_upstream(fleet, length, rng, **faults) -> None:
+    model = rng.choice(list(fleet.models.values()))
+    previous = {name: getattr(model.faults, name) for name in faults}
     for name, value in faults.items():
         setattr(model.faults, name, value)
     await asyncio.sleep(length)
-    for name, value in whole.items():
+    for name, value in previous.items():
         setattr(model.faults, name, value)
 
 
-async def _lose(fleet, length, draw):
-    await _break_upstream(fleet, length, draw, lost=True)
+async def _lose(fleet, length, rng):
+    await _impair_upstream(fleet, length, rng, lost=True)
 
 
-async def _hang(fleet, length, draw):
-    await _break_upstream(fleet, length, draw, hung=True)
+async def _hang(fleet, length, rng):
+    await _impair_upstream(fleet, length, rng, hung=True)
 
 
-async def _shed(fleet, length, draw):
-    await _break_upstream(fleet, length, draw, shed=draw.uniform(0.1, 1))
+async def _shed(fleet, length, rng):
+    await _impair_upstream(fleet, length, rng, shed=rng.uniform(0.1, 1))
 
 
-async def _slow(fleet, length, draw):
-    factor = draw.uniform(2, 60)
-    await _break_upstream(fleet, length, draw, slow_factor=factor)
+async def _slow(fleet, length, rng):
+    factor = rng.uniform(2, 60)
+    await _impair_upstream(fleet, length, rng, slow_factor=factor)
 
 
-async def _leave(fleet, length, draw):
-    await _break_upstream(fleet, length, draw, leaving=True)
+async def _leave(fleet, length, rng):
+    await _impair_upstream(fleet, length, rng, leaving=True)
 
 
-async def _straggle(fleet, length, draw):
+async def _straggle(fleet, length, rng):
     for model in fleet.models.values():
-        model.faults.straggle = draw.uniform(0, 0.3)
+        model.faults.straggle = rng.uniform(0, 0.3)
     await asyncio.sleep(length)
     for model in fleet.models.values():
         model.faults.straggle = 0.0
 
 
-async def _break_links(fleet, length, draw):
-    running = draw.choice(list(fleet.hosts.values()))
+async def _impair_links(fleet, length, rng):
+    running = rng.choice(list(fleet.hosts.values()))
     faults = running.upstream_port.faults
-    faults.lose = draw.uniform(0, 0.5)
-    faults.cross = draw.uniform(0, 0.5)
-    faults.delay_s = draw.uniform(0, 0.1)
+    faults.lose = rng.uniform(0, 0.5)
+    # The fraction of replies that are replaced by an earlier reply.
+    faults.cross = rng.uniform(0, 0.5)
+    faults.delay_s = rng.uniform(0, 0.1)
     await asyncio.sleep(length)
     faults.lose = faults.cross = faults.delay_s = 0.0
 
 
-async def _freeze(fleet, length, draw):
-    """Let what one host is told arrive late, as after a pause."""
-    name = draw.choice(list(fleet.hosts))
+async def _freeze(fleet, length, rng):
+    """Pause one host: messages to it arrive only after the pause."""
+    name = rng.choice(list(fleet.hosts))
     fleet.freeze(name, True)
     await asyncio.sleep(length)
     fleet.freeze(name, False)
 
 
-async def _crash(fleet, length, draw):
-    name = draw.choice(list(fleet.hosts))
+# Crashed and stopped hosts stay down.
+async def _crash(fleet, length, rng):
+    name = rng.choice(list(fleet.hosts))
     if not fleet.hosts[name].task.done():
         await fleet.crash_host(name)
 
 
-async def _stop(fleet, length, draw):
-    name = draw.choice(list(fleet.hosts))
+async def _stop(fleet, length, rng):
+    name = rng.choice(list(fleet.hosts))
     if not fleet.hosts[name].task.done():
         stopping = fleet.stop_host(name)
         await asyncio.gather(stopping, return_exceptions=True)
 
 
-async def _roll_out(fleet, length, draw):
-    """Bring a new version to upstreams in any order, and take the old."""
+async def _roll_out(fleet, length, rng):
+    """Add a new version to upstreams in random order, then remove the old."""
     name = state.CollectionId(_COLLECTION)
     old = fleet.layout.collections[name].placements[-1]
     new = state.Placement(
@@ -210,11 +224,11 @@
     )
     await _publish(fleet, name, (old, new))
     models = list(fleet.models.values())
-    draw.shuffle(models)
+    rng.shuffle(models)
     for model in models:
         model.versions = {old.version, new.version}
         await asyncio.sleep(length / len(models) / 2)
-    draw.shuffle(models)
+    rng.shuffle(models)
     for model in models:
         model.versions = {new.version}
         await asyncio.sleep(length / len(models) / 2)
@@ -227,21 +241,22 @@
     fleet.layout = dataclasses.replace(
         fleet.layout, revision=revision, collections=collections_now
     )
-    # An outage may refuse it; the hosts then learn of the version late.
+    # The write fails while the key-value service is down. Hosts then receive
+    # the layout with the next successful write.
     await fleet.kv.put_unless_down(coordination.LAYOUT_KEY, fleet.layout)
 
 
-_PLAYERS = {
+_INJECTORS = {
     'lose': _lose,
     'hang': _hang,
     'shed': _shed,
     'slow': _slow,
     'leave': _leave,
     'straggle': _straggle,
-    'links': _break_links,
-    'kv_down': play.take_kv_down,
-    'kv_slow': play.slow_kv_down,
-    'kv_loses_replies': play.lose_kv_replies,
+    'links': _impair_links,
+    'kv_down': random_faults.inject_kv_outage,
+    'kv_slow': random_faults.inject_kv_delay,
+    'kv_loses_replies': random_faults.inject_lost_kv_replies,
     'freeze': _freeze,
     'crash': _crash,
     'stop': _stop,
@@ -270,24 +285,26 @@
 
 
 def list_broken(
-    calls: list[Call], records: list[standins.Run], shards: int = _SERVICES
+    calls: list[Call],
+    all_executions: list[standins.Run],
+    shards: int = _SERVICES,
 ) -> list[str]:
-    """List every promise that outcomes and records show as broken.
+    """Return a description of each violated guarantee.
 
-    `records` are of all upstreams; `shards` is how many the collection
-    has.
+    `all_executions` are the requests that all upstreams ran, also those that
+    did not finish. `shards` is the number of shards of the collection.
     """
     by_marker: dict[str, list[standins.Run]] = {}
-    for run in records:
+    for run in all_executions:
         marker = json.loads(bytes(run.request.body))
         by_marker.setdefault(marker, []).append(run)
     broken = []
     for call in calls:
-        own = by_marker.get(call.marker, [])
+        executions = by_marker.get(call.marker, [])
         match call.outcome:
             case protocol.Answered():
-                broken += _check_answer(call, call.outcome, own, shards)
-            case protocol.Refused() if call.key is None and own:
+                broken += _check_answer(call, call.outcome, executions, shards)
+            case protocol.Refused() if call.key is None and executions:
                 broken.append(f'{call.marker}: refused, yet it ran')
     by_key: dict[str, list[Call]] = {}
     for call in calls:
@@ -301,14 +318,14 @@
 def _check_answer(
     call: Call,
     answer: protocol.Answered,
-    own: list[standins.Run],
+    executions: list[standins.Run],
     shards: int,
 ) -> list[str]:
     broken = []
     coverage = answer.coverage
     finished = {
         run.request.shard
-        for run in own
+        for run in executions
         if run.finished and run.request.version == answer.version
     }
     if len(coverage.missing) + coverage.answered != coverage.shards:
@@ -323,27 +340,28 @@
             broken.append(f'{call.marker}: has a hit of {document["echo"]}')
         if document['shard'] in coverage.missing:
             broken.append(f'{call.marker}: has a hit of a missing shard')
+        # The stand-ins' hit ids end in VERSION-NUMBER.
         if hit.id.split('-')[-2] != str(answer.version):
             broken.append(f'{call.marker}: mixes versions')
     return broken
 
 
 def _check_command(
-    key: str, repeats: list[Call], own: list[standins.Run]
+    key: str, repeats: list[Call], executions: list[standins.Run]
 ) -> list[str]:
     broken = []
     outcomes = [call.outcome for call in repeats]
     recorded = [each for each in outcomes if _is_recorded(each)]
-    if len(own) > 1:
-        broken.append(f'{key}: ran {len(own)} times')
-    if recorded and not any(run.finished for run in own):
+    if len(executions) > 1:
+        broken.append(f'{key}: ran {len(executions)} times')
+    if recorded and not any(run.finished for run in executions):
         broken.append(f'{key}: recorded, yet it did not run')
     if sum(not each.repeat for each in recorded) > 1:
         broken.append(f'{key}: two calls say that they ran it')
     if len({tuple(hit.id for hit in each.hits) for each in recorded}) > 1:
         broken.append(f'{key}: recorded with different results')
     refused = all(isinstance(each, protocol.Refused) for each in outcomes)
-    if refused and own:
+    if refused and executions:
         broken.append(f'{key}: refused by all, yet it ran')
     return broken
 
--- a/rudderrock/programs/_exits.py
+++ b/rudderrock/programs/_exits.py
@@ -1,4 +1,4 @@
-"""Exit codes of all programs, as docs/operators.md lists them."""
+"""Exit codes of all programs; docs/operators.md documents them."""
 
 import enum
 import sys
@@ -6,17 +6,23 @@
 
 
 class Exit(enum.IntEnum):
-    """What a program's exit code means."""
+    """How a program ended."""
 
     OK = 0
+    # An address cannot be bound, or a test run found violations.
     FAILED = 1
+    # The arguments, settings or secrets are invalid.
     USAGE = 2
+    # The request or edit was refused and has no effect, or what was asked for
+    # does not exist.
     REFUSED = 3
+    # The request or edit may have taken effect.
     UNKNOWN = 4
+    # A service or host did not reply, or did not get ready in time.
     UNAVAILABLE = 5
 
 
 def fail(message: str, code: Exit) -> NoReturn:
-    """Say in one line what is wrong, and exit."""
+    """Print an error message to standard error and exit."""
     print(f'error: {message}', file=sys.stderr)
     sys.exit(code)
--- a/rudderrock/programs/_serving.py
+++ b/rudderrock/programs/_serving.py
@@ -1,4 +1,4 @@
-"""Running one entry host with its servers inside the running loop."""
+"""Serves one entry host with its HTTP servers on the running loop."""
 
 import contextlib
 import dataclasses
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ServedHost:
-    """A host, and the addresses at which it listens."""
+    """A host and the addresses that its servers listen on."""
 
     host: coordination.EntryHost
     callers: str
@@ -26,22 +26,22 @@
 
 @contextlib.asynccontextmanager
 async def open_host(settings: state.Settings, secrets: frontend.Secrets):
-    """Serve one host while the context lasts.
+    """Serve one host until the context exits.
 
-    Yields a result: the served host, or an error where an address cannot
-    be bound. The host itself has still to be run.
+    Yields a host whose servers listen, or an error if an address cannot be
+    bound. The code in the context must run the host.
     """
     async with contextlib.AsyncExitStack() as stack:
-        callers = transport.bind(settings.host.callers)
-        if callers.is_err():
-            yield callers
+        caller_socket = transport.bind(settings.host.callers)
+        if caller_socket.is_err():
+            yield caller_socket
             return
-        stack.callback(callers.unwrap().close)
-        control = transport.bind(settings.host.control)
-        if control.is_err():
-            yield control
+        stack.callback(caller_socket.unwrap().close)
+        control_socket = transport.bind(settings.host.control)
+        if control_socket.is_err():
+            yield control_socket
             return
-        stack.callback(control.unwrap().close)
+        stack.callback(control_socket.unwrap().close)
         host = _make_host(settings, secrets, stack)
         limits = transport.HeadLimits(
             timeout_s=settings.intake.head_timeout_s,
@@ -50,14 +50,14 @@
         control_address = await stack.enter_async_context(
             transport.serve(
                 frontend.make_control_app(host, secrets),
-                control.unwrap(),
+                control_socket.unwrap(),
                 limits=limits,
             )
         )
         caller_address = await stack.enter_async_context(
             transport.serve(
                 frontend.make_caller_app(host),
-                callers.unwrap(),
+                caller_socket.unwrap(),
                 limits=limits,
                 max_connections=settings.intake.max_connections,
             )
--- a/rudderrock/programs/demo.py
+++ b/rudderrock/programs/demo.py
@@ -1,8 +1,8 @@
-"""A demonstration of the whole tier in one process, over loopback.
+"""A demonstration of the query tier in one process, over loopback sockets.
 
-Stand-ins of a deployment, three entry hosts and a burst of callers run in
-one loop and talk over real sockets. Things go wrong on purpose, and at the
-end it prints what the callers saw and what happened.
+Stand-ins of a deployment, three entry hosts and the callers of three teams
+run on one event loop. The demo injects faults while queries run. At the end
+it prints the outcomes that callers received and a time line of events.
 """
 
 import asyncio
@@ -55,10 +55,10 @@
     'kiosk-app': 'front_desk',
 }
 _QUERIES_PER_TEAM = 30
-_GAP_S = 0.2
+_QUERY_INTERVAL_S = 0.2
 _EDIT_TIMEOUT_S = 5.0
 _PERCENTILES = (50.0, 90.0, 99.0)
-_MICROS = 1_000_000
+_US_PER_S = 1_000_000
 _SHOWN_KINDS = frozenset(state.EventKind) - {
     state.EventKind.ANSWERED,
     state.EventKind.HEDGE,
@@ -69,8 +69,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Tally:
-    """What the callers of one team saw."""
+class _TeamStats:
+    """Outcomes, coverage and latency that callers of one team observed."""
 
     outcomes: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
@@ -78,44 +78,46 @@
     shards: int = 0
     answered: int = 0
     latency: histogram.HdrHistogram = dataclasses.field(
-        default_factory=lambda: histogram.HdrHistogram(1, 60 * _MICROS, 2)
+        default_factory=lambda: histogram.HdrHistogram(1, 60 * _US_PER_S, 2)
     )
 
 
 class _Demo:
-    """The demo under way."""
+    """The hosts, stand-ins and callers of the demo."""
 
     def __init__(self, stack: contextlib.AsyncExitStack):
         self._stack = stack
         self._clock = runtime.make_system_clock()
-        self._source = random.SystemRandom()
+        self._rng = random.SystemRandom()
         self._hosts: list[coordination.EntryHost] = []
-        self._runs: list[asyncio.Task] = []
+        self._host_tasks: list[asyncio.Task] = []
         self._tokens: dict[str, str] = {}
-        self._tallies = {team: _Tally() for team in _TEAMS}
+        self._team_stats = {team: _TeamStats() for team in _TEAMS}
         self._standins: standins.LoopbackStandins | None = None
         self._editor: coordination.TableEditor | None = None
 
     async def run(self) -> None:
-        """Play all scenes and print what was seen."""
+        """Run all steps and print the report."""
         await self._start()
-        print('1. a burst of queries from three teams, all well')
-        await self._burst()
-        print('2. one shard straggles: its first replica is 20 times slower')
+        print('1. queries from three teams, without faults')
+        await self._send_queries()
+        print(
+            '2. a straggler: the first replica of one shard is 20 times slower'
+        )
         models = list(self._standins.models.values())
         models[0].faults.slow_factor = 20.0
-        await self._burst()
+        await self._send_queries()
         models[0].faults.slow_factor = 1.0
         print('3. an operator doubles the weight of kiosk-app')
         await self._edit('kiosk-app', weight=4.0)
-        print('4. an upstream leaves while queries run')
+        print('4. an upstream drains while queries run')
         models[5].faults.leaving = True
-        await self._burst()
-        print('5. host-3 is stopped as planned while queries run')
+        await self._send_queries()
+        print('5. host-3 is stopped gracefully while queries run')
         stopping = asyncio.create_task(self._hosts[2].stop())
-        await self._burst()
+        await self._send_queries()
         await stopping
-        await self._runs[2]
+        await self._host_tasks[2]
         self._report()
 
     async def _start(self) -> None:
@@ -127,7 +129,7 @@
             )
         )
         kv = self._standins.kv
-        self._editor = coordination.TableEditor(kv, self._clock, self._source)
+        self._editor = coordination.TableEditor(kv, self._clock, self._rng)
         for team, fields in _TEAMS.items():
             await self._add_team(team, fields)
         layout = self._standins.layout
@@ -145,9 +147,9 @@
         )
 
     async def _add_team(self, team: str, fields: dict) -> None:
-        token = state.make_token(state.TeamId(team), self._source)
+        token = state.make_token(state.TeamId(team), self._rng)
         self._tokens[team] = token
-        hashed = state.hash_token(token, self._source)
+        hashed = state.hash_token(token, self._rng)
         row = state.TeamRow(team=team, token_hashes=(hashed,), **fields)
         await self._change(team, None, row)
 
@@ -161,10 +163,10 @@
             host.config.table.revision < edit.revision for host in self._hosts
         ):
             await asyncio.sleep(0.001)
-        passed = self._clock.now() - began
+        elapsed_s = self._clock.now() - began
         print(
             f'   revision {edit.revision} in force on all hosts after '
-            f'{passed * 1000:.0f} ms'
+            f'{elapsed_s * 1000:.0f} ms'
         )
 
     async def _change(
@@ -184,7 +186,7 @@
         match outcome:
             case coordination.EditAccepted(edit):
                 return edit
-        raise RuntimeError(f'the edit was not accepted: {outcome}')
+        raise RuntimeError(f'edit not accepted: {outcome}')
 
     async def _start_host(self, name: str, zone: state.ZoneId) -> None:
         settings = state.Settings(
@@ -211,14 +213,14 @@
             )
         )
         task = asyncio.create_task(host.run())
-        self._runs.append(task)
+        self._host_tasks.append(task)
         self._stack.push_async_callback(core.end_task, task)
 
-    async def _burst(self) -> None:
+    async def _send_queries(self) -> None:
         await asyncio.gather(*(self._call_all(team) for team in _TEAMS))
 
     async def _call_all(self, team: str) -> None:
-        """Send a team's queries at a steady rate, whatever comes back."""
+        """Send the queries of a team at a constant rate (open loop)."""
         async with contextlib.AsyncExitStack() as stack:
             clients = []
             for host in self._hosts:
@@ -229,7 +231,7 @@
             async with asyncio.TaskGroup() as group:
                 for number in range(_QUERIES_PER_TEAM):
                     group.create_task(self._call(team, clients, number))
-                    await asyncio.sleep(_GAP_S)
+                    await asyncio.sleep(_QUERY_INTERVAL_S)
 
     async def _call(
         self,
@@ -237,7 +239,7 @@
         clients: list[caller.CallerClient],
         number: int,
     ) -> None:
-        """Ask one of the hosts that say they are ready, as a balancer."""
+        """Send a query to a ready host, as a load balancer would."""
         ready = [
             client
             for client, host in zip(clients, self._hosts, strict=True)
@@ -249,34 +251,34 @@
         )
         began = self._clock.now()
         replied = await ready[number % len(ready)].query(query)
-        tally = self._tallies[team]
+        stats = self._team_stats[team]
         match replied:
             case result.Ok(transport.RawReply(status=200, body=body)):
                 answer = protocol.decode(protocol.Answered, body).unwrap()
-                tally.outcomes['answered'] += 1
-                tally.shards += answer.coverage.shards
-                tally.answered += answer.coverage.answered
-                micros = round((self._clock.now() - began) * _MICROS)
-                tally.latency.record_value(micros)
+                stats.outcomes['answered'] += 1
+                stats.shards += answer.coverage.shards
+                stats.answered += answer.coverage.answered
+                micros = round((self._clock.now() - began) * _US_PER_S)
+                stats.latency.record_value(micros)
             case result.Ok(reply):
-                tally.outcomes[f'status {reply.status}'] += 1
+                stats.outcomes[f'status {reply.status}'] += 1
             case result.Err(failed):
-                tally.outcomes[failed.detail] += 1
+                stats.outcomes[failed.detail] += 1
 
     def _report(self) -> None:
-        print('\nwhat the callers saw')
+        print('\nresults by team')
         print(f'{"team":<12} {"p50 ms":>7} {"p90":>7} {"p99":>7}  coverage')
-        for team, tally in self._tallies.items():
-            read = tally.latency.get_value_at_percentile
-            figures = ' '.join(
+        for team, stats in self._team_stats.items():
+            read = stats.latency.get_value_at_percentile
+            percentiles = ' '.join(
                 f'{read(percentile) / 1000:7.1f}'
                 for percentile in _PERCENTILES
             )
-            coverage = 100 * tally.answered / max(1, tally.shards)
+            coverage = 100 * stats.answered / max(1, stats.shards)
             outcomes = ', '.join(
-                f'{count} {name}' for name, count in tally.outcomes.items()
+                f'{count} {name}' for name, count in stats.outcomes.items()
             )
-            print(f'{team:<12} {figures}  {coverage:.2f} %  {outcomes}')
+            print(f'{team:<12} {percentiles}  {coverage:.2f} %  {outcomes}')
         counters = [host.runner.counters for host in self._hosts]
         shards = sum(each.shards for each in counters)
         extra = sum(each.hedges + each.retries for each in counters)
@@ -295,7 +297,7 @@
         events = [each for each in events if each.kind in _SHOWN_KINDS]
         events.sort(key=lambda each: (each.stamp, each.host))
         first = events[0].stamp.wall
-        shown = [each for each in events if _is_telling(each)]
+        shown = [each for each in events if _is_notable(each)]
         print(f'\ntime line ({len(shown)} of {len(events)} events)')
         for event in shown[:_MAX_SHOWN]:
             upstream = f'{event.upstream} ' if event.upstream else ''
@@ -305,8 +307,8 @@
             )
 
 
-def _is_telling(event: state.Event) -> bool:
-    """Leave out that each of a hundred upstreams was connected to."""
+def _is_notable(event: state.Event) -> bool:
+    """Return whether an event is other than the connecting of an upstream."""
     return not event.detail.startswith('up: connected')
 
 
@@ -323,7 +325,7 @@
 
 
 def demo(*, log: str = 'error') -> None:
-    """Show the whole tier in one process, in under a minute.
+    """Run a demonstration of the query tier in under a minute.
 
     :param log: the lowest level logged: debug, info, warning or error
     """
@@ -332,7 +334,7 @@
 
 
 def main() -> None:
-    """Run the program."""
+    """Parse the command line and run the program."""
     defopt.run(demo)
 
 
--- a/rudderrock/programs/gateway.py
+++ b/rudderrock/programs/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway daemon: forwards requests on the users' platform."""
+"""The gateway daemon, which forwards callers' requests to upstreams."""
 
 import asyncio
 import os
@@ -17,24 +17,26 @@
 from rudderrock.programs import _exits as exits
 from rudderrock.programs import _runtime as runtime
 
-# Names the settings file, says the platform.
+# The platform sets this variable to the path of the settings file.
 CONFIG_VARIABLE = 'RUDDERROCK_CONFIG'
-_STDOUT = 1
-# Allocations between collections of the youngest generation: fewer than in
-# an entry host, since memory is paid for on the platform.
-_COLLECT_AFTER = 50_000
+_STDOUT_FD = 1
+# Net allocations before the youngest generation is collected. A lower
+# value than in an entry host saves memory, which the platform charges for.
+_COLLECTION_THRESHOLD = 50_000
 
 
 def run_gateway(*, config: pathlib.Path | None = None) -> None:
-    """Serve callers until SIGTERM or SIGINT, then stop as planned.
+    """Serve callers until SIGTERM or SIGINT, then stop gracefully.
 
-    SIGHUP reads the settings again. Exits with 0 after a planned stop and
-    with 2 if the settings are wrong.
+    SIGHUP checks the settings file again and logs the result; changes take
+    effect only after a restart. The exit code is 0 after a graceful stop, 1
+    if an address cannot be bound and 2 if the settings are invalid.
 
-    :param config: the settings file; else RUDDERROCK_CONFIG names it
+    :param config: path of the settings file; by default the value of
+        RUDDERROCK_CONFIG
     """
     path = config or pathlib.Path(os.environ.get(CONFIG_VARIABLE, ''))
-    gateway.set_up_log(_STDOUT)
+    gateway.set_up_log(_STDOUT_FD)
     match platform.read_settings_file(path):
         case result.Err(message):
             exits.fail(message, exits.Exit.USAGE)
@@ -52,6 +54,7 @@
         config, source, clock, secrets.randbits(32), events
     )
 
+    # Only checks the file: changes take effect after a restart.
     def reload() -> None:
         match platform.read_settings_file(path):
             case result.Ok(_):
@@ -62,25 +65,23 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, process.stop)
     loop.add_signal_handler(signal.SIGHUP, reload)
-    runtime.tune_collector(_COLLECT_AFTER)
+    runtime.tune_collector(_COLLECTION_THRESHOLD)
     try:
         await process.run()
     except OSError as error:
-        logging.error('can not listen: %s', error)
+        logging.error('cannot listen: %s', error)
         exits.fail(str(error), exits.Exit.FAILED)
     finally:
         source.close()
 
 
 def main() -> None:
-    """Run the program.
-
-    The command line is only read if there is one: `defopt` takes a third
-    of the time in which a restarted process is ready again.
-    """
+    """Parse the command line and run the program."""
     if len(sys.argv) == 1:
         run_gateway()
         return
+    # Imported only if there are arguments, because the import takes a third of
+    # the time that a restarted process needs to become ready.
     import defopt
 
     defopt.run(run_gateway)
--- a/rudderrock/programs/load.py
+++ b/rudderrock/programs/load.py
@@ -1,4 +1,4 @@
-"""The load and experiment tool."""
+"""Command line of the load and experiment tool."""
 
 import asyncio
 import collections
@@ -23,20 +23,20 @@
     targets: pathlib.Path | None = None,
     quiet: bool = False,
 ) -> None:
-    """Run an experiment; write its result and an HTML report.
+    """Run an experiment and write its result and an HTML report.
 
-    Without targets it runs on virtual time against stand-ins in memory,
-    and the same seed gives the same figures. With targets it loads real
-    hosts over HTTP, open loop, and the plan's faults are left out.
+    Without targets, the experiment runs on virtual time against stand-ins in
+    memory, and the same seed gives the same figures. With targets, it sends
+    open-loop load to real hosts over HTTP and injects no faults.
 
-    :param plan: the experiment, in TOML
+    :param plan: the experiment plan, in TOML
     :param out: folder for the result file and the report
-    :param seed: seed to use in place of the plan's
-    :param targets: a TOML file with hosts = [callers' addresses] and
-        [tokens] by team
-    :param quiet: print no progress
+    :param seed: seed that replaces the one of the plan
+    :param targets: a TOML file: the list `hosts` with the hosts' addresses
+        for callers, and the section `[tokens]` with a token for each team
+    :param quiet: do not print progress
     """
-    checked = _expect(experiments.read_plan(plan))
+    checked = _unwrap_or_exit(experiments.read_plan(plan))
     if seed is not None:
         checked = dataclasses.replace(checked, seed=seed)
 
@@ -47,8 +47,10 @@
     if targets is None:
         outcome = experiments.run_virtual(checked, report)
     else:
-        known = _expect(experiments.read_targets(targets))
-        outcome = asyncio.run(experiments.run_real(checked, known, report))
+        checked_targets = _unwrap_or_exit(experiments.read_targets(targets))
+        outcome = asyncio.run(
+            experiments.run_real(checked, checked_targets, report)
+        )
     name = checked.name.replace(' ', '-')
     experiments.write_result(out / f'{name}.json', outcome)
     experiments.write_report(out / f'{name}.html', outcome)
@@ -57,26 +59,29 @@
 
 
 def compare(one: pathlib.Path, other: pathlib.Path) -> None:
-    """Set two results side by side, as ratios of the second to the first.
+    """Compare two results, with ratios of the second to the first.
 
-    :param one: a result file
-    :param other: another
+    :param one: the first result file
+    :param other: the second result file
     """
-    first = _expect(experiments.read_result(one))
-    second = _expect(experiments.read_result(other))
+    first = _unwrap_or_exit(experiments.read_result(one))
+    second = _unwrap_or_exit(experiments.read_result(other))
     print(experiments.compare_results(first, second))
 
 
 def fuzz(
     *, count: int = 1000, first_seed: int = 1, table: bool = False
 ) -> None:
-    """Run random fault schedules and check every promise under each.
+    """Run random schedules of calls and faults, one per seed.
 
-    Exits with 1 if any promise was broken, and names the seeds.
+    Each run checks that requests and edits keep their guarantees, such as
+    that a command runs at most once. The seeds of schedules with violations
+    are printed, and the exit code is then 1.
 
-    :param count: how many schedules to run
-    :param first_seed: seed of the first; the others follow it
-    :param table: schedules of edits between hosts instead of requests
+    :param count: number of schedules to run
+    :param first_seed: seed of the first schedule; the others use the
+        following numbers
+    :param table: run schedules of table edits instead of requests
     """
     run_one = experiments.run_schedule
     if table:
@@ -94,7 +99,7 @@
         raise SystemExit(exits.Exit.FAILED)
 
 
-def _expect(read: result.Result):
+def _unwrap_or_exit(read: result.Result):
     match read:
         case result.Err(message):
             exits.fail(message, exits.Exit.USAGE)
@@ -103,7 +108,7 @@
 
 
 def main() -> None:
-    """Run the program."""
+    """Parse the command line and run the program."""
     defopt.run({'run': run, 'compare': compare, 'fuzz': fuzz})
 
 
--- a/rudderrock/programs/query.py
+++ b/rudderrock/programs/query.py
@@ -1,4 +1,4 @@
-"""A caller's client: one query or one command."""
+"""Command line client for callers: sends one query or one command."""
 
 import asyncio
 import random
@@ -30,15 +30,16 @@
 ) -> None:
     """Send one query and print its answer.
 
-    Exits with 0 if it was answered, with 3 if it was refused and so did
-    not run, and with 5 if the host could not be reached.
+    The exit code is 0 if the query was answered, 2 if an argument is invalid,
+    3 if the query was refused and therefore did not run, 4 if it may have run
+    and 5 if the host did not reply.
 
-    :param host: callers' address of an entry host
-    :param collection: what to search
-    :param body: the query itself, as JSON
-    :param limit: how many hits are wanted
-    :param deadline_s: bound on the answer, in seconds
-    :param token: where the team's token is: env:NAME or a file
+    :param host: address at which an entry host accepts callers, IP:PORT
+    :param collection: collection to search
+    :param body: query body, as JSON
+    :param limit: maximum number of hits
+    :param deadline_s: time limit for the answer, in seconds
+    :param token: location of the team's token: env:NAME or a file
     :param json: print JSON instead of text
     """
     query = protocol.Query(
@@ -53,7 +54,7 @@
 
     reply = _send(host, token, send)
     if json or reply.status != 200:
-        _finish(reply)
+        _print_and_exit(reply)
         return
     answer = protocol.decode(protocol.Answered, reply.body).unwrap()
     coverage = answer.coverage
@@ -78,16 +79,17 @@
 ) -> None:
     """Send one non-idempotent request, which runs at most once.
 
-    Prints the idempotency key first; use the same key to ask again. Exits
-    with 0 if it ran, with 3 if it certainly did not and with 4 if it may
-    have run.
-
-    :param host: callers' address of an entry host
-    :param collection: where it is to run
-    :param routing_key: what decides on the shard
-    :param body: the request itself, as JSON
-    :param key: idempotency key of an earlier try
-    :param token: where the team's token is: env:NAME or a file
+    The idempotency key is printed first; pass it with --key to retry. The
+    exit code is 0 if the request ran, 2 if an argument is invalid, 3 if the
+    request certainly did not run and 4 if it may have run or the host did not
+    reply.
+
+    :param host: address at which an entry host accepts callers, IP:PORT
+    :param collection: collection that the request is for
+    :param routing_key: key that determines the shard
+    :param body: request body, as JSON
+    :param key: idempotency key of an earlier attempt
+    :param token: location of the team's token: env:NAME or a file
     """
     message = protocol.Command(
         collection=state.CollectionId(collection),
@@ -96,11 +98,11 @@
     )
 
     async def send(client: caller.CallerClient):
-        own = key or _make_key()
-        print(f'idempotency key {own}')
-        return await client.command(message, own)
+        used_key = key or _make_key()
+        print(f'idempotency key {used_key}')
+        return await client.command(message, used_key)
 
-    _finish(_send(host, token, send, sent=exits.Exit.UNKNOWN))
+    _print_and_exit(_send(host, token, send, failure_code=exits.Exit.UNKNOWN))
 
 
 def _make_key() -> str:
@@ -112,7 +114,7 @@
     host: str,
     token: str,
     send,
-    sent: exits.Exit = exits.Exit.UNAVAILABLE,
+    failure_code: exits.Exit = exits.Exit.UNAVAILABLE,
 ) -> transport.RawReply:
     read = secrets.read_secret(token)
     if read.is_err():
@@ -127,12 +129,12 @@
 
     match asyncio.run(run()):
         case result.Err(failed):
-            exits.fail(failed.detail, sent)
+            exits.fail(failed.detail, failure_code)
         case result.Ok(reply):
             return reply
 
 
-def _finish(reply: transport.RawReply) -> None:
+def _print_and_exit(reply: transport.RawReply) -> None:
     print(reply.body.decode())
     if reply.status == 200:
         return
@@ -152,7 +154,7 @@
 
 
 def main() -> None:
-    """Run the program."""
+    """Parse the command line and run the program."""
     defopt.run({'ask': ask, 'command': command})
 
 
--- a/rudderrock/programs/soak.py
+++ b/rudderrock/programs/soak.py
@@ -1,4 +1,4 @@
-"""The soak's command line."""
+"""Command line of the soak test."""
 
 import asyncio
 import collections
@@ -26,25 +26,26 @@
     returns: int = 2,
     keep: pathlib.Path | None = None,
 ) -> None:
-    """Play seeds and report; exits with 1 if a promise was broken.
+    """Run the soak test with a range of seeds and report violations.
 
-    A seed is played again by its number. Logs of seeds that broke a promise
-    are kept in `keep`.
+    The exit code is 1 if any guarantee was violated. To repeat a run, pass
+    its seed.
 
     :param seed: the first seed
-    :param count: how many seeds in a row
-    :param minutes: play fresh seeds for so long instead
-    :param length: seconds of load and faults a seed
-    :param hosts: gateway processes
-    :param lethal: requests that crash the upstreams which run them
-    :param returns: how often the store comes back from an older copy
-    :param keep: a folder for the logs
+    :param count: number of consecutive seeds
+    :param minutes: if set, run random seeds for this many minutes;
+        `seed` and `count` are then ignored
+    :param length: duration of load and faults per seed, in seconds
+    :param hosts: number of gateway processes
+    :param lethal: number of requests that crash the upstreams that run them
+    :param returns: how many times the store is restored from an older copy
+    :param keep: folder that receives the logs of seeds with violations
     """
     failed = []
     injected: collections.Counter[str] = collections.Counter()
     checked = 0
-    for number in _list_seeds(seed, count, minutes):
-        report = _play(number, length, hosts, lethal, returns, keep)
+    for number in _iterate_seeds(seed, count, minutes):
+        report = _run_seed(number, length, hosts, lethal, returns, keep)
         injected += report.injected
         checked += report.checked
         statuses = ', '.join(
@@ -64,7 +65,7 @@
         raise SystemExit(exits.Exit.FAILED)
 
 
-def _list_seeds(seed: int, count: int, minutes: float):
+def _iterate_seeds(seed: int, count: int, minutes: float):
     if not minutes:
         yield from range(seed, seed + count)
         return
@@ -73,7 +74,7 @@
         yield secrets.randbits(_DRAWN_BITS)
 
 
-def _play(
+def _run_seed(
     seed: int,
     length: float,
     hosts: int,
@@ -94,7 +95,7 @@
 
 
 def main() -> None:
-    """Run the program."""
+    """Parse the command line and run the program."""
     defopt.run({'run': run})
 
 
--- a/rudderrock/programs/standins.py
+++ b/rudderrock/programs/standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins of a whole deployment, over loopback."""
+"""Command line that serves the stand-ins of a deployment."""
 
 import asyncio
 import json
@@ -27,13 +27,14 @@
 ) -> None:
     """Serve stand-ins of a deployment until interrupted.
 
-    Publishes the index layout and, if there is none, an empty table. Prints
-    one line of JSON with the addresses when all of it is being served.
+    The index layout and an empty table are published. When all stand-ins are
+    being served, one line of JSON is printed: the addresses of the key-value
+    service and of the host list, and the number of upstreams.
 
     :param deployment: the deployment file, in TOML
-    :param kv: address of the key-value service
-    :param host_list: address of the list of live and leaving hosts
-    :param hosts: entry hosts that the list shall name, as ID=ZONE=IP:PORT
+    :param kv: address to serve the key-value service at
+    :param host_list: address to serve the list of hosts at
+    :param hosts: entry hosts to include in the list, as ID=ZONE=IP:PORT
     :param seed: seed of all random choices
     :param log: the lowest level logged: debug, info, warning or error
     """
@@ -45,9 +46,11 @@
     if checked.is_err():
         problems = '\n'.join(str(each) for each in checked.unwrap_err())
         exits.fail(problems, exits.Exit.USAGE)
-    listed = [_read_host(each) for each in hosts]
+    listed_hosts = [_read_host(each) for each in hosts]
     try:
-        asyncio.run(_serve(checked.unwrap(), kv, host_list, listed, seed))
+        asyncio.run(
+            _serve(checked.unwrap(), kv, host_list, listed_hosts, seed)
+        )
     except KeyboardInterrupt:
         pass
 
@@ -66,18 +69,18 @@
     deployment: parts.Deployment,
     kv: str,
     host_list: str,
-    listed: list[transport.ListedHost],
+    listed_hosts: list[transport.ListedHost],
     seed: int,
 ) -> None:
-    source = random.Random(seed)
+    rng = random.Random(seed)
     async with parts.serve_standins(
         deployment,
         runtime.make_system_clock(),
-        source,
+        rng,
         kv_address=kv,
         host_list_address=host_list,
     ) as served:
-        served.host_list.hosts.extend(listed)
+        served.host_list.hosts.extend(listed_hosts)
         await parts.publish(served.kv, coordination.LAYOUT_KEY, served.layout)
         table = state.Table(revision=state.Revision(1))
         await parts.publish(served.kv, coordination.TABLE_KEY, table)
@@ -91,7 +94,7 @@
 
 
 def main() -> None:
-    """Run the program."""
+    """Parse the command line and run the program."""
     defopt.run(standins)
 
 
--- a/rudderrock/programs/table.py
+++ b/rudderrock/programs/table.py
@@ -1,4 +1,4 @@
-"""The operators' client of the table."""
+"""Command line client for operators: shows and edits the table."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -26,13 +26,13 @@
 _KV_TIMEOUT_S = 2.0
 _WAIT_POLL_S = 0.1
 _OPERATOR_SECRET = 'env:RUDDERROCK_OPERATOR_SECRET'
-_HIDDEN = ('token_hashes',)
+_HIDDEN_FIELDS = ('token_hashes',)
 
 
 def show(team: str = '', *, kv: str = _KV, json: bool = False) -> None:
-    """Show the table, or one team's row.
+    """Show the table, or the row of one team.
 
-    :param team: the team; all if left out
+    :param team: the team; all teams by default
     :param kv: address of the key-value service
     :param json: print JSON instead of text
     """
@@ -47,11 +47,11 @@
         return
     print(f'revision {table.revision}, {len(rows)} teams')
     for name, row in sorted(rows.items()):
-        fields = _to_plain(row)
+        fields = _to_builtins(row)
         text = ' '.join(
             f'{key}={protocol.encode(value).decode()}'
             for key, value in fields.items()
-            if key not in ('team', *_HIDDEN)
+            if key not in ('team', *_HIDDEN_FIELDS)
         )
         print(f'{name}: {text} tokens={len(row.token_hashes)}')
 
@@ -63,53 +63,54 @@
     author: str = '',
     edit_id: str = '',
 ) -> None:
-    """Set fields of a team's row, making the row if there is none.
+    """Set fields of a team's row; the row is created if it is missing.
 
     :param team: the team
     :param assignments: fields to set, as NAME=VALUE with a JSON value
     :param kv: address of the key-value service
-    :param author: who makes the edit; the user's name if left out
-    :param edit_id: id of an earlier try of this same edit
+    :param author: author of the edit; the user's name by default
+    :param edit_id: id of an earlier attempt at this edit
     """
     fields = dict(_read_assignment(each) for each in assignments)
 
     async def edit() -> coordination.EditOutcome:
-        async with _Editing(kv) as editing:
-            base = (await editing.read_table()).rows.get(team)
+        async with _EditSession(kv) as session:
+            base = (await session.read_table()).rows.get(team)
             known = dataclasses.asdict(base) if base else {'team': team}
             row = _check_row({**known, **fields})
-            return await editing.edit(team, base, row, author, edit_id)
+            return await session.edit(team, base, row, author, edit_id)
 
-    _finish(_run(edit()))
+    _report_outcome(_run(edit()))
 
 
 def remove(team: str, *, kv: str = _KV, author: str = '') -> None:
-    """Remove a team's row; its tokens stop working.
+    """Remove a team's row, which also revokes its tokens.
 
     :param team: the team
     :param kv: address of the key-value service
-    :param author: who makes the edit; the user's name if left out
+    :param author: author of the edit; the user's name by default
     """
 
     async def edit() -> coordination.EditOutcome:
-        async with _Editing(kv) as editing:
-            base = (await editing.read_table()).rows.get(team)
+        async with _EditSession(kv) as session:
+            base = (await session.read_table()).rows.get(team)
             if base is None:
                 exits.fail(f'no team {team!r}', exits.Exit.REFUSED)
-            return await editing.edit(team, base, None, author, '')
+            return await session.edit(team, base, None, author, '')
 
-    _finish(_run(edit()))
+    _report_outcome(_run(edit()))
 
 
 def apply(path: pathlib.Path, *, kv: str = _KV, author: str = '') -> None:
-    """Set the rows that a TOML file has, each under `[teams.NAME]`.
+    """Set the rows in a TOML file, each under `[teams.NAME]`.
 
-    All rows are checked before the first is set; rows that the file does
-    not name stay as they are.
+    All rows are validated before the first one is set. Each row is then an
+    edit of its own: some may be accepted and others not. Rows and fields that
+    the file does not contain are not changed.
 
-    :param path: the file
+    :param path: the TOML file
     :param kv: address of the key-value service
-    :param author: who makes the edits; the user's name if left out
+    :param author: author of the edits; the user's name by default
     """
     try:
         raw = tomllib.loads(path.read_text()).get('teams', {})
@@ -117,8 +118,8 @@
         exits.fail(f'{path}: {exc}', exits.Exit.USAGE)
 
     async def edit_all() -> list[coordination.EditOutcome]:
-        async with _Editing(kv) as editing:
-            table = await editing.read_table()
+        async with _EditSession(kv) as session:
+            table = await session.read_table()
             rows = {
                 team: _check_row({**_get_fields(table, team), **fields})
                 for team, fields in raw.items()
@@ -127,7 +128,7 @@
             for team, row in rows.items():
                 base = table.rows.get(team)
                 if row != base:
-                    done = await editing.edit(team, base, row, author, '')
+                    done = await session.edit(team, base, row, author, '')
                     outcomes.append(done)
             return outcomes
 
@@ -135,42 +136,43 @@
     if not outcomes:
         print('nothing to change')
     for outcome in outcomes:
-        _finish(outcome)
+        _report_outcome(outcome)
 
 
 def new_token(team: str, *, kv: str = _KV, author: str = '') -> None:
-    """Make a new token for a team and print it, this once.
+    """Create a token for a team and print it.
 
-    The tokens that the team has keep working; set `token_hashes=[]` to
-    withdraw them all.
+    The token is not stored and cannot be shown again. Existing tokens of the
+    team stay valid; run `set TEAM token_hashes=[]` to revoke them
+    all.
 
     :param team: the team
     :param kv: address of the key-value service
-    :param author: who makes the edit; the user's name if left out
+    :param author: author of the edit; the user's name by default
     """
-    source = random.SystemRandom()
-    token = state.make_token(state.TeamId(team), source)
+    rng = random.SystemRandom()
+    token = state.make_token(state.TeamId(team), rng)
 
     async def edit() -> coordination.EditOutcome:
-        async with _Editing(kv) as editing:
-            base = (await editing.read_table()).rows.get(team)
+        async with _EditSession(kv) as session:
+            base = (await session.read_table()).rows.get(team)
             row = base or _check_row({'team': team})
-            hashes = (*row.token_hashes, state.hash_token(token, source))
+            hashes = (*row.token_hashes, state.hash_token(token, rng))
             row = dataclasses.replace(row, token_hashes=hashes)
-            return await editing.edit(team, base, row, author, '')
+            return await session.edit(team, base, row, author, '')
 
     outcome = _run(edit())
     if isinstance(outcome, coordination.EditAccepted):
         print(token)
         return
-    _finish(outcome)
+    _report_outcome(outcome)
 
 
 def history(*, kv: str = _KV, most: int = 20, json: bool = False) -> None:
-    """Show who changed what, the latest last.
+    """Show the latest edits and their authors, oldest first.
 
     :param kv: address of the key-value service
-    :param most: how many edits to show
+    :param most: maximum number of edits to show
     :param json: print JSON instead of text
     """
     edits = _run(_read(kv)).history[-most:]
@@ -195,21 +197,22 @@
 ) -> None:
     """Wait until a revision is in force on every host.
 
-    Exits with 0 when it is, and with 5 if some host has not got it, or
-    cannot be asked, within the time; it names them.
+    The exit code is 0 if it is in force everywhere. It is 5 if a host does
+    not have the revision or is unreachable at the timeout; these hosts are
+    listed.
 
     :param revision: the revision
-    :param host: control address of any one host, which names the others
+    :param host: control address of any host, which lists the others
     :param timeout_s: how long to wait, in seconds
-    :param operator: where the operators' secret is: env:NAME or a file
+    :param operator: location of the operators' secret: env:NAME or a file
     """
     secret = secrets.read_secret(operator)
     if secret.is_err():
         exits.fail(secret.unwrap_err(), exits.Exit.USAGE)
     client = operators.OperatorClient(secret.unwrap())
-    late = _run(_wait(client, revision, host, timeout_s))
-    if late:
-        text = ', '.join(late)
+    pending = _run(_wait(client, revision, host, timeout_s))
+    if pending:
+        text = ', '.join(pending)
         exits.fail(f'not in force on {text}', exits.Exit.UNAVAILABLE)
     print(f'revision {revision} is in force on every host')
 
@@ -220,31 +223,31 @@
     host: str,
     timeout_s: float,
 ) -> list[str]:
-    """Return the hosts on which a revision is not in force in time."""
+    """Return the hosts on which a revision is not in force at the timeout."""
     clock = runtime.make_system_clock()
     end = clock.now() + timeout_s
     while True:
         hosts = await client.find_hosts(host)
         replies = await client.get_all_status(list(hosts.values()))
-        late = [
+        pending = [
             name
             for name, address in hosts.items()
             if replies[address] is None
             or replies[address].table_revision < revision
         ]
-        if not late or clock.now() >= end:
-            return late
+        if not pending or clock.now() >= end:
+            return pending
         await asyncio.sleep(_WAIT_POLL_S)
 
 
-class _Editing:
-    """The table's editor over one connection to the service."""
+class _EditSession:
+    """An editor of the table with its own client of the key-value service."""
 
     def __init__(self, kv: str):
         self._kv = transport.HttpKvPort(kv, _KV_TIMEOUT_S)
         self._editor: coordination.TableEditor | None = None
 
-    async def __aenter__(self) -> '_Editing':
+    async def __aenter__(self) -> '_EditSession':
         self._editor = coordination.TableEditor(
             self._kv, runtime.make_system_clock(), random.SystemRandom()
         )
@@ -278,24 +281,25 @@
         outcome = await self._editor.edit(change, _KV_TIMEOUT_S * 3)
         if isinstance(outcome, coordination.EditUncertain):
             exits.fail(
-                f'{outcome.detail}; it may have taken effect. Try again '
-                f'with --edit-id {change.edit_id}',
+                f'{outcome.detail}; it may have taken effect. Look it up '
+                'with `history`, or repeat `set` with --edit-id '
+                f'{change.edit_id}',
                 exits.Exit.UNKNOWN,
             )
         return outcome
 
 
 async def _read(kv: str) -> state.Table:
-    async with _Editing(kv) as editing:
-        return await editing.read_table()
+    async with _EditSession(kv) as session:
+        return await session.read_table()
 
 
-def _finish(outcome: coordination.EditOutcome) -> None:
+def _report_outcome(outcome: coordination.EditOutcome) -> None:
     match outcome:
         case coordination.EditAccepted(edit):
             print(f'accepted as revision {edit.revision}')
         case coordination.EditLost(current):
-            plain = _to_plain(current) if current else 'no row'
+            plain = _to_builtins(current) if current else 'no row'
             exits.fail(
                 f'another edit came first; the row is now {plain}',
                 exits.Exit.REFUSED,
@@ -329,12 +333,12 @@
         return name, value
 
 
-def _to_plain(row: state.TeamRow) -> dict[str, Any]:
+def _to_builtins(row: state.TeamRow) -> dict[str, Any]:
     return msgspec.json.decode(protocol.encode(row))
 
 
 def _get_user() -> str:
-    # The name is only a note in the history, not a proof of anything.
+    # The name is only informative in the history; it is not authenticated.
     return pathlib.Path.home().name or 'operator'
 
 
@@ -343,7 +347,7 @@
 
 
 def main() -> None:
-    """Run the program."""
+    """Parse the command line and run the program."""
     defopt.run(
         {
             'show': show,
