--- a/rudderrock/soak/_checks.py
+++ b/rudderrock/soak/_checks.py
@@ -9,21 +9,21 @@
 from rudderrock import standins
 
 TOP_K = 4
-LEAST = 0.5
-MOST_ATTEMPTS = 2
+MIN_COVERAGE = 0.5
+MAX_ATTEMPTS = 2
 # Statuses that promise that a request has not run and never will.
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
 # From so long after the third upstream has crashed under a request, seconds,
 # copies of it that were sent in calm moments may reach upstreams this often: a
 # canary waits until a service has an upstream to spare.
 LETHAL_KNOWN_S = 4.0
-MOST_LETHAL = 3
+MAX_LATE_LETHAL = 3
 # From so long after a version was written, in seconds, requests that are sent
 # in calm moments are served by it.
-IN_FORCE_S = 3.0
+TABLE_DEADLINE_S = 3.0
 # And so long after an upstream said that it leaves they do not reach it.
-LEAVE_S = 3.0
-_RECORDS = 6
+DRAIN_DEADLINE_S = 3.0
+_RECORDS_PER_REPLY = 6
 _RECORD_BYTES = 16
 
 
@@ -34,12 +34,12 @@
             f'{upstream}/{request_id}/{number}'.encode(),
             usedforsecurity=False,
         ).digest()
-        for number in range(_RECORDS)
+        for number in range(_RECORDS_PER_REPLY)
     )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Broken:
+class Violation:
     """A promise that did not hold, and what shows it."""
 
     promise: str
@@ -104,43 +104,43 @@
     drained_at: dict[str, float] = dataclasses.field(default_factory=dict)
 
 
-def check_records(records: Records) -> list[Broken]:
+def check_records(records: Records) -> list[Violation]:
     """Return every promise that was broken."""
     by_id = {each.request_id: each for each in records.sent}
     runs = collections.defaultdict(list)
     for upstream, run in records.runs:
         runs[run.request_id].append((upstream, run))
-    broken: list[Broken] = []
+    broken: list[Violation] = []
     for sent in records.sent:
         broken += _check_sent(records, sent, runs[sent.request_id])
-    broken += _check_unasked(by_id, records.runs)
+    broken += _check_unrequested(by_id, records.runs)
     broken += _check_budget(records, by_id)
-    broken += _check_order(records)
-    broken += _check_in_force(records)
-    broken += _check_leaving(records, by_id)
+    broken += _check_version_order(records)
+    broken += _check_table_deadline(records)
+    broken += _check_draining(records, by_id)
     for target, crashes in records.crashes.items():
         broken += _check_lethal(records, target, sorted(crashes))
     return broken
 
 
-def _check_sent(records: Records, sent: Sent, runs) -> list[Broken]:
+def _check_sent(records: Records, sent: Sent, runs) -> list[Violation]:
     broken = []
 
     def note(promise: str, detail: str) -> None:
-        broken.append(Broken(promise, f'{sent.request_id}: {detail}'))
+        broken.append(Violation(promise, f'{sent.request_id}: {detail}'))
 
     if sent.is_once and len(runs) > 1:
         note('at most once', f'ran {len(runs)} times')
-    if sent.is_once and runs and sent.status in PROMISES:
+    if sent.is_once and runs and sent.status in NOT_EXECUTED_STATUSES:
         note('a refusal is true', f'{sent.status} but it ran')
     # What is bounded is the upstreams that a request is sent to: where a host
     # that asks a shard for another shows no sign, each may run it again.
     upstreams = {name for name, _ in runs}
     counts = collections.Counter(records.services[name] for name in upstreams)
-    if counts and max(counts.values()) > MOST_ATTEMPTS:
+    if counts and max(counts.values()) > MAX_ATTEMPTS:
         note('attempts are bounded', str(counts))
     if sent.status == 200:
-        problem = _find_wrong(records, sent)
+        problem = _find_reply_problem(records, sent)
         if problem:
             note('each caller its own whole answer', problem)
     if sent.status == 0 and sent.calm and runs:
@@ -148,7 +148,7 @@
     return broken
 
 
-def _find_wrong(records: Records, sent: Sent) -> str:
+def _find_reply_problem(records: Records, sent: Sent) -> str:
     """Return what is wrong with an answer, or nothing."""
     if not sent.target.startswith('/all/'):
         stamp = sent.get_header(platform.NAMES.stamp)
@@ -173,13 +173,13 @@
     ]
     if not fitting:
         return f'no version has {named} shards with {sorted(shards)}'
-    if len(shards) < LEAST * named:
+    if len(shards) < MIN_COVERAGE * named:
         return f'coverage {len(shards)} of {named}'
-    wanted = _pick_greatest([part[0] for part in parts], sent.request_id)
+    wanted = _pick_top_records([part[0] for part in parts], sent.request_id)
     return '' if sent.reply == wanted else 'not the greatest records'
 
 
-def _pick_greatest(upstreams: list[str], request_id: str) -> bytes:
+def _pick_top_records(upstreams: list[str], request_id: str) -> bytes:
     """Return the greatest records, worked out apart from the gateway."""
     body = b''.join(make_records(name, request_id) for name in upstreams)
     records = [
@@ -189,7 +189,7 @@
     return b''.join(sorted(records, reverse=True)[:TOP_K])
 
 
-def _check_unasked(by_id, runs) -> list[Broken]:
+def _check_unrequested(by_id, runs) -> list[Violation]:
     broken = []
     for upstream, run in runs:
         sent = by_id.get(run.request_id)
@@ -203,11 +203,11 @@
             detail = f'{upstream} ran {run} for {sent.request_id}'
         else:
             continue
-        broken.append(Broken('requests reach upstreams unchanged', detail))
+        broken.append(Violation('requests reach upstreams unchanged', detail))
     return broken
 
 
-def _check_budget(records: Records, by_id) -> list[Broken]:
+def _check_budget(records: Records, by_id) -> list[Violation]:
     """Slide a window over the extra arrivals of each service."""
     broken = []
     for service, arrivals in records.arrivals.items():
@@ -224,7 +224,7 @@
             asked = sum(start - records.window_s < at <= end for at in firsts)
             if count > records.ratio * asked + records.slack:
                 detail = f'{service}: {count} extra for {asked} at {end:.1f}'
-                broken.append(Broken('extra load is bounded', detail))
+                broken.append(Violation('extra load is bounded', detail))
                 break
     return broken
 
@@ -244,7 +244,7 @@
     return served
 
 
-def _check_order(records: Records) -> list[Broken]:
+def _check_version_order(records: Records) -> list[Violation]:
     """See that no process goes back to an older table."""
     broken = []
     newest: dict[tuple[int, int], tuple[int, float]] = {}
@@ -254,27 +254,27 @@
         seen, at = newest.get(process, (-1, 0.0))
         if number < seen and sent.at > at:
             detail = f'{sent.request_id} by version {number} after {seen}'
-            broken.append(Broken('a table never goes back', detail))
+            broken.append(Violation('a table never goes back', detail))
         if number > seen:
             newest[process] = (number, sent.ended)
     return broken
 
 
-def _check_in_force(records: Records) -> list[Broken]:
+def _check_table_deadline(records: Records) -> list[Violation]:
     """See that a version is in force some seconds after it was written."""
     broken = []
     for sent, number in _list_served_versions(records):
-        due = bisect.bisect(records.moved_at, sent.at - IN_FORCE_S)
+        due = bisect.bisect(records.moved_at, sent.at - TABLE_DEADLINE_S)
         if sent.calm and number < due - 1:
             detail = (
                 f'{sent.request_id} by version {number} at host {sent.host}, '
-                f'{due - 1} was written {IN_FORCE_S:g} s before'
+                f'{due - 1} was written {TABLE_DEADLINE_S:g} s before'
             )
-            broken.append(Broken('a table change is in force', detail))
+            broken.append(Violation('a table change is in force', detail))
     return broken
 
 
-def _check_leaving(records: Records, by_id) -> list[Broken]:
+def _check_draining(records: Records, by_id) -> list[Violation]:
     """See that an upstream that leaves gets no new work."""
     broken = []
     for upstream, run in records.runs:
@@ -283,16 +283,16 @@
         if sent is None or drained_at is None or not sent.calm:
             continue
         after_s = sent.at - drained_at
-        if after_s > LEAVE_S:
+        if after_s > DRAIN_DEADLINE_S:
             detail = f'{run.request_id} at {upstream} {after_s:.1f} s after'
             promise = 'no new work to a leaving upstream'
-            broken.append(Broken(promise, detail))
+            broken.append(Violation(promise, detail))
     return broken
 
 
 def _check_lethal(
     records: Records, target: str, crashes: list[float]
-) -> list[Broken]:
+) -> list[Violation]:
     """See that a request which crashes upstreams is kept from them."""
     if len(crashes) < 3:
         return []
@@ -308,7 +308,9 @@
         for at, request_id in arrivals
         if at > known and request_id in copies
     ]
-    if len(late) <= MOST_LETHAL:
+    if len(late) <= MAX_LATE_LETHAL:
         return []
     promise = 'a request that crashes upstreams is kept from them'
-    return [Broken(promise, f'{len(late)} copies after {known:.1f}: {late}')]
+    return [
+        Violation(promise, f'{len(late)} copies after {known:.1f}: {late}')
+    ]
--- a/rudderrock/soak/_proxy.py
+++ b/rudderrock/soak/_proxy.py
@@ -16,7 +16,7 @@
     """Passes connections on to one address, with a fault at times."""
 
     def __init__(self, target: tuple[str, int]):
-        self.fault = plan.WayFault.NONE
+        self.fault = plan.ProxyFault.NONE
         self.port = 0
         self._target = target
         self._server: asyncio.Server | None = None
@@ -40,21 +40,21 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def go_down(self, seconds: float) -> None:
+    def refuse_connections(self, seconds: float) -> None:
         """Refuse connections for a while, as the server behind it does."""
         self._server.close()
         for task in list(self._tasks):
             task.cancel()
-        self._restart = asyncio.create_task(self._start_again(seconds))
+        self._restart = asyncio.create_task(self._restart_listening(seconds))
 
-    async def _start_again(self, after_s: float) -> None:
+    async def _restart_listening(self, after_s: float) -> None:
         await asyncio.sleep(after_s)
         await self.start(self.port)
 
-    def set_fault(self, fault: plan.WayFault) -> None:
+    def set_fault(self, fault: plan.ProxyFault) -> None:
         """Begin or end a fault; a reset strikes what is open."""
         self.fault = fault
-        if fault is plan.WayFault.RESET:
+        if fault is plan.ProxyFault.RESET:
             for writer in list(self._writers):
                 _reset(writer)
 
@@ -62,17 +62,21 @@
         task = asyncio.current_task()
         self._tasks.add(task)
         self._writers.add(writer)
-        far_writer = None
+        server_writer = None
         try:
-            if self.fault is plan.WayFault.RESET:
+            if self.fault is plan.ProxyFault.RESET:
                 _reset(writer)
                 return
-            far_reader, far_writer = await asyncio.open_connection(
+            server_reader, server_writer = await asyncio.open_connection(
                 *self._target
             )
             await asyncio.gather(
-                self._pump(reader, far_writer, plan.WayFault.CUT_THERE),
-                self._pump(far_reader, writer, plan.WayFault.CUT_BACK),
+                self._pump(
+                    reader, server_writer, plan.ProxyFault.STALL_TO_SERVER
+                ),
+                self._pump(
+                    server_reader, writer, plan.ProxyFault.STALL_TO_CLIENT
+                ),
             )
         except (OSError, asyncio.CancelledError):
             # Either side has gone, or the soak ends; both sides are told.
@@ -81,21 +85,21 @@
             self._writers.discard(writer)
             self._tasks.discard(task)
             writer.transport.abort()
-            if far_writer is not None:
-                far_writer.transport.abort()
+            if server_writer is not None:
+                server_writer.transport.abort()
 
-    async def _pump(self, reader, writer, cut: plan.WayFault) -> None:
+    async def _pump(self, reader, writer, cut: plan.ProxyFault) -> None:
         while data := await reader.read(_CHUNK_BYTES):
-            if self.fault is plan.WayFault.DELAY:
+            if self.fault is plan.ProxyFault.DELAY:
                 await asyncio.sleep(_DELAY_S)
-            while self.fault in (cut, plan.WayFault.SILENCE):
+            while self.fault in (cut, plan.ProxyFault.STALL_BOTH):
                 await asyncio.sleep(0.02)
             writer.write(data)
             await writer.drain()
         if writer.can_write_eof():
             writer.write_eof()
         # A server that ends an answer by closing must not be outlived.
-        if cut is plan.WayFault.CUT_BACK:
+        if cut is plan.ProxyFault.STALL_TO_CLIENT:
             raise ConnectionAbortedError
 
 
--- a/rudderrock/soak/_run.py
+++ b/rudderrock/soak/_run.py
@@ -18,21 +18,21 @@
 from rudderrock.standins import platform as platform_standins
 
 CALLERS = 6
-_GAP_S = 0.04
+_REQUEST_INTERVAL_S = 0.04
 # Part of the callers' requests that are copies of a lethal one, once it comes.
-_LETHAL_PART = 0.1
+_LETHAL_FRACTION = 0.1
 _DEADLINE_MS = 1200
 # What an answer may take beyond the caller's own deadline before the caller
 # counts the connection as ended.
-_PATIENCE_S = 4.0
+_RESPONSE_GRACE_S = 4.0
 _SETTLE_S = 6.0
 _FINAL_TRIES = 5
 # Nothing unplanned for this long makes a moment calm, in seconds.
-_CALM_S = 4.0
+_UNDISTURBED_S = 4.0
 # How long the store is away before it returns in calm, in seconds.
-_AWAY_S = 0.3
+_RESTORE_OUTAGE_S = 0.3
 # Hosts that are stopped once it is calm.
-_CALM_STOPS = 2
+_UNDISTURBED_STOPS = 2
 
 
 @dataclasses.dataclass(slots=True)
@@ -43,7 +43,7 @@
     injected: collections.Counter[str]
     statuses: collections.Counter[int]
     checked: int
-    broken: list[checks.Broken]
+    broken: list[checks.Violation]
 
 
 class Run:
@@ -52,19 +52,19 @@
     def __init__(self, plan: plan_module.Plan, world: world_module.World):
         self.sent: list[checks.Sent] = []
         self.injected: collections.Counter[str] = collections.Counter()
-        self.broken: list[checks.Broken] = []
+        self.broken: list[checks.Violation] = []
         self._plan = plan
         self._world = world
-        self._disturbed: list[tuple[float, float]] = []
+        self._disturbances: list[tuple[float, float]] = []
         self._count = 0
-        self._over = False
+        self._is_finished = False
         self._tasks: set[asyncio.Task] = set()
 
-    async def play(self) -> None:
+    async def run(self) -> None:
         """Send load, inject all faults, end them, and probe at the end."""
         loop = asyncio.get_running_loop()
         await self._world.wait_until_ready()
-        began = loop.time()
+        started = loop.time()
         callers = [
             asyncio.create_task(
                 self._call(
@@ -74,21 +74,23 @@
             for number in range(CALLERS)
         ]
         for fault in self._plan.faults:
-            await asyncio.sleep(max(0.0, began + fault.at - loop.time()))
-            self.injected[_name(fault)] += 1
+            await asyncio.sleep(
+                max(0.0, started + fault.start_s - loop.time())
+            )
+            self.injected[_format_fault_name(fault)] += 1
             task = asyncio.create_task(self._inject(fault))
             self._tasks.add(task)
-        ends = began + self._plan.length
-        await asyncio.sleep(max(0.0, ends - loop.time()))
+        end = started + self._plan.length_s
+        await asyncio.sleep(max(0.0, end - loop.time()))
         await asyncio.gather(*self._tasks)
-        await self._stop_in_calm()
-        if self._plan.returns:
-            await self._return_in_calm()
-        await self._change_in_calm()
-        self._over = True
+        await self._stop_undisturbed()
+        if self._plan.restores:
+            await self._restore_undisturbed()
+        await self._change_undisturbed()
+        self._is_finished = True
         await asyncio.gather(*callers)
         await self._check_recovery()
-        self._mark_calm()
+        self._mark_undisturbed()
 
     def make_records(self) -> checks.Records:
         """Return what callers and upstreams have seen."""
@@ -108,59 +110,63 @@
             shard_sets=world.shard_sets,
             services=world.services,
             moves=world.moves,
-            ratio=world_module.RATIO,
-            slack=world_module.SLACK,
-            window_s=world_module.WINDOW_S,
+            ratio=world_module.EXTRA_RATIO,
+            slack=world_module.EXTRA_SLACK,
+            window_s=world_module.EXTRA_WINDOW_S,
             crashes=world.list_crashes(),
             moved_at=world.moved_at,
             drained_at=world.drained_at,
         )
 
-    async def _call(self, chance: random.Random) -> None:
+    async def _call(self, rng: random.Random) -> None:
         """Be a caller: use one connection until it ends, then another."""
-        while not self._over:
-            host = chance.choice(self._world.hosts)
+        while not self._is_finished:
+            host = rng.choice(self._world.hosts)
             try:
                 async with asyncio.timeout(1.0):
                     pair = await asyncio.open_connection(host.ip, host.port)
             except (OSError, TimeoutError):
                 # A host that is down; another one is tried.
-                await asyncio.sleep(_GAP_S)
+                await asyncio.sleep(_REQUEST_INTERVAL_S)
                 continue
-            goes_on = True
-            while goes_on and not self._over:
-                goes_on = await self._exchange(chance, host, *pair)
-                await asyncio.sleep(_GAP_S * chance.uniform(0.5, 1.5))
+            is_reusable = True
+            while is_reusable and not self._is_finished:
+                is_reusable = await self._exchange(rng, host, *pair)
+                await asyncio.sleep(
+                    _REQUEST_INTERVAL_S * rng.uniform(0.5, 1.5)
+                )
             pair[1].transport.abort()
 
     async def _exchange(
-        self, chance: random.Random, host: world_module.Host, reader, writer
+        self, rng: random.Random, host: world_module.Host, reader, writer
     ) -> bool:
         """Send one request; tell whether the connection goes on."""
-        sent = self._make_request(chance, host)
+        sent = self._make_request(rng, host)
         self.sent.append(sent)
         writer.write(_render(sent))
         try:
-            async with asyncio.timeout(_DEADLINE_MS / 1000 + _PATIENCE_S):
-                await _read(reader, sent)
+            async with asyncio.timeout(
+                _DEADLINE_MS / 1000 + _RESPONSE_GRACE_S
+            ):
+                await _read_response(reader, sent)
         except (OSError, EOFError, TimeoutError):
             # No answer: status 0 says so to the checks.
             sent.status = 0
         sent.ended = asyncio.get_running_loop().time()
-        ends = sent.headers.get('connection') == 'close'
-        return sent.status != 0 and not ends
+        closes = sent.headers.get('connection') == 'close'
+        return sent.status != 0 and not closes
 
     def _make_request(
-        self, chance: random.Random, host: world_module.Host
+        self, rng: random.Random, host: world_module.Host
     ) -> checks.Sent:
         self._count += 1
-        kind = chance.choice(('all', 'all', 'once', 'moved'))
+        kind = rng.choice(('all', 'all', 'once', 'moved'))
         body = b''
         if kind == 'once':
             body = b'note %d' % self._count
-        target = f'/{kind}/{self._count}?n={chance.randrange(100)}'
-        if self._world.lethal and not self._over:
-            if chance.random() < _LETHAL_PART:
+        target = f'/{kind}/{self._count}?n={rng.randrange(100)}'
+        if self._world.lethal and not self._is_finished:
+            if rng.random() < _LETHAL_FRACTION:
                 targets = sorted(self._world.lethal)
                 target = targets[self._count % len(targets)]
                 kind, body = target.split('/')[1], b''
@@ -176,12 +182,12 @@
 
     async def _inject(self, fault: plan_module.Fault) -> None:
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        await self._play_fault(fault)
+        started = loop.time()
+        await self._apply_fault(fault)
         if fault.kind not in plan_module.PLANNED:
-            self._disturbed.append((began, loop.time()))
+            self._disturbances.append((started, loop.time()))
 
-    async def _play_fault(self, fault: plan_module.Fault) -> None:
+    async def _apply_fault(self, fault: plan_module.Fault) -> None:
         world = self._world
         store = world.store
         host = world.hosts[fault.target % len(world.hosts)]
@@ -191,41 +197,41 @@
         match fault.kind:
             case kinds.KILL:
                 host.send(signal.SIGKILL)
-                await self._restart(host, fault.lasts)
+                await self._restart(host, fault.duration_s)
             case kinds.STOP:
-                await self._stop(host, fault.lasts)
+                await self._stop(host, fault.duration_s)
             case kinds.PAUSE:
                 host.send(signal.SIGSTOP)
-                await asyncio.sleep(fault.lasts)
+                await asyncio.sleep(fault.duration_s)
                 host.send(signal.SIGCONT)
             case kinds.RELOAD:
                 host.send(signal.SIGHUP)
             case kinds.STORE_REFUSES:
-                store.refusal = fault.how
-                await asyncio.sleep(fault.lasts)
+                store.refusal = fault.variant
+                await asyncio.sleep(fault.duration_s)
                 store.refusal = platform_standins.Refusal.NONE
             case kinds.STORE_SLOW:
                 store.slow_s = 0.3
-                await asyncio.sleep(fault.lasts)
+                await asyncio.sleep(fault.duration_s)
                 store.slow_s = 0.0
-            case kinds.STORE_LOSES:
+            case kinds.STORE_LOSES_REPLIES:
                 store.lose_answers = True
-                await asyncio.sleep(fault.lasts)
+                await asyncio.sleep(fault.duration_s)
                 store.lose_answers = False
-            case kinds.STORE_FORGETS:
+            case kinds.STORE_COMPACTS_HISTORY:
                 store.drop_history()
-            case kinds.STORE_REVOKES:
+            case kinds.STORE_REVOKES_LEASES:
                 store.revoke_leases()
-            case kinds.STORE_RETURNS:
-                await world.return_store(fault.lasts, fault.target)
-            case kinds.WAY_TO_STORE:
-                await _disturb(host.way, fault)
-            case kinds.WAY_TO_UPSTREAM:
-                await _disturb(world.ways[name], fault)
+            case kinds.STORE_RESTORED:
+                await world.restore_store(fault.duration_s, fault.target)
+            case kinds.PROXY_TO_STORE:
+                await _apply_proxy_fault(host.proxy, fault)
+            case kinds.PROXY_TO_UPSTREAM:
+                await _apply_proxy_fault(world.proxies[name], fault)
             case kinds.UPSTREAM:
                 model = world.upstreams[name]
-                model.conduct = fault.how
-                await asyncio.sleep(fault.lasts)
+                model.conduct = fault.variant
+                await asyncio.sleep(fault.duration_s)
                 model.conduct = standins.Conduct.GOOD
             case kinds.UPSTREAM_RESTARTS:
                 world.upstreams[name].cut_connections()
@@ -240,7 +246,7 @@
                 await world.move_route()
             case kinds.REPARTITION:
                 await world.add_shards(3 + fault.target % 4)
-                await asyncio.sleep(fault.lasts)
+                await asyncio.sleep(fault.duration_s)
                 await world.move_route()
 
     async def _stop(self, host: world_module.Host, down_s: float) -> None:
@@ -248,10 +254,10 @@
             return
         host.is_stopping = True
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started = loop.time()
         host.send(signal.SIGTERM)
-        if not await host.wait(world_module.GRACE_S + 2.0):
-            self._disturbed.append((began, loop.time()))
+        if not await host.wait(world_module.STOP_GRACE_S + 2.0):
+            self._disturbances.append((started, loop.time()))
             host.send(signal.SIGCONT)
             host.send(signal.SIGKILL)
         await self._restart(host, down_s / 3)
@@ -262,59 +268,62 @@
         if not host.is_up:
             await host.start()
 
-    async def _stop_in_calm(self) -> None:
+    async def _stop_undisturbed(self) -> None:
         """Stop hosts as planned, under load, with nothing else going on."""
-        await asyncio.sleep(_CALM_S + 0.5)
-        for host in self._world.hosts[:_CALM_STOPS]:
+        await asyncio.sleep(_UNDISTURBED_S + 0.5)
+        for host in self._world.hosts[:_UNDISTURBED_STOPS]:
             self.injected['stop/calm'] += 1
             await self._stop(host, 0.0)
 
-    async def _return_in_calm(self) -> None:
+    async def _restore_undisturbed(self) -> None:
         """Have the store come back from its oldest copy, and wait for calm."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started = loop.time()
         self.injected['store_returns/calm'] += 1
-        await self._world.return_store(_AWAY_S, -1)
-        self._disturbed.append((began, loop.time()))
-        await asyncio.sleep(_CALM_S + 0.5)
+        await self._world.restore_store(_RESTORE_OUTAGE_S, -1)
+        self._disturbances.append((started, loop.time()))
+        await asyncio.sleep(_UNDISTURBED_S + 0.5)
 
-    async def _change_in_calm(self) -> None:
+    async def _change_undisturbed(self) -> None:
         """Write a version and have an upstream leave, and see it hold."""
         await self._world.move_route()
         shards = self._world.list_upstreams_of_shards()
         self._world.drain(shards[self._plan.seed % len(shards)])
-        await asyncio.sleep(max(checks.IN_FORCE_S, checks.LEAVE_S) + 1.0)
+        await asyncio.sleep(
+            max(checks.TABLE_DEADLINE_S, checks.DRAIN_DEADLINE_S) + 1.0
+        )
 
     async def _check_recovery(self) -> None:
         """See that every host serves once all faults are over."""
         await asyncio.sleep(_SETTLE_S)
-        chance = core.make_random(self._plan.seed, 'final')
+        rng = core.make_random(self._plan.seed, 'final')
         for host in self._world.hosts:
             if not host.is_up:
                 await host.start()
         await self._world.wait_until_ready()
         for host in self._world.hosts:
-            if not await self._serves(chance, host):
+            if not await self._is_serving(rng, host):
                 detail = f'host {host.number} after {_FINAL_TRIES} tries'
-                self.broken.append(checks.Broken('recovery', detail))
+                self.broken.append(checks.Violation('recovery', detail))
 
-    async def _serves(
-        self, chance: random.Random, host: world_module.Host
+    async def _is_serving(
+        self, rng: random.Random, host: world_module.Host
     ) -> bool:
         for _ in range(_FINAL_TRIES):
             pair = await asyncio.open_connection(host.ip, host.port)
-            await self._exchange(chance, host, *pair)
+            await self._exchange(rng, host, *pair)
             pair[1].transport.abort()
             if self.sent[-1].status == 200:
                 return True
             await asyncio.sleep(0.5)
         return False
 
-    def _mark_calm(self) -> None:
+    def _mark_undisturbed(self) -> None:
         for sent in self.sent:
             sent.calm = not any(
-                began - 0.1 <= sent.ended and sent.at - _CALM_S <= ended
-                for began, ended in self._disturbed
+                started - 0.1 <= sent.ended
+                and sent.at - _UNDISTURBED_S <= ended
+                for started, ended in self._disturbances
             )
 
 
@@ -339,23 +348,23 @@
         world = world_module.World(folder, log)
         async with world.open(hosts):
             run = Run(plan, world)
-            await run.play()
+            await run.run()
             records = run.make_records()
     broken = run.broken + checks.check_records(records)
     statuses = collections.Counter(each.status for each in run.sent)
     return Report(seed, run.injected, statuses, len(run.sent), broken)
 
 
-async def _disturb(way, fault: plan_module.Fault) -> None:
-    way.set_fault(fault.how)
-    await asyncio.sleep(fault.lasts)
-    way.set_fault(plan_module.WayFault.NONE)
+async def _apply_proxy_fault(proxy, fault: plan_module.Fault) -> None:
+    proxy.set_fault(fault.variant)
+    await asyncio.sleep(fault.duration_s)
+    proxy.set_fault(plan_module.ProxyFault.NONE)
 
 
-def _name(fault: plan_module.Fault) -> str:
-    if fault.how is None:
+def _format_fault_name(fault: plan_module.Fault) -> str:
+    if fault.variant is None:
         return fault.kind.value
-    return f'{fault.kind.value}/{fault.how.value}'
+    return f'{fault.kind.value}/{fault.variant.value}'
 
 
 def _render(sent: checks.Sent) -> bytes:
@@ -372,7 +381,7 @@
     )
 
 
-async def _read(reader, sent: checks.Sent) -> None:
+async def _read_response(reader, sent: checks.Sent) -> None:
     head = await reader.readuntil(b'\r\n\r\n')
     first, *lines = head.decode('latin-1').strip().split('\r\n')
     for line in lines:
--- a/rudderrock/soak/_world.py
+++ b/rudderrock/soak/_world.py
@@ -16,28 +16,28 @@
 from rudderrock.soak import _proxy as proxy
 from rudderrock.standins import platform as platform_standins
 
-RATIO = 0.2
-SLACK = 30.0
-WINDOW_S = 10.0
-GRACE_S = 3.0
+EXTRA_RATIO = 0.2
+EXTRA_SLACK = 30.0
+EXTRA_WINDOW_S = 10.0
+STOP_GRACE_S = 3.0
 SHARDS = 4
 # Shards of each set that only the other zone has upstreams of, so that hosts
 # have them asked by hosts there.
-FAR_SHARDS = 3
+REMOTE_SHARDS = 3
 _ZONES = ('north-1', 'south-1')
 ROUTE_TIMEOUT_S = 1.5
-_PORTS = 4
-_FIRST_NET = 10
-_NETS = 200
+_PORTS_PER_HOST = 4
+_NET_BASE = 10
+_NET_COUNT = 200
 _READY_TRIES = 300
 # Between two changes of entries, and copies of the store, in seconds.
-_BEAT_S = 0.5
+_REVISION_PERIOD_S = 0.5
 # Copies that are kept, the oldest of 10 s ago.
-_COPIES = 20
+_MAX_SNAPSHOTS = 20
 # After a return of the store, until the operator writes again, and in how long
 # all upstreams do; seconds.
-_REWRITE_S = 0.1
-_HEARTBEAT_S = 1.2
+_REWRITE_DELAY_S = 0.1
+_HEARTBEAT_PERIOD_S = 1.2
 
 
 class Host:
@@ -47,10 +47,10 @@
         self.number = number
         # Each host has an address of its own, as it has on the platform,
         # and each soak that runs on this machine has a network of its own.
-        self.ip = f'127.{_FIRST_NET + os.getpid() % _NETS}.1.{number + 1}'
+        self.ip = f'127.{_NET_BASE + os.getpid() % _NET_COUNT}.1.{number + 1}'
         self.incarnation = 0
         self.port = 0
-        self.way = None
+        self.proxy = None
         self.is_paused = False
         self.is_stopping = False
         self._log = log
@@ -65,19 +65,19 @@
 
     async def configure(self, store: tuple[str, int]) -> None:
         """Choose ports and write the settings file."""
-        self.way = proxy.Proxy(store)
-        await self.way.start()
-        self.port = find_ports(_PORTS, self.ip)
+        self.proxy = proxy.Proxy(store)
+        await self.proxy.start()
+        self.port = find_ports(_PORTS_PER_HOST, self.ip)
         zone = 'north-1' if self.number % 2 else 'south-1'
         self._file.write_text(
             platform_standins.make_boot(
                 self.ip,
                 self.port,
-                f'127.0.0.1:{self.way.port}',
+                f'127.0.0.1:{self.proxy.port}',
                 name=f'host-{self.number}',
                 zone=zone,
-                stop_s=GRACE_S,
-                slack=SLACK,
+                stop_s=STOP_GRACE_S,
+                slack=EXTRA_SLACK,
             ),
             encoding='utf-8',
         )
@@ -116,7 +116,7 @@
         if self.is_up:
             self._process.kill()
             await self._process.wait()
-        await self.way.stop()
+        await self.proxy.stop()
 
 
 class World:
@@ -127,7 +127,7 @@
         self.hosts: list[Host] = []
         self.upstreams: dict[str, standins.WireUpstream] = {}
         self.services: dict[str, str] = {}
-        self.ways: dict[str, proxy.Proxy] = {}
+        self.proxies: dict[str, proxy.Proxy] = {}
         # When upstreams said that they leave, and when versions were written.
         self.drained_at: dict[str, float] = {}
         self.moved_at: list[float] = []
@@ -140,8 +140,8 @@
         self._version = 0
         self._config = b''
         self._entries: dict[str, bytes] = {}
-        self._copies: collections.deque[platform_standins.StoreCopy] = (
-            collections.deque(maxlen=_COPIES)
+        self._snapshots: collections.deque[platform_standins.StoreCopy] = (
+            collections.deque(maxlen=_MAX_SNAPSHOTS)
         )
         self._shards: list[str] = []
         self._count = 0
@@ -163,8 +163,8 @@
                 stack.push_async_callback(host.close)
                 await host.start()
                 self.hosts.append(host)
-            beats = asyncio.create_task(self._beat())
-            stack.push_async_callback(core.end_task, beats)
+            store_task = asyncio.create_task(self._advance_store())
+            stack.push_async_callback(core.end_task, store_task)
             yield self
 
     async def add_upstream(self, service: str, zone: str) -> None:
@@ -180,14 +180,16 @@
         port = find_ports(1)
         await model.start('127.0.0.1', port)
         self._stack.push_async_callback(model.stop)
-        way = proxy.Proxy(('127.0.0.1', port))
-        await way.start()
-        self._stack.push_async_callback(way.stop)
+        upstream_proxy = proxy.Proxy(('127.0.0.1', port))
+        await upstream_proxy.start()
+        self._stack.push_async_callback(upstream_proxy.stop)
         model.lethal = self.lethal
-        model.on_crash = lambda: way.go_down(standins.DOWN_S)
+        model.on_crash = lambda: upstream_proxy.refuse_connections(
+            standins.DOWN_S
+        )
         self.upstreams[name] = model
         self.services[name] = service
-        self.ways[name] = way
+        self.proxies[name] = upstream_proxy
         self.register(name, zone)
 
     def register(
@@ -196,7 +198,7 @@
         """Write an upstream's entry."""
         raw = platform_standins.make_server(
             self.services[name],
-            f'127.0.0.1:{self.ways[name].port}',
+            f'127.0.0.1:{self.proxies[name].port}',
             zone,
             state,
             sequence,
@@ -204,24 +206,24 @@
         self._entries[name] = raw
         self.store.put_server(name, raw)
 
-    async def return_store(self, away_s: float, age: int) -> None:
+    async def restore_store(self, away_s: float, age: int) -> None:
         """Have the store come back from a copy that is some seconds old.
 
         `age` counts the copies back. The operator writes the newest version
         again, and the upstreams what they said last and the copy lacks, each
         at its next heartbeat.
         """
-        copy = self._copies[-1 - age % len(self._copies)]
+        snapshot = self._snapshots[-1 - age % len(self._snapshots)]
         self.store.refusal = platform_standins.Refusal.RESET
         await asyncio.sleep(away_s)
         self.store.refusal = platform_standins.Refusal.NONE
-        self.store.come_back(copy)
+        self.store.come_back(snapshot)
         era = self.store.era
-        await asyncio.sleep(_REWRITE_S)
+        await asyncio.sleep(_REWRITE_DELAY_S)
         if self.store.era == era:
             self.store.put_config(self._config)
         for name in sorted(self._entries):
-            await asyncio.sleep(_HEARTBEAT_S / len(self._entries))
+            await asyncio.sleep(_HEARTBEAT_PERIOD_S / len(self._entries))
             if self.store.era == era:
                 self.store.put_server_if_new(name, self._entries[name])
 
@@ -262,7 +264,7 @@
     async def add_shards(self, count: int) -> None:
         """Start the shards of a new set; some are in one zone only."""
         first = len(self.shard_sets) * 100
-        total = count + FAR_SHARDS
+        total = count + REMOTE_SHARDS
         self._shards = [f'shard-{first + each}' for each in range(total)]
         for shard in self._shards[:count]:
             await self.add_service(shard)
@@ -285,7 +287,7 @@
         self.moves.append(target)
         routes = [
             platform_standins.make_gather(
-                '/all/', self._shards, checks.TOP_K, checks.LEAST
+                '/all/', self._shards, checks.TOP_K, checks.MIN_COVERAGE
             ),
             platform_standins.make_route('/once/', 'once', once=True),
             platform_standins.make_route('/moved/', target),
@@ -307,11 +309,11 @@
             else:
                 raise RuntimeError(f'host {host.number} never got ready')
 
-    async def _beat(self) -> None:
+    async def _advance_store(self) -> None:
         """Change entries now and then, as heartbeats do, and keep copies."""
         while True:
-            self._copies.append(self.store.make_copy())
-            await asyncio.sleep(_BEAT_S)
+            self._snapshots.append(self.store.make_copy())
+            await asyncio.sleep(_REVISION_PERIOD_S)
             self.store.revision += 1
 
 
--- a/rudderrock/standins/_fleet.py
+++ b/rudderrock/standins/_fleet.py
@@ -126,9 +126,9 @@
         self._started += 1
         address = f'127.0.0.1:{_BASE_PORT + self._started}'
         settings = self._make_settings(name, zone, address)
-        draw = state.make_random(self._seed, f'port/{name}')
+        rng = state.make_random(self._seed, f'port/{name}')
         port = memory.MemoryUpstreamPort(
-            zone, self.models, self.deployment.network, draw
+            zone, self.models, self.deployment.network, rng
         )
         kv = memory_hosts.HostKv(self.kv)
         ports = root.Ports(
@@ -155,7 +155,7 @@
         running = self.hosts[name]
         await running.host.stop()
         await running.task
-        self._unlist(name)
+        self._remove_from_list(name)
 
     async def crash_host(self, name: str) -> None:
         """End a host with no warning."""
@@ -191,7 +191,7 @@
 
     def forget_host(self, name: str) -> None:
         """Let the platform's list notice, at last, that a host is gone."""
-        self._unlist(name)
+        self._remove_from_list(name)
 
     async def wait_until_ready(self) -> None:
         """Wait until all hosts serve and have connections everywhere."""
@@ -269,7 +269,7 @@
             if not running.task.done():
                 await self.crash_host(name)
 
-    def _unlist(self, name: str) -> None:
+    def _remove_from_list(self, name: str) -> None:
         self.host_list.hosts = [
             each for each in self.host_list.hosts if each.host != name
         ]
--- a/rudderrock/standins/_host_source.py
+++ b/rudderrock/standins/_host_source.py
@@ -8,7 +8,7 @@
 from rudderrock import gateway
 from rudderrock.standins import _memory_source as memory_source
 
-_CALLS = frozenset(
+_FORWARDED_CALLS = frozenset(
     {
         'read_table',
         'watch_table',
@@ -32,17 +32,17 @@
     """
 
     def __init__(
-        self, source: memory_source.MemorySource, patience_s: float = 1.0
+        self, source: memory_source.MemorySource, timeout_s: float = 1.0
     ):
         self.is_refused = False
         self.is_silent = False
         self.delay_s: float | None = None
         self.calls = 0
         self._source = source
-        self._patience_s = patience_s
+        self._timeout_s = timeout_s
 
     def __getattr__(self, name: str):
-        if name in _CALLS:
+        if name in _FORWARDED_CALLS:
             return functools.partial(self._call, name)
         return getattr(self._source, name)
 
@@ -56,5 +56,5 @@
             answer = await getattr(self._source, name)(*arguments)
             if not self.is_silent:
                 return answer
-        await asyncio.sleep(self._patience_s)
+        await asyncio.sleep(self._timeout_s)
         return result.Err(gateway.Unavailable('no reply in time'))
--- a/rudderrock/standins/_kv.py
+++ b/rudderrock/standins/_kv.py
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KvCopy:
+class KvSnapshot:
     """All keys of the service at one moment."""
 
     entries: dict[str, protocol.Entry]
@@ -69,7 +69,7 @@
     ) -> result.Result[protocol.Entry, transport.KvUnavailable]:
         """Read one key."""
         self.reads += 1
-        if await self._fail():
+        if await self._delay_and_check_down():
             return _unavailable()
         return result.Ok(self._read(key))
 
@@ -81,7 +81,7 @@
     ]:
         """Compare and swap one key; return its new version."""
         self.writes += 1
-        if await self._fail():
+        if await self._delay_and_check_down():
             return _unavailable()
         current = self._read(request.key)
         if current.version != request.expected:
@@ -102,12 +102,14 @@
     ) -> result.Result[protocol.Entry, transport.KvUnavailable]:
         """Wait for a version later than `after`, or the time to be over."""
         self.reads += 1
-        if await self._fail():
+        if await self._delay_and_check_down():
             return _unavailable()
         try:
             async with asyncio.timeout(timeout_s), self._changed:
                 await self._changed.wait_for(
-                    lambda: self._is_news(key, after) or self.faults.down
+                    lambda: (
+                        self._has_new_version(key, after) or self.faults.down
+                    )
                 )
         except TimeoutError:
             pass
@@ -122,7 +124,7 @@
     ) -> result.Result[str, transport.KvUnavailable]:
         """Grant a lease; return its id."""
         self.writes += 1
-        if await self._fail():
+        if await self._delay_and_check_down():
             return _unavailable()
         lease = f'lease-{next(self._ids)}'
         self._leases[lease] = _Lease(ttl_s, self._clock.now() + ttl_s)
@@ -133,7 +135,7 @@
     ) -> result.Result[None, transport.LeaseGone | transport.KvUnavailable]:
         """Prolong a lease by its time to live."""
         self.writes += 1
-        if await self._fail():
+        if await self._delay_and_check_down():
             return _unavailable()
         found = self._find_lease(lease)
         if found is None:
@@ -146,7 +148,7 @@
     ) -> result.Result[None, transport.LeaseGone | transport.KvUnavailable]:
         """Take a lease back, and with it the keys that hang on it."""
         self.writes += 1
-        if await self._fail():
+        if await self._delay_and_check_down():
             return _unavailable()
         if self._find_lease(lease) is None:
             return result.Err(transport.LeaseGone())
@@ -168,25 +170,25 @@
         if not self.faults.down:
             await self._write(key, protocol.encode(value))
 
-    def make_copy(self) -> KvCopy:
+    def make_copy(self) -> KvSnapshot:
         """Return a copy of all keys; leases are not in it."""
-        return KvCopy(dict(self._entries), self._version)
+        return KvSnapshot(dict(self._entries), self._version)
 
-    async def come_back(self, copy: KvCopy) -> None:
+    async def come_back(self, snapshot: KvSnapshot) -> None:
         """Hold what a copy held, and nothing that came after it.
 
         Versions are given out again from where the copy stands.
         """
-        self._entries = dict(copy.entries)
-        self._version = copy.version
+        self._entries = dict(snapshot.entries)
+        self._version = snapshot.version
         await self.set_down(False)
 
-    async def _fail(self) -> bool:
+    async def _delay_and_check_down(self) -> bool:
         await asyncio.sleep(self._latency_s + self.faults.delay_s)
         await self._expire_leases()
         return self.faults.down
 
-    def _is_news(self, key: str, after: int) -> bool:
+    def _has_new_version(self, key: str, after: int) -> bool:
         news = self._read(key).version > after
         return news and not self.faults.drop_watches
 
--- a/rudderrock/standins/_memory.py
+++ b/rudderrock/standins/_memory.py
@@ -68,7 +68,7 @@
         faults = self._port.faults
         await self._port.pause.wait_until_over()
         await asyncio.sleep(self._latency_s)
-        if self._port.draw() < faults.lose / 2:
+        if self._port.draw_fraction() < faults.lose / 2:
             return protocol.ShardLost(True, 'lost on the way there')
         if self._model.faults.lost:
             return protocol.ShardLost(True, 'connection reset')
@@ -77,10 +77,10 @@
             await asyncio.sleep(_SILENCE_S)
         await asyncio.sleep(self._latency_s + faults.delay_s)
         await self._port.pause.wait_until_over()
-        if self._port.draw() < faults.lose / 2:
+        if self._port.draw_fraction() < faults.lose / 2:
             return protocol.ShardLost(True, 'lost on the way back')
-        if self._port.draw() < faults.cross:
-            reply = self._port.cross(reply)
+        if self._port.draw_fraction() < faults.cross:
+            reply = self._port.swap_reply(reply)
         return transport.check_shard_reply(request, reply)
 
 
@@ -103,7 +103,7 @@
         self._network = network
         self._source = source
         self.pause = pauses.Pause()
-        self._held: protocol.ShardReply | None = None
+        self._held_reply: protocol.ShardReply | None = None
 
     async def connect(
         self, upstream: state.Upstream
@@ -121,11 +121,11 @@
         latency_s = self._network.get_latency_s(self._zone, upstream.zone)
         return result.Ok(MemoryConnection(self, model, latency_s))
 
-    def draw(self) -> float:
+    def draw_fraction(self) -> float:
         """Draw a number from 0 to 1 for a fault."""
         return self._source.random()
 
-    def cross(self, reply: protocol.ShardReply) -> protocol.ShardReply:
+    def swap_reply(self, reply: protocol.ShardReply) -> protocol.ShardReply:
         """Keep a reply and give the one kept before in its place."""
-        held, self._held = self._held, reply
+        held, self._held_reply = self._held_reply, reply
         return held or reply
--- a/rudderrock/standins/_memory_hosts.py
+++ b/rudderrock/standins/_memory_hosts.py
@@ -51,7 +51,7 @@
         """Return the port of the host at an address."""
         return MemoryPeerPort(self, address)
 
-    async def carry(self, sender: str, receiver: str, message: object):
+    async def deliver(self, sender: str, receiver: str, message: object):
         """Carry one message; return the host reached, or None."""
         self.messages += 1
         self.bytes += len(protocol.encode(message))
@@ -98,13 +98,15 @@
     async def _call(self, address, message, timeout_s, ask):
         try:
             async with asyncio.timeout(timeout_s):
-                host = await self._network.carry(
+                host = await self._network.deliver(
                     self._address, address, message
                 )
                 if host is None:
                     await asyncio.sleep(_SILENCE_S)
                 reply = await ask(host)
-                back = await self._network.carry(address, self._address, reply)
+                back = await self._network.deliver(
+                    address, self._address, reply
+                )
                 if back is None:
                     await asyncio.sleep(_SILENCE_S)
                 return result.Ok(reply)
@@ -126,29 +128,29 @@
 
     async def get(self, key: str):
         """Read one key."""
-        return await self._pass(self._kv.get, key)
+        return await self._forward(self._kv.get, key)
 
     async def swap(self, request: protocol.SwapRequest):
         """Compare and swap one key; return its new version."""
-        return await self._pass(self._kv.swap, request)
+        return await self._forward(self._kv.swap, request)
 
     async def watch(self, key: str, after: int, timeout_s: float):
         """Wait for a version later than `after`, or the time to be over."""
-        return await self._pass(self._kv.watch, key, after, timeout_s)
+        return await self._forward(self._kv.watch, key, after, timeout_s)
 
     async def grant(self, ttl_s: float):
         """Ask for a lease; return its id."""
-        return await self._pass(self._kv.grant, ttl_s)
+        return await self._forward(self._kv.grant, ttl_s)
 
     async def renew(self, lease: str):
         """Prolong a lease by its time to live."""
-        return await self._pass(self._kv.renew, lease)
+        return await self._forward(self._kv.renew, lease)
 
     async def revoke(self, lease: str):
         """Give a lease back."""
-        return await self._pass(self._kv.revoke, lease)
+        return await self._forward(self._kv.revoke, lease)
 
-    async def _pass(self, call, *arguments):
+    async def _forward(self, call, *arguments):
         await self.pause.wait_until_over()
         if self.cut:
             await asyncio.sleep(_CUT_TIMEOUT_S)
--- a/rudderrock/standins/_memory_source.py
+++ b/rudderrock/standins/_memory_source.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SourceCopy:
+class SourceSnapshot:
     """All that a source held at one moment."""
 
     table: gateway.RoutingTable | None
@@ -34,14 +34,14 @@
         self.table_revision = 1
         self.is_down = False
         self.is_deaf = False
-        self.history_gone = False
+        self.is_history_compacted = False
         # Rises each time the source comes back from a copy.
         self.era = 0
         self.reads = 0
         self.table_reads = 0
         self.hosts: dict[int, gateway.HostEntry] = {}
-        self._leases = 0
-        self._cuts = 0
+        self._lease_count = 0
+        self._reset_count = 0
         self._written: dict[bytes, gateway.RoutingTable] = {}
         self._changed = asyncio.Event()
 
@@ -77,42 +77,42 @@
 
     def drop_history(self) -> None:
         """Forget all changes so far and cut the watches."""
-        self.history_gone = True
+        self.is_history_compacted = True
         self._change()
 
-    def make_copy(self) -> SourceCopy:
+    def make_copy(self) -> SourceSnapshot:
         """Return a copy of all that is held now."""
-        return SourceCopy(
+        return SourceSnapshot(
             self.table,
             dict(self.evacuated),
             dict(self.endpoints),
             self.revision,
             self.table_revision,
             dict(self.hosts),
-            self._leases,
+            self._lease_count,
         )
 
     def note_other_change(self) -> None:
         """Count a change that is no business of hosts."""
         self._change()
 
-    def come_back(self, copy: SourceCopy, cut: bool = True) -> None:
+    def come_back(self, snapshot: SourceSnapshot, cut: bool = True) -> None:
         """Hold what a copy held, and nothing that came after it.
 
         Revisions and leases are given out again from where the copy stands.
         Unless it cuts them, watches go on from where they began.
         """
         self.era += 1
-        self.table = copy.table
-        self.evacuated = dict(copy.evacuated)
-        self.endpoints = dict(copy.endpoints)
-        self.revision = copy.revision
-        self.table_revision = copy.table_revision
-        self.hosts = dict(copy.hosts)
-        self._leases = copy.leases
+        self.table = snapshot.table
+        self.evacuated = dict(snapshot.evacuated)
+        self.endpoints = dict(snapshot.endpoints)
+        self.revision = snapshot.revision
+        self.table_revision = snapshot.table_revision
+        self.hosts = dict(snapshot.hosts)
+        self._lease_count = snapshot.leases
         if not cut:
             return
-        self._cuts += 1
+        self._reset_count += 1
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -141,27 +141,27 @@
         self.reads += 1
         if self.is_down:
             return result.Err(gateway.Unavailable('down'))
-        if self.history_gone or after.revision > self.revision:
-            self.history_gone = False
+        if self.is_history_compacted or after.revision > self.revision:
+            self.is_history_compacted = False
             return result.Err(gateway.HistoryGone())
-        cuts = self._cuts
+        reset_count = self._reset_count
         try:
             async with asyncio.timeout(wait_s):
-                while not self.history_gone and (
+                while not self.is_history_compacted and (
                     self.table_revision <= after.revision
                     or self.is_deaf
                     or self.is_down
                 ):
                     changed = self._changed
                     await changed.wait()
-                    if self._cuts != cuts:
+                    if self._reset_count != reset_count:
                         return result.Err(gateway.Unavailable('reset'))
         except TimeoutError:
             if after.era != self.era:
                 return result.Err(gateway.HistoryGone())
             return result.Ok(None)
-        if self.history_gone:
-            self.history_gone = False
+        if self.is_history_compacted:
+            self.is_history_compacted = False
             return result.Err(gateway.HistoryGone())
         return result.Ok(self._read())
 
@@ -205,9 +205,9 @@
             for lease, each in self.hosts.items()
             if each.host != entry.host
         }
-        self._leases += 1
-        self.hosts[self._leases] = entry
-        return result.Ok(gateway.Lease(self.era, self._leases))
+        self._lease_count += 1
+        self.hosts[self._lease_count] = entry
+        return result.Ok(gateway.Lease(self.era, self._lease_count))
 
     async def find_lease(
         self, host: core.HostId
--- a/rudderrock/standins/_wire_server.py
+++ b/rudderrock/standins/_wire_server.py
@@ -71,9 +71,9 @@
         self._stop_listening()
         for task in self._tasks - {asyncio.current_task()}:
             task.cancel()
-        self._restart = asyncio.create_task(self._start_again(down_s))
+        self._restart = asyncio.create_task(self._restart_listening(down_s))
 
-    async def _start_again(self, down_s: float) -> None:
+    async def _restart_listening(self, down_s: float) -> None:
         await asyncio.sleep(down_s)
         await self.start(*self._address)
 
--- a/rudderrock/standins/_wire_upstream.py
+++ b/rudderrock/standins/_wire_upstream.py
@@ -29,7 +29,7 @@
     UNSIGNED = 'unsigned'
     CLOSING = 'closing'
     EARLY = 'early'
-    SAYING_421 = 'misdirected'
+    MISDIRECTED = 'misdirected'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -43,10 +43,10 @@
     every_s: float
     phase_s: float = 0.0
 
-    def get_left(self, now: float) -> float:
+    def get_remaining_s(self, now: float) -> float:
         """Return for how long a pause still lasts, 0 without one."""
-        since_s = (now + self.phase_s) % self.every_s
-        return max(0.0, self.length_s - since_s)
+        elapsed_s = (now + self.phase_s) % self.every_s
+        return max(0.0, self.length_s - elapsed_s)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -78,7 +78,7 @@
         names: gateway.HeaderNames,
         records: bytes | Callable[[str], bytes] = b'',
         work_s: float = 0.01,
-        most_connections: int = 1000,
+        max_connections: int = 1000,
         slots: int = 1000,
         pauses: Pauses | None = None,
         connect_s: float = 0.0,
@@ -93,7 +93,7 @@
         self.crash_log: list[tuple[float, str]] = []
         # Called when it crashes, for what stands before it.
         self.on_crash: Callable[[], None] = lambda: None
-        self.most_connections = most_connections
+        self.max_connections = max_connections
         self.runs: list[WireRun] = []
         self.finished = 0
         self.timed_arrivals: list[tuple[float, str]] = []
@@ -120,7 +120,7 @@
         self.open += 1
         self.most_open = max(self.most_open, self.open)
         try:
-            if self.open <= self.most_connections:
+            if self.open <= self.max_connections:
                 await self._serve(reader, writer)
         finally:
             self.open -= 1
@@ -133,13 +133,13 @@
             await self.wait_if_silent()
             at = asyncio.get_running_loop().time()
             if self.conduct is Conduct.EARLY:
-                writer.write(_make(400, [], b''))
+                writer.write(_render_reply(400, [], b''))
             body = await reader.readexactly(head.body_length)
             run = self._make_run(at, head, body)
             self.timed_arrivals.append((run.at, run.request_id))
             if self.conduct is Conduct.EARLY:
                 continue
-            if not await self._treat(run, reader, writer):
+            if not await self._handle_request(run, reader, writer):
                 return
 
     def _make_run(
@@ -160,18 +160,20 @@
         """Return when it crashed."""
         return [at for at, _ in self.crash_log]
 
-    async def _treat(self, run: WireRun, reader, writer) -> bool:
+    async def _handle_request(self, run: WireRun, reader, writer) -> bool:
         """Answer one request; tell whether the connection goes on."""
         wanted = run.headers.get(self._names.expected_upstream.decode())
         if wanted not in (None, self.upstream):
-            writer.write(_make(421, [], b''))
+            writer.write(_render_reply(421, [], b''))
             return True
         match self.conduct:
             case Conduct.SHEDDING:
-                writer.write(_make(503, [(self._names.not_run, b'1')], b''))
+                writer.write(
+                    _render_reply(503, [(self._names.not_run, b'1')], b'')
+                )
                 return True
-            case Conduct.SAYING_421:
-                writer.write(_make(421, [], b''))
+            case Conduct.MISDIRECTED:
+                writer.write(_render_reply(421, [], b''))
                 return True
         self.runs.append(run)
         if not await self._work(reader):
@@ -190,7 +192,7 @@
         self.working += 1
         try:
             async with self._slots:
-                work_s = self.work_s + self._get_pause()
+                work_s = self.work_s + self._get_pause_s()
                 done, _ = await asyncio.wait({gone}, timeout=work_s)
         finally:
             self.working -= 1
@@ -201,22 +203,22 @@
             return True
         return False
 
-    def _get_pause(self) -> float:
+    def _get_pause_s(self) -> float:
         if self.pauses is None:
             return 0.0
-        return self.pauses.get_left(asyncio.get_running_loop().time())
+        return self.pauses.get_remaining_s(asyncio.get_running_loop().time())
 
     async def _answer(self, run: WireRun, writer) -> bool:
         names = self._names
         echo = (names.request_id, run.request_id.encode())
         stamp = (names.stamp, f'{self.upstream}.{run.request_id}'.encode())
         body = self._make_body(run.request_id)
-        whole = _make(200, [echo, stamp], body)
+        whole = _render_reply(200, [echo, stamp], body)
         match self.conduct:
             case Conduct.GOOD:
                 writer.write(whole)
             case Conduct.FAILING:
-                writer.write(_make(500, [echo, stamp], b'failed'))
+                writer.write(_render_reply(500, [echo, stamp], b'failed'))
             case Conduct.RESETTING:
                 return False
             case Conduct.SILENT:
@@ -245,17 +247,17 @@
             case Conduct.DOUBLING:
                 writer.write(whole)
                 await asyncio.sleep(0.002)
-                writer.write(_make(200, [echo, stamp], b'e' * 16))
+                writer.write(_render_reply(200, [echo, stamp], b'e' * 16))
             case Conduct.SPOILING:
                 writer.write(b'\x00\x01 no http \r\n\r\n')
             case Conduct.ENCODING:
                 coded = (b'content-encoding', b'gzip')
-                writer.write(_make(200, [echo, stamp, coded], body))
+                writer.write(_render_reply(200, [echo, stamp, coded], body))
             case Conduct.UNSIGNED:
-                writer.write(_make(200, [echo], body))
+                writer.write(_render_reply(200, [echo], body))
             case Conduct.CLOSING:
                 close = (b'connection', b'close')
-                writer.write(_make(200, [echo, stamp, close], body))
+                writer.write(_render_reply(200, [echo, stamp, close], body))
                 await writer.drain()
                 writer.close()
                 await asyncio.sleep(1.0)
@@ -263,6 +265,6 @@
         return True
 
 
-def _make(status: int, headers: gateway.Headers, body: bytes) -> bytes:
+def _render_reply(status: int, headers: gateway.Headers, body: bytes) -> bytes:
     reply = gateway.Reply(status, headers, body)
     return gateway.render_reply(reply, close=False)
