--- a/rudderrock/soak/__init__.py
+++ b/rudderrock/soak/__init__.py
@@ -1,8 +1,11 @@
-"""A randomized soak of the real programs as separate processes.
+"""Randomized fault-injection test of the gateway programs.
 
-Faults are injected from outside: a proxy on each way, signals, and a store
-and upstreams that misbehave. What callers and upstreams see is checked.
-The time of day is used for log lines only, so it is left alone.
+Each host runs as a separate process. Faults are injected from outside: by
+proxies between the hosts, the store and the upstreams, by signals, and by
+stand-ins of the store and the upstreams that misbehave. The replies that
+callers receive and the requests that upstreams run are checked against the
+gateway's guarantees. The wall clock is not changed, because the programs use
+it only for log lines.
 """
 
 from rudderrock.soak._checks import check_records
--- a/rudderrock/soak/_checks.py
+++ b/rudderrock/soak/_checks.py
@@ -1,4 +1,8 @@
-"""The promises, checked by what callers got and upstreams ran."""
+"""Checks of the gateway's guarantees after a soak run.
+
+The checks compare the replies that callers received with the requests that
+upstreams ran.
+"""
 
 import bisect
 import collections
@@ -11,24 +15,27 @@
 TOP_K = 4
 MIN_COVERAGE = 0.5
 MAX_ATTEMPTS = 2
-# Statuses that promise that a request has not run and never will.
+# Statuses by which the gateway guarantees that a request has not run and will
+# not run.
 NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
-# From so long after the third upstream has crashed under a request, seconds,
-# copies of it that were sent in calm moments may reach upstreams this often: a
-# canary waits until a service has an upstream to spare.
+# Once a request has crashed three upstreams, the hosts have this many seconds
+# to quarantine it. After that, at most MAX_LATE_LETHAL of its copies sent in
+# undisturbed periods may reach upstreams, as canaries: a canary waits until
+# its service has an upstream to spare.
 LETHAL_KNOWN_S = 4.0
 MAX_LATE_LETHAL = 3
-# From so long after a version was written, in seconds, requests that are sent
-# in calm moments are served by it.
+# A request sent in an undisturbed period this long after a table version was
+# written must be served by that version or a later one.
 TABLE_DEADLINE_S = 3.0
-# And so long after an upstream said that it leaves they do not reach it.
+# A request sent in an undisturbed period this long after an upstream started
+# to drain must not reach that upstream.
 DRAIN_DEADLINE_S = 3.0
 _RECORDS_PER_REPLY = 6
 _RECORD_BYTES = 16
 
 
 def make_records(upstream: str, request_id: str) -> bytes:
-    """Return the records that an upstream has for one request."""
+    """Return the records in an upstream's reply to one request."""
     return b''.join(
         hashlib.md5(
             f'{upstream}/{request_id}/{number}'.encode(),
@@ -40,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Violation:
-    """A promise that did not hold, and what shows it."""
+    """A violated guarantee and the evidence for it."""
 
     promise: str
     detail: str
@@ -48,11 +55,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Sent:
-    """One request of a caller and what came back.
+    """One request of a caller and the reply to it.
 
-    `status` is 0 if the connection ended without an answer. Times are of
-    the loop, in seconds. `calm` tells that nothing unplanned was going on
-    from a while before until its end.
+    `status` is 0 if the connection ended without a reply. Times are in
+    seconds, by the clock of the event loop. `calm` is whether no unplanned
+    fault was active while the request was in flight or in the last seconds
+    before it was sent.
     """
 
     request_id: str
@@ -69,25 +77,31 @@
     calm: bool = False
 
     def get_header(self, name: bytes) -> str:
-        """Return a header of the reply, or nothing."""
+        """Return a header of the reply, or an empty string."""
         return self.headers.get(name.decode('ascii'), '')
 
     @property
     def is_once(self) -> bool:
-        """Tell whether it may run at most once."""
+        """Return whether the request may run at most once."""
         return self.target.startswith('/once/')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Records:
-    """All that is known after a run.
-
-    `shard_sets` are the sets of shards that any version named, `services`
-    gives the service of each upstream, `moves` the order of the services
-    that the moved route had, and `moved_at` when each was written.
-    `drained_at` tells when upstreams said that they leave. `crashes` are the
-    times at which upstreams crashed, by the `lethal` targets of the requests
-    that did it.
+    """The observations of one soak run.
+
+    `sent` are the callers' requests. `runs` are pairs of an upstream and a
+    request that it ran. `arrivals` holds, by service, the time and the id
+    of each request that reached an upstream. `shard_sets` are the sets of
+    shards that any table version named. `services` is the service of each
+    upstream. `moves` are the successive target services of the route
+    `/moved/`, and `moved_at` the times at which each was written to the
+    table. `ratio`, `slack` and `window_s` bound the extra requests to a
+    service: in each window of `window_s` seconds at most `ratio` times the
+    first requests plus `slack`. `crashes` holds the times at which upstreams
+    crashed, by the target of the lethal request. `drained_at` is when each
+    draining upstream registered that it drains. All times are in seconds, by
+    the clock of the event loop.
     """
 
     sent: list[Sent]
@@ -105,7 +119,7 @@
 
 
 def check_records(records: Records) -> list[Violation]:
-    """Return every promise that was broken."""
+    """Return all violated guarantees."""
     by_id = {each.request_id: each for each in records.sent}
     runs = collections.defaultdict(list)
     for upstream, run in records.runs:
@@ -133,8 +147,9 @@
         note('at most once', f'ran {len(runs)} times')
     if sent.is_once and runs and sent.status in NOT_EXECUTED_STATUSES:
         note('a refusal is true', f'{sent.status} but it ran')
-    # What is bounded is the upstreams that a request is sent to: where a host
-    # that asks a shard for another shows no sign, each may run it again.
+    # The limit applies to the number of upstreams, not to the number of runs.
+    # If a host that queries a shard on behalf of another host sends no interim
+    # reply in time, both hosts may send the request to the same upstream.
     upstreams = {name for name, _ in runs}
     counts = collections.Counter(records.services[name] for name in upstreams)
     if counts and max(counts.values()) > MAX_ATTEMPTS:
@@ -149,7 +164,7 @@
 
 
 def _find_reply_problem(records: Records, sent: Sent) -> str:
-    """Return what is wrong with an answer, or nothing."""
+    """Return the fault of a reply, or an empty string if it is correct."""
     if not sent.target.startswith('/all/'):
         stamp = sent.get_header(platform.NAMES.stamp)
         upstream, _, request_id = stamp.partition('.')
@@ -180,7 +195,7 @@
 
 
 def _pick_top_records(upstreams: list[str], request_id: str) -> bytes:
-    """Return the greatest records, worked out apart from the gateway."""
+    """Return the greatest `TOP_K` records, without using gateway code."""
     body = b''.join(make_records(name, request_id) for name in upstreams)
     records = [
         body[start : start + _RECORD_BYTES]
@@ -208,7 +223,7 @@
 
 
 def _check_budget(records: Records, by_id) -> list[Violation]:
-    """Slide a window over the extra arrivals of each service."""
+    """Check the bound on extra requests in a sliding window per service."""
     broken = []
     for service, arrivals in records.arrivals.items():
         seen: set[str] = set()
@@ -230,9 +245,9 @@
 
 
 def _list_served_versions(records: Records) -> list[tuple[Sent, int]]:
-    """Return the requests that the moved route answered, and by which version.
+    """Return the answered requests to `/moved/` with their table versions.
 
-    Versions are numbered by the services that the route had in turn.
+    A version is given as the index in `moves` of the service that answered.
     """
     rank = {service: number for number, service in enumerate(records.moves)}
     served = []
@@ -245,7 +260,7 @@
 
 
 def _check_version_order(records: Records) -> list[Violation]:
-    """See that no process goes back to an older table."""
+    """Check that no process reverts to an older table version."""
     broken = []
     newest: dict[tuple[int, int], tuple[int, float]] = {}
     served = _list_served_versions(records)
@@ -261,7 +276,7 @@
 
 
 def _check_table_deadline(records: Records) -> list[Violation]:
-    """See that a version is in force some seconds after it was written."""
+    """Check that hosts apply a table version before the deadline."""
     broken = []
     for sent, number in _list_served_versions(records):
         due = bisect.bisect(records.moved_at, sent.at - TABLE_DEADLINE_S)
@@ -275,7 +290,7 @@
 
 
 def _check_draining(records: Records, by_id) -> list[Violation]:
-    """See that an upstream that leaves gets no new work."""
+    """Check that a draining upstream receives no new requests."""
     broken = []
     for upstream, run in records.runs:
         sent = by_id.get(run.request_id)
@@ -293,7 +308,7 @@
 def _check_lethal(
     records: Records, target: str, crashes: list[float]
 ) -> list[Violation]:
-    """See that a request which crashes upstreams is kept from them."""
+    """Check that a request that crashes upstreams is quarantined."""
     if len(crashes) < 3:
         return []
     known = crashes[2] + LETHAL_KNOWN_S
--- a/rudderrock/soak/_plan.py
+++ b/rudderrock/soak/_plan.py
@@ -1,4 +1,4 @@
-"""What one seed injects, and when."""
+"""The faults that are drawn from one seed, and their times."""
 
 import dataclasses
 import enum
@@ -10,7 +10,7 @@
 
 
 class FaultKind(enum.Enum):
-    """What can be done to the system from outside."""
+    """Faults that can be injected from outside the processes."""
 
     KILL = 'kill'
     STOP = 'stop'
@@ -33,7 +33,7 @@
 
 
 class ProxyFault(enum.Enum):
-    """How a proxy treats the connections through it."""
+    """Faults that a proxy applies to its connections."""
 
     NONE = 'none'
     DELAY = 'delay'
@@ -43,15 +43,17 @@
     STALL_BOTH = 'silence'
 
 
-# Faults that come as planned work; the others are unplanned.
+# Planned operations; all other faults are unplanned.
 PLANNED = frozenset({FaultKind.STOP, FaultKind.RELOAD, FaultKind.MOVE_ROUTE})
-# Drawn apart from the others, so that their number changes nothing else.
+# Drawn from separate random streams, so that the number of these faults does
+# not change the rest of the plan.
 _DRAWN_SEPARATELY = (FaultKind.LETHAL_REQUEST, FaultKind.STORE_RESTORED)
 _DRAWN_TOGETHER = [each for each in FaultKind if each not in _DRAWN_SEPARATELY]
-# The latest part of a seed's length at which a request begins to come that
-# crashes the upstreams which run it: its copies come until the end.
+# A lethal request crashes each upstream that runs it. Its first copy is sent
+# before this fraction of the load's duration, the last ones at the end.
 _MAX_LETHAL_START_FRACTION = 0.4
-# The store is away for this part of the time that other faults last.
+# The outage before the store is restored lasts this fraction of the duration
+# of other faults.
 _OUTAGE_FRACTION = 0.4
 _FAULTY_CONDUCTS = [
     each
@@ -62,9 +64,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault; times in seconds from the start of the load.
+    """One fault, which starts `start_s` seconds after the load.
 
-    `target` picks among the things that fit, `how` is the variant.
+    `target` selects the host, upstream, route or snapshot, modulo the number
+    of candidates. `variant` is the mode of the fault, for kinds that have
+    several.
     """
 
     start_s: float
@@ -76,9 +80,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """Everything that one seed does; `length` in seconds.
+    """The faults and the size of the run of one seed.
 
-    `returns` counts the returns of the store among the faults.
+    `length_s` is the duration of the load. `restores` is how many of the
+    faults restore the store from a snapshot.
     """
 
     seed: int
@@ -93,8 +98,8 @@
 ) -> Plan:
     """Draw a plan: single faults, series of one kind, and overlaps.
 
-    So many requests that crash upstreams, and so many returns of the store
-    from a copy, are drawn apart from the rest.
+    `lethal` requests that crash upstreams and `restores` restorations of the
+    store from a snapshot are drawn from separate random streams.
     """
     rng = core.make_random(seed, 'soak')
     faults: list[Fault] = []
--- a/rudderrock/soak/_proxy.py
+++ b/rudderrock/soak/_proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, cuts one way or goes silent."""
+"""A loopback proxy that delays, resets or stalls its connections."""
 
 import asyncio
 import struct
@@ -8,12 +8,12 @@
 
 _CHUNK_BYTES = 65536
 _DELAY_S = 0.3
-# SO_LINGER with a time of 0 makes a close a reset.
+# With SO_LINGER and a time of 0, closing a socket resets the connection.
 _LINGER = struct.pack('ii', 1, 0)
 
 
 class Proxy:
-    """Passes connections on to one address, with a fault at times."""
+    """Forwards connections to one address and can inject a fault."""
 
     def __init__(self, target: tuple[str, int]):
         self.fault = plan.ProxyFault.NONE
@@ -25,14 +25,14 @@
         self._tasks: set[asyncio.Task] = set()
 
     async def start(self, port: int = 0) -> None:
-        """Listen on loopback."""
+        """Listen on a loopback port; 0 picks a free one."""
         self._server = await asyncio.start_server(
             self._on_connection, '127.0.0.1', port
         )
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Close all."""
+        """Stop listening and close all connections."""
         if self._restart is not None:
             await core.end_task(self._restart)
         self._server.close()
@@ -41,7 +41,10 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def refuse_connections(self, seconds: float) -> None:
-        """Refuse connections for a while, as the server behind it does."""
+        """Drop all connections and refuse new ones for some seconds.
+
+        Simulates a crash and restart of the server.
+        """
         self._server.close()
         for task in list(self._tasks):
             task.cancel()
@@ -52,7 +55,7 @@
         await self.start(self.port)
 
     def set_fault(self, fault: plan.ProxyFault) -> None:
-        """Begin or end a fault; a reset strikes what is open."""
+        """Set the fault; `RESET` also resets the open connections."""
         self.fault = fault
         if fault is plan.ProxyFault.RESET:
             for writer in list(self._writers):
@@ -79,7 +82,8 @@
                 ),
             )
         except (OSError, asyncio.CancelledError):
-            # Either side has gone, or the soak ends; both sides are told.
+            # Either side has closed the connection, or the soak is ending. The
+            # connections to both sides are aborted below.
             return
         finally:
             self._writers.discard(writer)
@@ -98,7 +102,8 @@
             await writer.drain()
         if writer.can_write_eof():
             writer.write_eof()
-        # A server that ends an answer by closing must not be outlived.
+        # The end of a reply may be marked by closing the connection, so when
+        # the server closes, the client's connection must be closed too.
         if cut is plan.ProxyFault.STALL_TO_CLIENT:
             raise ConnectionAbortedError
 
--- a/rudderrock/soak/_run.py
+++ b/rudderrock/soak/_run.py
@@ -1,4 +1,4 @@
-"""Playing one plan: load, faults, and the checks at the end."""
+"""Running one plan: load, fault injection, and the final checks."""
 
 import asyncio
 import collections
@@ -19,25 +19,26 @@
 
 CALLERS = 6
 _REQUEST_INTERVAL_S = 0.04
-# Part of the callers' requests that are copies of a lethal one, once it comes.
+# Fraction of requests that are copies of a lethal one, once there is one.
 _LETHAL_FRACTION = 0.1
 _DEADLINE_MS = 1200
-# What an answer may take beyond the caller's own deadline before the caller
-# counts the connection as ended.
+# A caller counts a connection as failed if no complete reply has arrived this
+# long after the request's deadline.
 _RESPONSE_GRACE_S = 4.0
 _SETTLE_S = 6.0
 _FINAL_TRIES = 5
-# Nothing unplanned for this long makes a moment calm, in seconds.
+# A period counts as undisturbed if no unplanned fault was active for this long
+# before it.
 _UNDISTURBED_S = 4.0
-# How long the store is away before it returns in calm, in seconds.
+# Outage before the store is restored with no other fault active.
 _RESTORE_OUTAGE_S = 0.3
-# Hosts that are stopped once it is calm.
+# Number of hosts that are stopped with no other fault active.
 _UNDISTURBED_STOPS = 2
 
 
 @dataclasses.dataclass(slots=True)
 class Report:
-    """What one seed did and what it found."""
+    """The injected faults, the reply statuses and the violations of a seed."""
 
     seed: int
     injected: collections.Counter[str]
@@ -47,7 +48,7 @@
 
 
 class Run:
-    """One plan under way."""
+    """The execution of one plan."""
 
     def __init__(self, plan: plan_module.Plan, world: world_module.World):
         self.sent: list[checks.Sent] = []
@@ -61,7 +62,7 @@
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self) -> None:
-        """Send load, inject all faults, end them, and probe at the end."""
+        """Send load, inject all faults, then check that all hosts recover."""
         loop = asyncio.get_running_loop()
         await self._world.wait_until_ready()
         started = loop.time()
@@ -93,7 +94,7 @@
         self._mark_undisturbed()
 
     def make_records(self) -> checks.Records:
-        """Return what callers and upstreams have seen."""
+        """Return the observations of callers and upstreams."""
         world = self._world
         runs = [
             (name, run)
@@ -119,14 +120,14 @@
         )
 
     async def _call(self, rng: random.Random) -> None:
-        """Be a caller: use one connection until it ends, then another."""
+        """Send requests as one caller, on one connection at a time."""
         while not self._is_finished:
             host = rng.choice(self._world.hosts)
             try:
                 async with asyncio.timeout(1.0):
                     pair = await asyncio.open_connection(host.ip, host.port)
             except (OSError, TimeoutError):
-                # A host that is down; another one is tried.
+                # The host is down; the next attempt picks a host at random.
                 await asyncio.sleep(_REQUEST_INTERVAL_S)
                 continue
             is_reusable = True
@@ -140,7 +141,7 @@
     async def _exchange(
         self, rng: random.Random, host: world_module.Host, reader, writer
     ) -> bool:
-        """Send one request; tell whether the connection goes on."""
+        """Send one request; return whether the connection can be reused."""
         sent = self._make_request(rng, host)
         self.sent.append(sent)
         writer.write(_render(sent))
@@ -150,7 +151,7 @@
             ):
                 await _read_response(reader, sent)
         except (OSError, EOFError, TimeoutError):
-            # No answer: status 0 says so to the checks.
+            # Status 0 marks a request without a reply for the checks.
             sent.status = 0
         sent.ended = asyncio.get_running_loop().time()
         closes = sent.headers.get('connection') == 'close'
@@ -269,14 +270,17 @@
             await host.start()
 
     async def _stop_undisturbed(self) -> None:
-        """Stop hosts as planned, under load, with nothing else going on."""
+        """Stop hosts as planned, under load, with no other fault active."""
         await asyncio.sleep(_UNDISTURBED_S + 0.5)
         for host in self._world.hosts[:_UNDISTURBED_STOPS]:
             self.injected['stop/calm'] += 1
             await self._stop(host, 0.0)
 
     async def _restore_undisturbed(self) -> None:
-        """Have the store come back from its oldest copy, and wait for calm."""
+        """Restore the store from its oldest snapshot, with no other fault.
+
+        Return when the period counts as undisturbed again.
+        """
         loop = asyncio.get_running_loop()
         started = loop.time()
         self.injected['store_returns/calm'] += 1
@@ -285,7 +289,11 @@
         await asyncio.sleep(_UNDISTURBED_S + 0.5)
 
     async def _change_undisturbed(self) -> None:
-        """Write a version and have an upstream leave, and see it hold."""
+        """Write a table version and drain an upstream, with no other fault.
+
+        Load continues until both must have taken effect, so that the checks
+        have requests from that time.
+        """
         await self._world.move_route()
         shards = self._world.list_upstreams_of_shards()
         self._world.drain(shards[self._plan.seed % len(shards)])
@@ -294,7 +302,7 @@
         )
 
     async def _check_recovery(self) -> None:
-        """See that every host serves once all faults are over."""
+        """Check that every host answers requests after all faults end."""
         await asyncio.sleep(_SETTLE_S)
         rng = core.make_random(self._plan.seed, 'final')
         for host in self._world.hosts:
@@ -335,10 +343,13 @@
     lethal: int = 1,
     returns: int = 0,
 ) -> Report:
-    """Play one seed; the processes' log goes to a file in `folder`.
+    """Run the plan of one seed and return its report.
 
-    So many different requests crash the upstreams which run them, and so
-    often the store comes back from a copy.
+    `length` is the duration of the load in seconds. `hosts` is the number of
+    gateway processes; their logs go to a file in `folder`. `lethal` is the
+    number of different requests that crash the upstreams which run them.
+    `returns` is how many times the store is restored from a snapshot while
+    other faults may be active.
     """
     plan = plan_module.make_plan(seed, length, hosts, lethal, returns)
     with contextlib.ExitStack() as files:
--- a/rudderrock/soak/_world.py
+++ b/rudderrock/soak/_world.py
@@ -1,4 +1,4 @@
-"""The processes under test and what stands around them."""
+"""The gateway processes under test and their stand-ins and proxies."""
 
 import asyncio
 import collections
@@ -21,8 +21,8 @@
 EXTRA_WINDOW_S = 10.0
 STOP_GRACE_S = 3.0
 SHARDS = 4
-# Shards of each set that only the other zone has upstreams of, so that hosts
-# have them asked by hosts there.
+# Shards of each set whose upstreams are all in zone south-1, so that hosts in
+# north-1 delegate requests for them to hosts in south-1.
 REMOTE_SHARDS = 3
 _ZONES = ('north-1', 'south-1')
 ROUTE_TIMEOUT_S = 1.5
@@ -30,23 +30,24 @@
 _NET_BASE = 10
 _NET_COUNT = 200
 _READY_TRIES = 300
-# Between two changes of entries, and copies of the store, in seconds.
+# Interval between snapshots of the store, each followed by a new revision.
 _REVISION_PERIOD_S = 0.5
-# Copies that are kept, the oldest of 10 s ago.
+# Number of snapshots kept; the oldest is 10 s old.
 _MAX_SNAPSHOTS = 20
-# After a return of the store, until the operator writes again, and in how long
-# all upstreams do; seconds.
+# Delay from a restore until the operator writes the table again, and the time
+# in which all upstreams register again after that.
 _REWRITE_DELAY_S = 0.1
 _HEARTBEAT_PERIOD_S = 1.2
 
 
 class Host:
-    """One gateway process; a new incarnation for each start."""
+    """One gateway process; each start is a new incarnation."""
 
     def __init__(self, number: int, folder: pathlib.Path, log):
         self.number = number
-        # Each host has an address of its own, as it has on the platform,
-        # and each soak that runs on this machine has a network of its own.
+        # Each host has its own address, as on the platform. The second octet
+        # depends on the process id, so that soaks that run on one machine at
+        # the same time use different networks.
         self.ip = f'127.{_NET_BASE + os.getpid() % _NET_COUNT}.1.{number + 1}'
         self.incarnation = 0
         self.port = 0
@@ -59,12 +60,12 @@
 
     @property
     def is_up(self) -> bool:
-        """Tell whether the process runs."""
+        """Return whether the process is running."""
         process = self._process
         return process is not None and process.returncode is None
 
     async def configure(self, store: tuple[str, int]) -> None:
-        """Choose ports and write the settings file."""
+        """Start the proxy to the store and write the settings file."""
         self.proxy = proxy.Proxy(store)
         await self.proxy.start()
         self.port = find_ports(_PORTS_PER_HOST, self.ip)
@@ -83,7 +84,7 @@
         )
 
     async def start(self) -> None:
-        """Start the process."""
+        """Start the process as a new incarnation."""
         self.incarnation += 1
         self.is_paused = False
         self.is_stopping = False
@@ -98,12 +99,12 @@
         )
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to the process, which this soak has started."""
+        """Send a signal to the process if it is running."""
         if self.is_up:
             self._process.send_signal(number)
 
     async def wait(self, seconds: float) -> bool:
-        """Wait for the end of the process; tell whether it came."""
+        """Wait for the process to exit; return whether it did in time."""
         try:
             async with asyncio.timeout(seconds):
                 await self._process.wait()
@@ -112,7 +113,7 @@
         return True
 
     async def close(self) -> None:
-        """End the process."""
+        """Kill the process and stop the proxy to the store."""
         if self.is_up:
             self._process.kill()
             await self._process.wait()
@@ -120,7 +121,7 @@
 
 
 class World:
-    """Hosts, store, upstreams and the ways between them."""
+    """Hosts, store, upstreams and the proxies between them."""
 
     def __init__(self, folder: pathlib.Path, log):
         self.store = platform_standins.PlatformStore()
@@ -128,12 +129,13 @@
         self.upstreams: dict[str, standins.WireUpstream] = {}
         self.services: dict[str, str] = {}
         self.proxies: dict[str, proxy.Proxy] = {}
-        # When upstreams said that they leave, and when versions were written.
+        # Times at which upstreams started to drain and table versions were
+        # written, in seconds by the clock of the event loop.
         self.drained_at: dict[str, float] = {}
         self.moved_at: list[float] = []
         self.shard_sets: list[frozenset[str]] = []
         self.moves: list[str] = []
-        # Targets that crash each upstream which runs them.
+        # Targets of requests that crash each upstream which runs them.
         self.lethal: frozenset[str] = frozenset()
         self._folder = folder
         self._log = log
@@ -148,7 +150,7 @@
 
     @contextlib.asynccontextmanager
     async def open(self, hosts: int):
-        """Start everything; end it all when the context ends."""
+        """Start store, upstreams and hosts; stop them at context exit."""
         async with contextlib.AsyncExitStack() as stack:
             port = find_ports(1)
             await self.store.start('127.0.0.1', port)
@@ -207,11 +209,12 @@
         self.store.put_server(name, raw)
 
     async def restore_store(self, away_s: float, age: int) -> None:
-        """Have the store come back from a copy that is some seconds old.
+        """Restore the store from a snapshot, after an outage of `away_s`.
 
-        `age` counts the copies back. The operator writes the newest version
-        again, and the upstreams what they said last and the copy lacks, each
-        at its next heartbeat.
+        `age` counts back from the newest snapshot, modulo the number of
+        snapshots; -1 is the oldest. After the restore the operator writes
+        the newest table version again. Each upstream writes its last entry
+        again at its next heartbeat, if the snapshot lacks it.
         """
         snapshot = self._snapshots[-1 - age % len(self._snapshots)]
         self.store.refusal = platform_standins.Refusal.RESET
@@ -228,13 +231,13 @@
                 self.store.put_server_if_new(name, self._entries[name])
 
     def make_lethal(self, target: str) -> None:
-        """Have each upstream crash that runs a request for a target."""
+        """Make requests for a target crash each upstream that runs them."""
         self.lethal |= {target}
         for model in self.upstreams.values():
             model.lethal = self.lethal
 
     def list_crashes(self) -> dict[str, list[float]]:
-        """Return when upstreams have crashed, by the targets that did it."""
+        """Return the times of upstream crashes by target of the request."""
         crashes = collections.defaultdict(list)
         for model in self.upstreams.values():
             for at, target in model.crash_log:
@@ -242,7 +245,7 @@
         return dict(crashes)
 
     def drain(self, name: str) -> None:
-        """Have an upstream say that it leaves, unless it is the last."""
+        """Register an upstream as draining, unless it is the last one."""
         service = self.services[name]
         others = [
             each
@@ -254,7 +257,7 @@
             self.register(name, 'north-1', 'draining', 2)
 
     def list_upstreams_of_shards(self) -> list[str]:
-        """Return the upstreams of the shards that the newest version names."""
+        """Return the upstreams of the shards in the newest table version."""
         return sorted(
             name
             for name, service in self.services.items()
@@ -262,7 +265,7 @@
         )
 
     async def add_shards(self, count: int) -> None:
-        """Start the shards of a new set; some are in one zone only."""
+        """Start a new set of shards, `REMOTE_SHARDS` of them in one zone."""
         first = len(self.shard_sets) * 100
         total = count + REMOTE_SHARDS
         self._shards = [f'shard-{first + each}' for each in range(total)]
@@ -275,12 +278,12 @@
     async def add_service(
         self, service: str, zones: tuple[str, ...] = _ZONES
     ) -> None:
-        """Start an upstream of a service in each of some zones."""
+        """Start one upstream of a service for each element of `zones`."""
         for zone in zones:
             await self.add_upstream(service, zone)
 
     async def move_route(self) -> None:
-        """Write the next version; it moves one route to a new service."""
+        """Write a table version that moves one route to a new service."""
         self._version += 3
         target = f'moved-{len(self.moves)}'
         await self.add_service(target)
@@ -300,17 +303,17 @@
         self.store.put_config(raw)
 
     async def wait_until_ready(self) -> None:
-        """Wait until every host says that it is ready."""
+        """Wait until the readiness check of every host succeeds."""
         for host in self.hosts:
             for _ in range(_READY_TRIES):
                 if await is_ready(host):
                     break
                 await asyncio.sleep(0.1)
             else:
-                raise RuntimeError(f'host {host.number} never got ready')
+                raise RuntimeError(f'host {host.number} not ready in time')
 
     async def _advance_store(self) -> None:
-        """Change entries now and then, as heartbeats do, and keep copies."""
+        """Take snapshots and advance the revision, as heartbeats would."""
         while True:
             self._snapshots.append(self.store.make_copy())
             await asyncio.sleep(_REVISION_PERIOD_S)
@@ -318,7 +321,7 @@
 
 
 async def is_ready(host: Host) -> bool:
-    """Ask a host's readiness address."""
+    """Return whether a host's readiness endpoint answers with 200."""
     try:
         async with asyncio.timeout(1.0):
             reader, writer = await asyncio.open_connection(
@@ -333,7 +336,7 @@
 
 
 def find_ports(count: int, ip: str = '127.0.0.1') -> int:
-    """Return the first of so many free ports in a row on loopback."""
+    """Return the first of `count` consecutive free ports of an address."""
     while True:
         with socket.socket() as probe:
             probe.bind((ip, 0))
