--- a/rudderrock/standins/__init__.py
+++ b/rudderrock/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins of the outside systems, for tests and the demo."""
+"""Stand-ins of the external systems, for tests and the demo."""
 
 from rudderrock.standins._deployment import Deployment
 from rudderrock.standins._deployment import FIRST_VERSION
--- a/rudderrock/standins/_deployment.py
+++ b/rudderrock/standins/_deployment.py
@@ -1,4 +1,4 @@
-"""A description of the systems that a tier serves, and its stand-ins."""
+"""Descriptions of deployments, and their layouts and upstream models."""
 
 import dataclasses
 import random
@@ -18,11 +18,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Group:
-    """Services of one shape that make up one collection.
+    """Services with equal parameters that make up one collection.
 
-    Each of `services` has `servers` replicas of one shard, with `slots`
-    and `connections` each. `connect_s` is what a new connection takes,
-    `service_s` the median time of a request, both in seconds.
+    Each of the `services` services holds one shard on `servers` replicas.
+    A replica processes `slots` requests at once and accepts `connections`
+    connections. `connect_s` is the time to open a connection and `service_s`
+    the median time to process a request, both in seconds.
     """
 
     __pydantic_config__ = state.FORBID_UNKNOWN
@@ -38,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Network:
-    """Zones by region, and one-way latencies in seconds."""
+    """The zones of each region, and one-way latencies in seconds."""
 
     __pydantic_config__ = state.FORBID_UNKNOWN
 
@@ -49,7 +50,7 @@
     to_clients_s: _Seconds = 0.001
 
     def list_zones(self) -> list[state.ZoneId]:
-        """Return all zones, region by region."""
+        """Return all zones, ordered by region."""
         return [
             state.ZoneId(zone)
             for zones in self.regions.values()
@@ -68,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Deployment:
-    """The systems behind a tier and the zones it runs in."""
+    """The upstreams behind a query tier, its hosts and its network."""
 
     __pydantic_config__ = state.FORBID_UNKNOWN
 
@@ -84,9 +85,9 @@
 ) -> state.Layout:
     """Return the index layout of a deployment at its first version.
 
-    The replicas of a service stand in different zones of one region each.
-    `addresses` gives `IP:port` of each upstream; without it an upstream's
-    id serves as its address, for ports in memory.
+    The replicas of a service are placed in successive zones of
+    `Network.list_zones`. `addresses` holds the `IP:port` of each upstream;
+    an upstream without one uses its id as address, for in-memory ports.
     """
     known = addresses or {}
     layout_upstreams = {}
@@ -127,7 +128,7 @@
     clock: state.Clock,
     source: random.Random,
 ) -> dict[state.UpstreamId, upstreams.UpstreamModel]:
-    """Make the stand-in of every upstream of a layout."""
+    """Return a model of each upstream of a layout."""
     groups = {group.collection: group for group in deployment.groups}
     models = {}
     for name, collection in layout.collections.items():
--- a/rudderrock/standins/_fleet.py
+++ b/rudderrock/standins/_fleet.py
@@ -1,4 +1,4 @@
-"""Several hosts and their stand-ins in one process, on virtual time."""
+"""Several hosts and their stand-ins in one process, in virtual time."""
 
 import asyncio
 import contextlib
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class RunningHost:
-    """One host of a fleet, its ports' faults and its task."""
+    """One host of a fleet, with its ports and its task."""
 
     host: coordination.EntryHost
     upstream_port: memory.MemoryUpstreamPort
@@ -40,11 +40,11 @@
 
 
 class MemoryFleet:
-    """A deployment's stand-ins and the hosts in front of them.
+    """The stand-ins of a deployment and the hosts in front of them.
 
-    Parameters: `deployment` describes the systems, `clock` reads the
-    running loop, `seed` fixes all randomness, `settings` are the parts of
-    the hosts' settings that differ from the defaults.
+    `deployment` describes the systems. `clock` reads the time of the running
+    loop. `seed` determines all random choices. `settings` holds the sections
+    of the hosts' settings that differ from the defaults.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         self._crashed: set[str] = set()
 
     async def start(self, hosts: int) -> None:
-        """Publish table and layout and start hosts, zone after zone."""
+        """Publish table and layout, and start hosts in alternating zones."""
         await self.publish_layout(self.layout)
         table = state.Table(revision=state.Revision(1))
         await loopback.publish(self.kv, coordination.TABLE_KEY, table)
@@ -88,18 +88,18 @@
         await self.wait_until_ready()
 
     async def publish_layout(self, layout: state.Layout) -> None:
-        """Replace the layout in the key-value service."""
+        """Write the layout to the key-value service."""
         self.layout = layout
         await loopback.publish(self.kv, coordination.LAYOUT_KEY, layout)
 
     async def change_layout(self, **changes: Any) -> None:
-        """Publish the layout with some of its fields replaced."""
+        """Publish the next revision of the layout with `changes` applied."""
         revision = state.Revision(self.layout.revision + 1)
         layout = dataclasses.replace(self.layout, revision=revision, **changes)
         await self.publish_layout(layout)
 
     async def set_row(self, team: str, **fields: Any) -> state.Edit:
-        """Set a team's row, making its token on first use."""
+        """Set fields of a team's row; create its token on first use."""
         table = (await self.editor.read()).unwrap()
         base = table.rows.get(team)
         if team not in self.tokens:
@@ -122,7 +122,7 @@
         raise AssertionError(f'edit not accepted: {outcome}')
 
     def start_host(self, name: str, zone: state.ZoneId) -> RunningHost:
-        """Start one host; it becomes ready by itself."""
+        """Start one host, without waiting until it is ready."""
         self._started += 1
         address = f'127.0.0.1:{_BASE_PORT + self._started}'
         settings = self._make_settings(name, zone, address)
@@ -151,21 +151,24 @@
         return running
 
     async def stop_host(self, name: str) -> None:
-        """Stop a host as planned."""
+        """Stop a host gracefully and remove it from the host list."""
         running = self.hosts[name]
         await running.host.stop()
         await running.task
         self._remove_from_list(name)
 
     async def crash_host(self, name: str) -> None:
-        """End a host with no warning."""
+        """End a host abruptly; it stays in the host list."""
         self._crashed.add(name)
         running = self.hosts[name]
         self.peers.remove(running.address)
         await core.end_task(running.task)
 
     def cut_off(self, name: str, cut: bool) -> None:
-        """Cut a host off from the key-value service and from all peers."""
+        """Disconnect a host from the key-value service and all peers.
+
+        With `cut` False, reconnect it.
+        """
         running = self.hosts[name]
         running.kv.cut = cut
         for other in self.hosts.values():
@@ -176,7 +179,11 @@
                 self.peers.faults.cut.discard(pair)
 
     def freeze(self, name: str, frozen: bool) -> None:
-        """Pause a host: what it is told arrives only after the pause."""
+        """Pause or resume a host; a paused host receives no replies.
+
+        Replies of the key-value service and of upstreams arrive when the
+        host resumes. Messages between it and its peers are lost.
+        """
         running = self.hosts[name]
         pauses = (running.kv.pause, running.upstream_port.pause)
         for pause in pauses:
@@ -190,17 +197,20 @@
             self.peers.faults.paused.discard(running.address)
 
     def forget_host(self, name: str) -> None:
-        """Let the platform's list notice, at last, that a host is gone."""
+        """Remove a crashed host from the platform's host list."""
         self._remove_from_list(name)
 
     async def wait_until_ready(self) -> None:
-        """Wait until all hosts serve and have connections everywhere."""
+        """Wait until all hosts are ready and no upstream is `CONNECTING`."""
         async with asyncio.timeout(_READY_TIMEOUT_S):
             while not all(map(self._is_ready, self.hosts.values())):
                 await asyncio.sleep(_READY_POLL_S)
 
     async def wait_until_in_force(self, revision: state.Revision) -> float:
-        """Wait until every live host has a revision; return the seconds."""
+        """Wait until every running host has applied a table revision.
+
+        Return the time waited, in seconds.
+        """
         began = self.clock.now()
         async with asyncio.timeout(_READY_TIMEOUT_S):
             while any(
@@ -214,9 +224,9 @@
     async def query(
         self, name: str, team: str, collection: str, body: str = '"q"'
     ) -> protocol.Outcome | None:
-        """Send one query of a team to one host.
+        """Send a query of a team to a host and return the outcome.
 
-        Returns None if the host crashed before it had answered.
+        Return None if the host crashed before it answered.
         """
         host = self.hosts[name].host
         known = host.authenticate(self.tokens.get(team))
@@ -240,9 +250,9 @@
         key: str,
         body: str = '"pass"',
     ) -> protocol.Outcome | None:
-        """Send one non-idempotent request of a team to one host.
+        """Send a non-idempotent request of a team to a host.
 
-        Returns None if the host crashed before it had answered.
+        Return the outcome, or None if the host crashed before it answered.
         """
         host = self.hosts[name].host
         row = host.authenticate(self.tokens[team]).unwrap()
@@ -260,11 +270,11 @@
         return f'{unix:010d}-{self.source.getrandbits(64):016x}'
 
     def list_runs(self) -> list[upstreams.Run]:
-        """Return all that upstreams have worked on, by their own record."""
+        """Return the requests that the upstreams have recorded as run."""
         return [run for model in self.models.values() for run in model.runs]
 
     async def close(self) -> None:
-        """End all hosts."""
+        """Crash all running hosts."""
         for name, running in self.hosts.items():
             if not running.task.done():
                 await self.crash_host(name)
@@ -305,7 +315,7 @@
     seed: int,
     settings: dict[str, Any] | None = None,
 ):
-    """Run a fleet while the context lasts, on the running loop."""
+    """Run a fleet on the running loop for the duration of the context."""
     clock = state.Clock(asyncio.get_running_loop(), 1_700_000_000.0)
     fleet = MemoryFleet(deployment, clock, seed, settings)
     try:
--- a/rudderrock/standins/_host_source.py
+++ b/rudderrock/standins/_host_source.py
@@ -1,4 +1,4 @@
-"""One host's way to a source, which may be barred for this host only."""
+"""A host's connection to a shared source, with faults for that host only."""
 
 import asyncio
 import functools
@@ -23,12 +23,12 @@
 
 
 class HostSource:
-    """Passes calls on to a shared source unless the way is barred.
+    """Forwards calls to a shared source, unless a fault is set.
 
-    `is_refused` makes calls fail at once, `is_silent` makes them hang for
-    `patience_s`, as if the host's packets were dropped. A call that is
-    under way when the way becomes silent gets no answer either. Each call
-    takes `delay_s` longer, as by a thin link; 0 is one turn of the loop.
+    With `is_refused`, calls fail at once. With `is_silent`, calls time out
+    after `timeout_s`, as if the host's packets were dropped; so do calls in
+    flight when it is set. `delay_s` is added to each call, as by a slow
+    link; 0 yields to the event loop once.
     """
 
     def __init__(
--- a/rudderrock/standins/_hosts.py
+++ b/rudderrock/standins/_hosts.py
@@ -1,4 +1,4 @@
-"""The platform's host list behind HTTP."""
+"""An HTTP application that serves the platform's host list."""
 
 from starlette import applications
 from starlette import requests
@@ -13,7 +13,7 @@
 def make_host_list_app(
     hosts: memory_hosts.MemoryHostList,
 ) -> applications.Starlette:
-    """Put a host list behind HTTP."""
+    """Return an application that serves a host list over HTTP."""
 
     async def list_hosts(request: requests.Request) -> responses.Response:
         listed = await hosts.list_hosts()
--- a/rudderrock/standins/_kv.py
+++ b/rudderrock/standins/_kv.py
@@ -1,7 +1,7 @@
-"""A stand-in of the platform's key-value service, with faults to order.
+"""A stand-in of the platform's key-value service, with fault injection.
 
-`MemoryKv` is the service itself and fits the port directly; `make_kv_app`
-puts it behind HTTP. Faults are attributes that a scenario sets.
+`MemoryKv` is the service itself and implements `transport.KvPort`;
+`make_kv_app` serves it over HTTP. Faults are attributes that a scenario sets.
 """
 
 import asyncio
@@ -21,11 +21,11 @@
 
 @dataclasses.dataclass(slots=True)
 class KvFaults:
-    """What is wrong with the service just now.
+    """Active faults of the key-value service.
 
     `down` refuses every call. `delay_s` is added to each call, in seconds.
-    `lose_replies` lets that many writes take effect without a reply.
-    `drop_watches` keeps watches from noticing anything.
+    `lose_replies` is how many of the next swaps take effect but return an
+    error. `drop_watches` keeps watches from returning changes.
     """
 
     down: bool = False
@@ -43,14 +43,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KvSnapshot:
-    """All keys of the service at one moment."""
+    """A snapshot of all keys of the service."""
 
     entries: dict[str, protocol.Entry]
     version: int
 
 
 class MemoryKv:
-    """Keys with versions, compare-and-swap, leases and watches."""
+    """An in-memory key-value service with leases and watches.
+
+    Each key has a version, by which `swap` compares.
+    """
 
     def __init__(self, clock: state.Clock, latency_s: float = 0.001):
         self.faults = KvFaults()
@@ -67,7 +70,7 @@
     async def get(
         self, key: str
     ) -> result.Result[protocol.Entry, transport.KvUnavailable]:
-        """Read one key."""
+        """Return the value and version of a key."""
         self.reads += 1
         if await self._delay_and_check_down():
             return _unavailable()
@@ -79,7 +82,7 @@
         int,
         transport.KvConflict | transport.KvUnavailable | transport.LeaseGone,
     ]:
-        """Compare and swap one key; return its new version."""
+        """Write a key if its version is as expected; return its version."""
         self.writes += 1
         if await self._delay_and_check_down():
             return _unavailable()
@@ -100,7 +103,7 @@
     async def watch(
         self, key: str, after: int, timeout_s: float
     ) -> result.Result[protocol.Entry, transport.KvUnavailable]:
-        """Wait for a version later than `after`, or the time to be over."""
+        """Return a key once its version exceeds `after`, or at the timeout."""
         self.reads += 1
         if await self._delay_and_check_down():
             return _unavailable()
@@ -122,7 +125,7 @@
     async def grant(
         self, ttl_s: float
     ) -> result.Result[str, transport.KvUnavailable]:
-        """Grant a lease; return its id."""
+        """Grant a lease and return its id."""
         self.writes += 1
         if await self._delay_and_check_down():
             return _unavailable()
@@ -133,7 +136,7 @@
     async def renew(
         self, lease: str
     ) -> result.Result[None, transport.LeaseGone | transport.KvUnavailable]:
-        """Prolong a lease by its time to live."""
+        """Extend a lease to its full time to live from now."""
         self.writes += 1
         if await self._delay_and_check_down():
             return _unavailable()
@@ -146,7 +149,7 @@
     async def revoke(
         self, lease: str
     ) -> result.Result[None, transport.LeaseGone | transport.KvUnavailable]:
-        """Take a lease back, and with it the keys that hang on it."""
+        """Revoke a lease and delete the keys attached to it."""
         self.writes += 1
         if await self._delay_and_check_down():
             return _unavailable()
@@ -156,28 +159,32 @@
         return result.Ok(None)
 
     async def set_down(self, down: bool) -> None:
-        """Start or end an outage; waiting watches end with it."""
+        """Start or end an outage; a start ends the waiting watches."""
         self.faults.down = down
         async with self._changed:
             self._changed.notify_all()
 
     def count_keys(self, prefix: str) -> int:
-        """Return how many keys begin with a prefix."""
+        """Return the number of keys with a prefix."""
         return sum(key.startswith(prefix) for key in self._entries)
 
     async def put_unless_down(self, key: str, value: object) -> None:
-        """Write a key past all callers, as an operator of the platform."""
+        """Write a key without a version check, unless the service is down.
+
+        Simulates a write by an operator of the platform.
+        """
         if not self.faults.down:
             await self._write(key, protocol.encode(value))
 
     def make_copy(self) -> KvSnapshot:
-        """Return a copy of all keys; leases are not in it."""
+        """Return a snapshot of all keys, without the leases."""
         return KvSnapshot(dict(self._entries), self._version)
 
     async def come_back(self, snapshot: KvSnapshot) -> None:
-        """Hold what a copy held, and nothing that came after it.
+        """Restore the keys of a snapshot, and end an outage.
 
-        Versions are given out again from where the copy stands.
+        Later writes are lost, and versions that were assigned after the
+        snapshot are assigned again.
         """
         self._entries = dict(snapshot.entries)
         self._version = snapshot.version
@@ -227,7 +234,7 @@
 
 
 def make_kv_app(kv: MemoryKv) -> applications.Starlette:
-    """Put a key-value service behind HTTP."""
+    """Return an application that serves a key-value service over HTTP."""
 
     def post(path, cls, handle):
         async def endpoint(request: requests.Request) -> responses.Response:
--- a/rudderrock/standins/_loopback.py
+++ b/rudderrock/standins/_loopback.py
@@ -1,4 +1,4 @@
-"""The stand-ins of a whole deployment, served over loopback."""
+"""Serving the stand-ins of a whole deployment over loopback."""
 
 import asyncio
 import contextlib
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class LoopbackStandins:
-    """Stand-ins under way: the models, and where they listen."""
+    """Running stand-ins: the models and their addresses."""
 
     kv: kvs.MemoryKv
     kv_address: str
@@ -38,9 +38,10 @@
     kv_address: str = _ANY_PORT,
     host_list_address: str = _ANY_PORT,
 ):
-    """Serve a deployment's stand-ins over loopback while the context lasts.
+    """Serve a deployment's stand-ins over loopback during the context.
 
-    The layout has been published by the time the context is entered.
+    The `layout` of the yielded object has the addresses of the running
+    upstreams; the caller publishes it.
     """
     servers: list[transport.HttpServer] = []
 
@@ -55,7 +56,8 @@
         stack.push_async_callback(_close_all, servers)
 
         kv = kvs.MemoryKv(clock)
-        # Ends the waiting watches, so that the servers can close at once.
+        # Ends the waiting watches, so that the servers can close without
+        # delay.
         stack.push_async_callback(kv.set_down, True)
         host_list = memory_hosts.MemoryHostList()
         draft = deployments.make_layout(deployment)
@@ -80,7 +82,7 @@
 
 
 async def publish(kv: transport.KvPort, key: str, value: object) -> None:
-    """Replace a value of the key-value service, whatever it is."""
+    """Write a value to the key-value service, whatever its version."""
     entry = (await kv.get(key)).unwrap()
     request = protocol.SwapRequest(
         key=key, value=protocol.encode(value), expected=entry.version
@@ -89,5 +91,5 @@
 
 
 async def _close_all(servers: list[transport.HttpServer]) -> None:
-    """Close servers side by side; one by one would take seconds."""
+    """Close servers concurrently; in sequence it would take seconds."""
     await asyncio.gather(*(server.close() for server in servers))
--- a/rudderrock/standins/_memory.py
+++ b/rudderrock/standins/_memory.py
@@ -1,4 +1,4 @@
-"""The way to upstreams in memory, for scenarios on virtual time."""
+"""In-memory connections to upstream models, for scenarios in virtual time."""
 
 import asyncio
 import dataclasses
@@ -18,10 +18,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class LinkFaults:
-    """What is wrong with the way to upstreams just now, as parts of 1.
+    """Active faults of the connections to upstreams.
 
-    `lose` drops a connection in the middle of an exchange, `cross` swaps
-    the replies of two exchanges, `delay_s` adds seconds to each reply.
+    `lose` is the probability that a connection is lost during an exchange,
+    `cross` the probability that a reply is swapped with that of another
+    exchange. `delay_s` is added to each reply, in seconds.
     """
 
     lose: float = 0.0
@@ -40,7 +41,7 @@
 
     @property
     def is_usable(self) -> bool:
-        """Tell whether an exchange may start on it."""
+        """Return whether an exchange may start on this connection."""
         return self._open and not self._model.faults.lost
 
     async def exchange(
@@ -48,7 +49,10 @@
         request: protocol.ShardRequest,
         ticket: transport.ExchangeTicket,
     ) -> protocol.ShardReply:
-        """Send a request and read its whole reply."""
+        """Send a request and return its reply.
+
+        Return `ShardTimeout` if there is none by `ticket.until`.
+        """
         try:
             async with asyncio.timeout_at(ticket.until) as abort:
                 ticket.arm(abort)
@@ -57,7 +61,7 @@
             return protocol.ShardTimeout()
 
     async def close(self) -> None:
-        """Close the connection; harmless if it is closed."""
+        """Close the connection, unless it is closed already."""
         if self._open:
             self._open = False
             self._model.disconnect()
@@ -87,7 +91,8 @@
 class MemoryUpstreamPort:
     """Connects one host to upstream models in the same process.
 
-    Parameters: `zone` is the host's own; `network` gives latencies.
+    `zone` is the zone of the host; with the zone of the upstream it
+    determines the latency in `network`. `source` draws the faults.
     """
 
     def __init__(
@@ -108,7 +113,7 @@
     async def connect(
         self, upstream: state.Upstream
     ) -> result.Result[MemoryConnection, transport.ConnectFailed]:
-        """Open a connection, which takes what the model says."""
+        """Open a connection, which takes `connect_s` of the model."""
         model = self._models.get(upstream.upstream)
         if model is None or not model.connect():
             await asyncio.sleep(self._network.between_zones_s)
@@ -122,10 +127,10 @@
         return result.Ok(MemoryConnection(self, model, latency_s))
 
     def draw_fraction(self) -> float:
-        """Draw a number from 0 to 1 for a fault."""
+        """Return a random number in [0, 1) that decides on a fault."""
         return self._source.random()
 
     def swap_reply(self, reply: protocol.ShardReply) -> protocol.ShardReply:
-        """Keep a reply and give the one kept before in its place."""
+        """Keep a reply and return the one kept before, if there is one."""
         held, self._held_reply = self._held_reply, reply
         return held or reply
--- a/rudderrock/standins/_memory_hosts.py
+++ b/rudderrock/standins/_memory_hosts.py
@@ -1,4 +1,4 @@
-"""The ways between hosts and to the platform in memory."""
+"""In-memory connections between hosts and to the platform."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -18,7 +18,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class PeerFaults:
-    """What is wrong between hosts: cut pairs, and the part lost."""
+    """Active faults between hosts.
+
+    `lose` is the probability that a message is lost. `cut` holds the pairs
+    of addresses without a connection, `paused` the addresses of paused
+    hosts.
+    """
 
     lose: float = 0.0
     cut: set[frozenset[str]] = dataclasses.field(default_factory=set)
@@ -40,11 +45,11 @@
         self._source = source
 
     def add(self, address: str, host: object) -> None:
-        """Let a host be reached at an address."""
+        """Make a host reachable at an address."""
         self._hosts[address] = host
 
     def remove(self, address: str) -> None:
-        """Let a host be gone, as by a crash."""
+        """Make an address unreachable, as after a crash."""
         self._hosts.pop(address, None)
 
     def make_port(self, address: str) -> 'MemoryPeerPort':
@@ -52,7 +57,7 @@
         return MemoryPeerPort(self, address)
 
     async def deliver(self, sender: str, receiver: str, message: object):
-        """Carry one message; return the host reached, or None."""
+        """Deliver a message; return the receiver, or None if it is lost."""
         self.messages += 1
         self.bytes += len(protocol.encode(message))
         await asyncio.sleep(self._latency_s)
@@ -66,7 +71,7 @@
 
 
 class MemoryPeerPort:
-    """One host's way to its peers."""
+    """The peer port of one host."""
 
     def __init__(self, network: MemoryPeers, address: str):
         self._network = network
@@ -75,7 +80,7 @@
     async def probe(
         self, address: str, message: protocol.Probe, timeout_s: float
     ) -> result.Result[protocol.ProbeReply, transport.PeerUnreachable]:
-        """Send a probe and wait for its reply."""
+        """Send a probe to a peer and return its reply."""
 
         async def ask(host) -> protocol.ProbeReply:
             return await host.membership.answer_probe(message)
@@ -88,7 +93,7 @@
         message: protocol.ConfigRequest,
         timeout_s: float,
     ) -> result.Result[protocol.ConfigReply, transport.PeerUnreachable]:
-        """Ask a peer for a later table and layout."""
+        """Request a newer table and layout from a peer."""
 
         async def ask(host) -> protocol.ConfigReply:
             return host.config.answer_config(message)
@@ -115,10 +120,10 @@
 
 
 class HostKv:
-    """One host's way to the key-value service, which can be cut or paused.
+    """A host's connection to the key-value service, with faults.
 
-    While it is paused, what the service has answered does not arrive, as
-    with a process that is paused.
+    While `cut` is set, calls fail. During a pause, replies of the service
+    are held back, as for a paused process.
     """
 
     def __init__(self, kv: transport.KvPort):
@@ -127,27 +132,27 @@
         self._kv = kv
 
     async def get(self, key: str):
-        """Read one key."""
+        """Return the value and version of a key."""
         return await self._forward(self._kv.get, key)
 
     async def swap(self, request: protocol.SwapRequest):
-        """Compare and swap one key; return its new version."""
+        """Write a key if its version is as expected; return its version."""
         return await self._forward(self._kv.swap, request)
 
     async def watch(self, key: str, after: int, timeout_s: float):
-        """Wait for a version later than `after`, or the time to be over."""
+        """Return a key once its version exceeds `after`, or at the timeout."""
         return await self._forward(self._kv.watch, key, after, timeout_s)
 
     async def grant(self, ttl_s: float):
-        """Ask for a lease; return its id."""
+        """Request a lease and return its id."""
         return await self._forward(self._kv.grant, ttl_s)
 
     async def renew(self, lease: str):
-        """Prolong a lease by its time to live."""
+        """Extend a lease to its full time to live from now."""
         return await self._forward(self._kv.renew, lease)
 
     async def revoke(self, lease: str):
-        """Give a lease back."""
+        """Revoke a lease."""
         return await self._forward(self._kv.revoke, lease)
 
     async def _forward(self, call, *arguments):
@@ -163,7 +168,10 @@
 
 
 class MemoryHostList:
-    """The platform's list of live and leaving hosts; set it by hand."""
+    """The platform's list of running and draining hosts.
+
+    A scenario sets `hosts`; `down` makes reads of the list fail.
+    """
 
     def __init__(self):
         self.hosts: list[transport.ListedHost] = []
@@ -172,7 +180,7 @@
     async def list_hosts(
         self,
     ) -> result.Result[list[transport.ListedHost], transport.PeerUnreachable]:
-        """Return the list as the platform has it now."""
+        """Return the current host list."""
         if self.down:
             return result.Err(transport.PeerUnreachable('list is down'))
         return result.Ok(list(self.hosts))
--- a/rudderrock/standins/_memory_source.py
+++ b/rudderrock/standins/_memory_source.py
@@ -1,4 +1,4 @@
-"""A source of routes and upstreams in memory, with outages."""
+"""An in-memory source of routes and upstreams, with fault injection."""
 
 import asyncio
 import dataclasses
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SourceSnapshot:
-    """All that a source held at one moment."""
+    """A snapshot of the contents of a source."""
 
     table: gateway.RoutingTable | None
     evacuated: dict[core.ZoneId, int]
@@ -23,11 +23,16 @@
 
 
 class MemorySource:
-    """Implements `gateway.SourcePort` for scenarios and examples."""
+    """An in-memory implementation of `gateway.SourcePort`.
+
+    `is_down` makes calls fail. `is_deaf` drops the events of watches.
+    `is_history_compacted` makes the next watch fail, as if the revision that
+    it starts from had been compacted.
+    """
 
     def __init__(self) -> None:
         self.table: gateway.RoutingTable | None = None
-        # At which revision each evacuated zone was.
+        # The revision at which each evacuated zone was evacuated.
         self.evacuated: dict[core.ZoneId, int] = {}
         self.endpoints: dict[str, gateway.Endpoint] = {}
         self.revision = 1
@@ -35,7 +40,7 @@
         self.is_down = False
         self.is_deaf = False
         self.is_history_compacted = False
-        # Rises each time the source comes back from a copy.
+        # Number of times that the source has been restored from a snapshot.
         self.era = 0
         self.reads = 0
         self.table_reads = 0
@@ -47,11 +52,11 @@
 
     @property
     def position(self) -> gateway.Position:
-        """Return where in its history the source is."""
+        """Return the current era and revision."""
         return gateway.Position(self.era, self.revision)
 
     def set_table(self, table: gateway.RoutingTable | None) -> None:
-        """Write a table."""
+        """Write a table, or remove it with None."""
         self.table = table
         if table is not None:
             self._written[b'%d' % table.version] = table
@@ -59,29 +64,29 @@
         self.table_revision = self.revision
 
     def evacuate(self, zone: core.ZoneId) -> None:
-        """Evacuate a zone."""
+        """Mark a zone as evacuated."""
         self._change()
         self.evacuated[zone] = self.revision
         self.table_revision = self.revision
 
     def give_back(self, zone: core.ZoneId) -> None:
-        """Take an evacuation back."""
+        """Cancel the evacuation of a zone."""
         self.evacuated.pop(zone, None)
         self._change()
         self.table_revision = self.revision
 
     def set_endpoint(self, endpoint: gateway.Endpoint) -> None:
-        """Register an upstream, or change its registration."""
+        """Write the registration of an upstream."""
         self.endpoints[endpoint.upstream] = endpoint
         self._change()
 
     def drop_history(self) -> None:
-        """Forget all changes so far and cut the watches."""
+        """Compact the history, which ends the waiting watches."""
         self.is_history_compacted = True
         self._change()
 
     def make_copy(self) -> SourceSnapshot:
-        """Return a copy of all that is held now."""
+        """Return a snapshot of the current contents."""
         return SourceSnapshot(
             self.table,
             dict(self.evacuated),
@@ -93,14 +98,15 @@
         )
 
     def note_other_change(self) -> None:
-        """Count a change that is no business of hosts."""
+        """Advance the revision without a change that concerns hosts."""
         self._change()
 
     def come_back(self, snapshot: SourceSnapshot, cut: bool = True) -> None:
-        """Hold what a copy held, and nothing that came after it.
+        """Restore the contents of a snapshot and increment the era.
 
-        Revisions and leases are given out again from where the copy stands.
-        Unless it cuts them, watches go on from where they began.
+        Later changes are lost, and revisions and lease numbers that were
+        assigned after the snapshot are assigned again. With `cut`, waiting
+        watches fail; without it they go on waiting.
         """
         self.era += 1
         self.table = snapshot.table
@@ -117,14 +123,14 @@
         self._changed = asyncio.Event()
 
     def remove_endpoint(self, upstream: str) -> None:
-        """Remove a registration."""
+        """Remove the registration of an upstream."""
         self.endpoints.pop(upstream, None)
         self._change()
 
     async def read_table(
         self,
     ) -> result.Result[gateway.TableReading, gateway.Unavailable]:
-        """Return the table."""
+        """Return a reading of the table."""
         self.reads += 1
         self.table_reads += 1
         if self.is_down:
@@ -137,7 +143,10 @@
         gateway.TableReading | None,
         gateway.Unavailable | gateway.HistoryGone,
     ]:
-        """Wait for a table."""
+        """Return a reading of the table once it changes after a position.
+
+        Return None if it has not changed within `wait_s` seconds.
+        """
         self.reads += 1
         if self.is_down:
             return result.Err(gateway.Unavailable('down'))
@@ -168,7 +177,7 @@
     async def list_upstreams(
         self,
     ) -> result.Result[gateway.UpstreamReading, gateway.Unavailable]:
-        """Return the upstreams."""
+        """Return a reading of the registered upstreams."""
         self.reads += 1
         if self.is_down:
             return result.Err(gateway.Unavailable('down'))
@@ -181,13 +190,16 @@
     def decode_table(
         self, raw: bytes, read: gateway.Position
     ) -> gateway.TableReading:
-        """Return the table of a version that was written here."""
+        """Return a reading of a table that was written to this source.
+
+        `raw` is the version of the table as decimal digits.
+        """
         return gateway.TableReading(self._written[raw], read, raw=raw)
 
     async def list_hosts(
         self,
     ) -> result.Result[list[gateway.HostEntry], gateway.Unavailable]:
-        """Return the hosts."""
+        """Return the registered hosts."""
         self.reads += 1
         if self.is_down:
             return result.Err(gateway.Unavailable('down'))
@@ -196,10 +208,10 @@
     async def register(
         self, entry: gateway.HostEntry, ttl_s: float
     ) -> result.Result[gateway.Lease, gateway.Unavailable]:
-        """Register a host; leases don't end by themselves here."""
+        """Register a host and return its lease, which never expires."""
         if self.is_down:
             return result.Err(gateway.Unavailable('down'))
-        # Its entry hangs on the new lease alone.
+        # The new lease replaces all earlier leases of the host.
         self.hosts = {
             lease: each
             for lease, each in self.hosts.items()
@@ -212,7 +224,7 @@
     async def find_lease(
         self, host: core.HostId
     ) -> result.Result[gateway.Lease | None, gateway.Unavailable]:
-        """Return the lease of a registration."""
+        """Return the lease of a host's registration, or None."""
         if self.is_down:
             return result.Err(gateway.Unavailable('down'))
         for lease, entry in self.hosts.items():
@@ -226,7 +238,7 @@
         None,
         gateway.Unavailable | gateway.LeaseEnded | gateway.SourceReturned,
     ]:
-        """Renew a registration."""
+        """Renew the lease of a registration."""
         if self.is_down:
             return result.Err(gateway.Unavailable('down'))
         if lease.number not in self.hosts:
@@ -238,7 +250,7 @@
     async def withdraw(
         self, lease: gateway.Lease
     ) -> result.Result[None, gateway.Unavailable]:
-        """End a registration."""
+        """Remove the registration of a lease."""
         self.hosts.pop(lease.number, None)
         return result.Ok(None)
 
--- a/rudderrock/standins/_pause.py
+++ b/rudderrock/standins/_pause.py
@@ -1,23 +1,23 @@
-"""A pause of one host, as by a stopped process."""
+"""A pause of one host, as if its process were stopped."""
 
 import asyncio
 
 
 class Pause:
-    """A pause of a host: what it is told arrives only after it."""
+    """Holds back what arrives at a host until the pause ends."""
 
     def __init__(self):
         self._running = asyncio.Event()
         self._running.set()
 
     def begin(self) -> None:
-        """Let everything wait."""
+        """Start the pause."""
         self._running.clear()
 
     def end(self) -> None:
-        """Let everything go on."""
+        """End the pause and wake all waiting tasks."""
         self._running.set()
 
     async def wait_until_over(self) -> None:
-        """Wait until the host runs."""
+        """Wait until no pause is active."""
         await self._running.wait()
--- a/rudderrock/standins/_upstream.py
+++ b/rudderrock/standins/_upstream.py
@@ -1,8 +1,8 @@
-"""A stand-in of an upstream: slots, a queue, stragglers, drains, records.
+"""A stand-in of an upstream, with a request queue and fault injection.
 
-`UpstreamModel` is the server itself. It is reached over HTTP by
-`make_upstream_app`, or in memory by `MemoryUpstreamPort`. It keeps its own
-record of what ran, against which a scenario checks every outcome.
+`UpstreamModel` is the server itself. `make_upstream_app` serves it over HTTP,
+and `MemoryUpstreamPort` connects to it in memory. It records the requests that
+it ran, so that a scenario can check every outcome against them.
 """
 
 import asyncio
@@ -26,13 +26,15 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class UpstreamFaults:
-    """What is wrong with an upstream just now.
-
-    `straggle` is the part of requests that take `straggle_factor` times as
-    long; `slow_factor` slows all. A `lost` one drops its connections and
-    takes none, a `hung` one takes them and never answers. `shed` is the
-    part refused. `false_load` is reported in place of the true load.
-    `cold_until` is the loop time up to which it is `cold_factor` slower.
+    """Active faults of an upstream.
+
+    `straggle` is the probability that a request takes `straggle_factor`
+    times as long. `slow_factor` multiplies the time of all requests. `shed`
+    is the probability that a request is shed. A `lost` upstream drops its
+    connections and accepts none. A `hung` upstream accepts connections but
+    sends no replies. A `leaving` upstream rejects all requests. `false_load`
+    is reported in place of the actual load. Until the loop time `cold_until`
+    requests take `cold_factor` times as long.
     """
 
     straggle: float = 0.0
@@ -49,7 +51,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """One request that an upstream worked on."""
+    """One request that an upstream started to process.
+
+    `started` is the time in seconds. `finished` is False if the request was
+    cancelled.
+    """
 
     request: protocol.ShardRequest
     started: float
@@ -57,13 +63,13 @@
 
 
 class UpstreamModel:
-    """One server of shards.
+    """A server of shards.
 
-    Parameters: `upstream` is its description in the layout; `versions`
-    what index versions it holds; `service_s` its median time for a request
-    in seconds, drawn log-normally with `spread`; `connect_s` what a new
-    connection takes; `max_queue` the requests it lets wait beyond its
-    slots.
+    `upstream` is its entry in the layout and `versions` are the index
+    versions that it holds. The time to process a request is log-normal with
+    median `service_s`, in seconds, and standard deviation `spread` of the
+    logarithm. `connect_s` is the time to open a connection, in seconds.
+    `max_queue` is the number of requests that may wait for a slot.
     """
 
     def __init__(
@@ -99,9 +105,9 @@
     async def handle(
         self, request: protocol.ShardRequest
     ) -> protocol.ShardAnswer | protocol.ShardRejected:
-        """Work on one request, or say why not.
+        """Process a request and return the answer or a rejection.
 
-        Cancelling this call is how a caller's cancellation arrives.
+        The call is cancelled when the caller cancels the request.
         """
         self.received += 1
         rejection = self._reject(request)
@@ -118,7 +124,7 @@
             self._slots.release()
 
     def report_load(self) -> protocol.Load:
-        """Return the load that this upstream claims to have."""
+        """Return the load, or `false_load` if that fault is set."""
         if self.faults.false_load is not None:
             return self.faults.false_load
         return protocol.Load(
@@ -129,7 +135,10 @@
         )
 
     def connect(self) -> bool:
-        """Take one more connection if the limit allows it."""
+        """Accept a connection; return False if it is refused.
+
+        A connection is refused beyond the limit or if the upstream is lost.
+        """
         if self.faults.lost:
             return False
         if self.open_connections >= self.upstream.connections:
@@ -142,7 +151,7 @@
         return True
 
     def disconnect(self) -> None:
-        """Let one connection go."""
+        """Record that a connection is closed."""
         self.open_connections -= 1
 
     def _reject(
@@ -222,7 +231,10 @@
 
 
 def make_upstream_app(model: UpstreamModel) -> applications.Starlette:
-    """Put an upstream behind HTTP; a closed connection cancels its work."""
+    """Return an application that serves an upstream over HTTP.
+
+    A request is cancelled when its connection is closed.
+    """
 
     async def shard(request: requests.Request) -> responses.Response:
         decoded = protocol.decode(protocol.ShardRequest, await request.body())
--- a/rudderrock/standins/_wire_server.py
+++ b/rudderrock/standins/_wire_server.py
@@ -1,4 +1,4 @@
-"""Serving plain HTTP by hand, for stand-ins that misbehave on the wire."""
+"""A minimal HTTP server, for stand-ins that violate the protocol."""
 
 import asyncio
 import dataclasses
@@ -6,7 +6,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Head:
-    """A request's head; header names are in lower case."""
+    """Request line and headers; header names are in lower case."""
 
     method: str
     target: str
@@ -14,12 +14,15 @@
 
     @property
     def body_length(self) -> int:
-        """Return the length of the body, 0 if none is given."""
+        """Return the length of the body in bytes; 0 without a header."""
         return int(self.headers.get('content-length', '0'))
 
 
 async def read_head(reader: asyncio.StreamReader) -> Head:
-    """Read a request's head; raises what a stream that ends raises."""
+    """Read the request line and headers of a request.
+
+    Raises `asyncio.IncompleteReadError` if the stream ends before that.
+    """
     raw = await reader.readuntil(b'\r\n\r\n')
     first, *lines = raw.decode('latin-1').strip().split('\r\n')
     method, target, _ = first.split(' ')
@@ -31,10 +34,10 @@
 
 
 class WireServer:
-    """Listens at an address, with one task a connection.
+    """Listens at an address, with one task per connection.
 
-    A subclass serves a connection in `serve`, which returns when it is to
-    be closed.
+    A subclass implements `serve`; the connection is closed when that
+    returns.
     """
 
     def __init__(self) -> None:
@@ -45,18 +48,18 @@
         self._restart: asyncio.Task | None = None
 
     async def serve(self, reader, writer) -> None:
-        """Serve one connection."""
+        """Serve one connection until it is to be closed."""
         raise NotImplementedError
 
     async def start(self, host: str, port: int) -> None:
-        """Listen at an address."""
+        """Start to listen at an address."""
         self._address = (host, port)
         self._server = await asyncio.start_server(
             self._on_connection, host, port
         )
 
     async def stop(self) -> None:
-        """Stop listening and cut every connection."""
+        """Stop listening and close all connections."""
         if self._restart is not None:
             self._restart.cancel()
         self._stop_listening()
@@ -64,9 +67,10 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def crash(self, down_s: float) -> None:
-        """Go down for so many seconds, then listen again.
+        """Stop listening for `down_s` seconds and close all connections.
 
-        The caller's own connection is cut when it returns.
+        If called from `serve`, that connection is closed when `serve`
+        returns.
         """
         self._stop_listening()
         for task in self._tasks - {asyncio.current_task()}:
@@ -83,16 +87,16 @@
             self._server = None
 
     def cut_connections(self) -> None:
-        """Cut every connection and go on listening."""
+        """Close all connections, but continue to listen."""
         for task in list(self._tasks):
             task.cancel()
 
     def silence_connections(self) -> None:
-        """Let every open connection fall silent; new ones work."""
+        """Make all open connections unresponsive; new ones are served."""
         self._silent = set(self._tasks)
 
     async def wait_if_silent(self) -> None:
-        """Wait for ever on a connection that has fallen silent."""
+        """Block forever if the current connection was made unresponsive."""
         if asyncio.current_task() in self._silent:
             await asyncio.Event().wait()
 
@@ -102,7 +106,8 @@
         try:
             await self.serve(reader, writer)
         except (asyncio.IncompleteReadError, ConnectionError, EOFError):
-            # The other side has left; the stand-in has nothing to tell it.
+            # The client has closed the connection, so there is no reply to
+            # send.
             return
         except asyncio.CancelledError:
             return
--- a/rudderrock/standins/_wire_upstream.py
+++ b/rudderrock/standins/_wire_upstream.py
@@ -1,4 +1,4 @@
-"""An upstream that speaks plain HTTP, with faults to be switched on."""
+"""A stand-in of an HTTP upstream, with fault injection."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,12 +8,12 @@
 from rudderrock import gateway
 from rudderrock.standins import _wire_server as wire_server
 
-# For how long an upstream that has crashed is down, in seconds.
+# Time from a crash of an upstream until it listens again.
 DOWN_S = 3.0
 
 
 class Conduct(enum.Enum):
-    """How an upstream treats the requests that it gets."""
+    """Modes in which an upstream responds to requests."""
 
     GOOD = 'good'
     FAILING = 'failing'
@@ -34,9 +34,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pauses:
-    """When an upstream does nothing: `length_s` in each `every_s` seconds.
+    """Periodic pauses: `length_s` seconds in every `every_s` seconds.
 
-    `phase_s` shifts the first one, so that upstreams pause one by one.
+    `phase_s` shifts the pauses, so that upstreams do not pause at the same
+    time.
     """
 
     length_s: float
@@ -44,14 +45,17 @@
     phase_s: float = 0.0
 
     def get_remaining_s(self, now: float) -> float:
-        """Return for how long a pause still lasts, 0 without one."""
+        """Return the remaining seconds of the current pause, or 0."""
         elapsed_s = (now + self.phase_s) % self.every_s
         return max(0.0, self.length_s - elapsed_s)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WireRun:
-    """One request that an upstream began to work on; time in seconds."""
+    """One request that an upstream started to process.
+
+    `at` is when its head was read, in seconds by the clock of the loop.
+    """
 
     at: float
     request_id: str
@@ -62,14 +66,16 @@
 
 
 class WireUpstream(wire_server.WireServer):
-    """Serves one address; `runs` is what it has worked on.
+    """An HTTP upstream that records the requests it processes in `runs`.
 
-    Parameters: `records` is the body of each answer, or makes it from the
-    request's id; `work_s` is how long it works on a request, `slots` of
-    them at once. With `pauses` it begins on nothing while one lasts, and it
-    reads nothing of a new connection for `connect_s`. It stops working when
-    the connection closes. It crashes when it has run a request whose target
-    is in `lethal`, and is back `DOWN_S` later.
+    `records` is the body of each reply, or a function that returns it for a
+    request id. Processing a request takes `work_s` seconds, for up to
+    `slots` requests at once; it is cancelled when the connection closes.
+    A request that starts during one of the `pauses` takes longer by the
+    rest of the pause. Nothing is read from a new connection for `connect_s`
+    seconds. Connections beyond `max_connections` are closed. After running
+    a request whose target is in `lethal`, the upstream crashes and listens
+    again `DOWN_S` seconds later.
     """
 
     def __init__(
@@ -89,9 +95,9 @@
         self.work_s = work_s
         self.conduct = Conduct.GOOD
         self.lethal: frozenset[str] = frozenset()
-        # When it crashed, and under a request for which target.
+        # The time of each crash and the target of the request that caused it.
         self.crash_log: list[tuple[float, str]] = []
-        # Called when it crashes, for what stands before it.
+        # Called at each crash, so that a proxy can go down as well.
         self.on_crash: Callable[[], None] = lambda: None
         self.max_connections = max_connections
         self.runs: list[WireRun] = []
@@ -107,7 +113,7 @@
 
     @property
     def arrivals(self) -> list[str]:
-        """Return the ids of all requests that arrived, in order."""
+        """Return the ids of all received requests, in order of arrival."""
         return [request_id for _, request_id in self.timed_arrivals]
 
     def _make_body(self, request_id: str) -> bytes:
@@ -116,7 +122,7 @@
         return self.records
 
     async def serve(self, reader, writer) -> None:
-        """Serve one connection, unless there are too many."""
+        """Serve one connection, or close it if there are too many."""
         self.open += 1
         self.most_open = max(self.most_open, self.open)
         try:
@@ -157,11 +163,11 @@
 
     @property
     def crashes(self) -> list[float]:
-        """Return when it crashed."""
+        """Return the times of all crashes."""
         return [at for at, _ in self.crash_log]
 
     async def _handle_request(self, run: WireRun, reader, writer) -> bool:
-        """Answer one request; tell whether the connection goes on."""
+        """Answer one request; return whether the connection stays open."""
         wanted = run.headers.get(self._names.expected_upstream.decode())
         if wanted not in (None, self.upstream):
             writer.write(_render_reply(421, [], b''))
@@ -187,7 +193,7 @@
         return await self._answer(run, writer)
 
     async def _work(self, reader) -> bool:
-        """Work until done; stop when the connection is closed."""
+        """Process a request; return False if the connection is closed."""
         gone = asyncio.ensure_future(reader.read(1))
         self.working += 1
         try:
