--- a/rudderrock/soak/_checks.py
+++ b/rudderrock/soak/_checks.py
@@ -97,11 +97,11 @@
     upstream. `moves` are the successive target services of the route
     `/moved/`, and `moved_at` the times at which each was written to the
     table. `ratio`, `slack` and `window_s` bound the extra requests to a
-    service: in each window of `window_s` seconds at most `ratio` times the
-    first requests plus `slack`. `crashes` holds the times at which upstreams
-    crashed, by the target of the lethal request. `drained_at` is when each
-    draining upstream registered that it drains. All times are in seconds, by
-    the clock of the event loop.
+    service: in each window of `window_s` seconds at most `slack` plus `ratio`
+    times the first requests of this window and the one before. `crashes`
+    holds the times at which upstreams crashed, by the target of the lethal
+    request. `drained_at` is when each draining upstream registered that it
+    drains. All times are in seconds, by the clock of the event loop.
     """
 
     sent: list[Sent]
@@ -124,43 +124,48 @@
     runs = collections.defaultdict(list)
     for upstream, run in records.runs:
         runs[run.request_id].append((upstream, run))
-    broken: list[Violation] = []
+    violations: list[Violation] = []
     for sent in records.sent:
-        broken += _check_sent(records, sent, runs[sent.request_id])
-    broken += _check_unrequested(by_id, records.runs)
-    broken += _check_budget(records, by_id)
-    broken += _check_version_order(records)
-    broken += _check_table_deadline(records)
-    broken += _check_draining(records, by_id)
+        violations += _check_sent(records, sent, runs[sent.request_id])
+    violations += _check_unrequested(by_id, records.runs)
+    violations += _check_budget(records, by_id)
+    violations += _check_version_order(records)
+    violations += _check_table_deadline(records)
+    violations += _check_draining(records, by_id)
     for target, crashes in records.crashes.items():
-        broken += _check_lethal(records, target, sorted(crashes))
-    return broken
+        violations += _check_lethal(records, target, sorted(crashes))
+    return violations
 
 
 def _check_sent(records: Records, sent: Sent, runs) -> list[Violation]:
-    broken = []
+    violations = []
 
-    def note(promise: str, detail: str) -> None:
-        broken.append(Violation(promise, f'{sent.request_id}: {detail}'))
+    def add_violation(promise: str, detail: str) -> None:
+        violations.append(Violation(promise, f'{sent.request_id}: {detail}'))
 
     if sent.is_once and len(runs) > 1:
-        note('at most once', f'ran {len(runs)} times')
+        add_violation('at most once', f'ran {len(runs)} times')
     if sent.is_once and runs and sent.status in NOT_EXECUTED_STATUSES:
-        note('a refusal is true', f'{sent.status} but it ran')
+        add_violation(
+            'a refusal is true', f'{sent.status}, but the request ran'
+        )
     # The limit applies to the number of upstreams, not to the number of runs.
     # If a host that queries a shard on behalf of another host sends no interim
     # reply in time, both hosts may send the request to the same upstream.
     upstreams = {name for name, _ in runs}
     counts = collections.Counter(records.services[name] for name in upstreams)
     if counts and max(counts.values()) > MAX_ATTEMPTS:
-        note('attempts are bounded', str(counts))
+        add_violation('attempts are bounded', str(counts))
     if sent.status == 200:
         problem = _find_reply_problem(records, sent)
         if problem:
-            note('each caller its own whole answer', problem)
+            add_violation('each caller its own whole answer', problem)
     if sent.status == 0 and sent.calm and runs:
-        note('a planned stop cuts nothing', f'cut at {sent.ended:.3f}')
-    return broken
+        add_violation(
+            'a planned stop cuts nothing',
+            f'no reply, closed at {sent.ended:.3f}',
+        )
+    return violations
 
 
 def _find_reply_problem(records: Records, sent: Sent) -> str:
@@ -169,29 +174,31 @@
         stamp = sent.get_header(platform.NAMES.stamp)
         upstream, _, request_id = stamp.partition('.')
         if request_id != sent.request_id:
-            return f'stamp of {request_id}'
-        whole = make_records(upstream, request_id)
-        return '' if sent.reply == whole else 'another body'
+            return f'reply to request {request_id}'
+        expected = make_records(upstream, request_id)
+        return '' if sent.reply == expected else 'body is not the records'
     stamps = sent.get_header(platform.NAMES.part_stamps).split(', ')
     parts = [stamp.partition('.') for stamp in stamps]
     if any(part[2] != sent.request_id for part in parts):
         return f'parts of another request: {stamps}'
     shards = [records.services.get(part[0], '?') for part in parts]
     if len(set(shards)) != len(shards):
-        return f'two parts of one shard: {shards}'
+        return f'several parts of one shard: {shards}'
     missing = sent.get_header(platform.NAMES.missing_parts) or '0'
-    named = len(shards) + int(missing)
-    fitting = [
+    shard_count = len(shards) + int(missing)
+    matching = [
         each
         for each in records.shard_sets
-        if set(shards) <= each and len(each) == named
+        if set(shards) <= each and len(each) == shard_count
     ]
-    if not fitting:
-        return f'no version has {named} shards with {sorted(shards)}'
-    if len(shards) < MIN_COVERAGE * named:
-        return f'coverage {len(shards)} of {named}'
-    wanted = _pick_top_records([part[0] for part in parts], sent.request_id)
-    return '' if sent.reply == wanted else 'not the greatest records'
+    if not matching:
+        return f'no version of {shard_count} shards has {sorted(shards)}'
+    if len(shards) < MIN_COVERAGE * shard_count:
+        return f'coverage too low: {len(shards)} of {shard_count}'
+    expected_records = _pick_top_records(
+        [part[0] for part in parts], sent.request_id
+    )
+    return '' if sent.reply == expected_records else 'not the greatest records'
 
 
 def _pick_top_records(upstreams: list[str], request_id: str) -> bytes:
@@ -205,7 +212,7 @@
 
 
 def _check_unrequested(by_id, runs) -> list[Violation]:
-    broken = []
+    violations = []
     for upstream, run in runs:
         sent = by_id.get(run.request_id)
         if sent is None:
@@ -218,30 +225,37 @@
             detail = f'{upstream} ran {run} for {sent.request_id}'
         else:
             continue
-        broken.append(Violation('requests reach upstreams unchanged', detail))
-    return broken
+        violations.append(
+            Violation('requests reach upstreams unchanged', detail)
+        )
+    return violations
 
 
 def _check_budget(records: Records, by_id) -> list[Violation]:
     """Check the bound on extra requests in a sliding window per service."""
-    broken = []
+    violations = []
     for service, arrivals in records.arrivals.items():
         seen: set[str] = set()
-        extras = []
+        extra_times = []
         for at, request_id in sorted(arrivals):
             if request_id in seen:
-                extras.append(at)
+                extra_times.append(at)
             seen.add(request_id)
-        firsts = sorted(by_id[name].at for name in seen if name in by_id)
-        for end in extras:
+        first_times = sorted(by_id[name].at for name in seen if name in by_id)
+        for end in extra_times:
             start = end - records.window_s
-            count = sum(start < at <= end for at in extras)
-            asked = sum(start - records.window_s < at <= end for at in firsts)
-            if count > records.ratio * asked + records.slack:
-                detail = f'{service}: {count} extra for {asked} at {end:.1f}'
-                broken.append(Violation('extra load is bounded', detail))
+            count = sum(start < at <= end for at in extra_times)
+            first_count = sum(
+                start - records.window_s < at <= end for at in first_times
+            )
+            if count > records.ratio * first_count + records.slack:
+                detail = (
+                    f'{service}: {count} extra for {first_count} first '
+                    f'at {end:.1f}'
+                )
+                violations.append(Violation('extra load is bounded', detail))
                 break
-    return broken
+    return violations
 
 
 def _list_served_versions(records: Records) -> list[tuple[Sent, int]]:
@@ -261,37 +275,37 @@
 
 def _check_version_order(records: Records) -> list[Violation]:
     """Check that no process reverts to an older table version."""
-    broken = []
+    violations = []
     newest: dict[tuple[int, int], tuple[int, float]] = {}
     served = _list_served_versions(records)
     for sent, number in sorted(served, key=lambda pair: pair[0].ended):
         process = (sent.host, sent.incarnation)
         seen, at = newest.get(process, (-1, 0.0))
         if number < seen and sent.at > at:
-            detail = f'{sent.request_id} by version {number} after {seen}'
-            broken.append(Violation('a table never goes back', detail))
+            detail = f'{sent.request_id}: version {number} after {seen}'
+            violations.append(Violation('a table never goes back', detail))
         if number > seen:
             newest[process] = (number, sent.ended)
-    return broken
+    return violations
 
 
 def _check_table_deadline(records: Records) -> list[Violation]:
     """Check that hosts apply a table version before the deadline."""
-    broken = []
+    violations = []
     for sent, number in _list_served_versions(records):
-        due = bisect.bisect(records.moved_at, sent.at - TABLE_DEADLINE_S)
-        if sent.calm and number < due - 1:
+        due_count = bisect.bisect(records.moved_at, sent.at - TABLE_DEADLINE_S)
+        if sent.calm and number < due_count - 1:
             detail = (
-                f'{sent.request_id} by version {number} at host {sent.host}, '
-                f'{due - 1} was written {TABLE_DEADLINE_S:g} s before'
+                f'{sent.request_id}: version {number} at host {sent.host}, '
+                f'{due_count - 1} was written {TABLE_DEADLINE_S:g} s earlier'
             )
-            broken.append(Violation('a table change is in force', detail))
-    return broken
+            violations.append(Violation('a table change is in force', detail))
+    return violations
 
 
 def _check_draining(records: Records, by_id) -> list[Violation]:
     """Check that a draining upstream receives no new requests."""
-    broken = []
+    violations = []
     for upstream, run in records.runs:
         sent = by_id.get(run.request_id)
         drained_at = records.drained_at.get(upstream)
@@ -299,10 +313,13 @@
             continue
         after_s = sent.at - drained_at
         if after_s > DRAIN_DEADLINE_S:
-            detail = f'{run.request_id} at {upstream} {after_s:.1f} s after'
+            detail = (
+                f'{run.request_id} at {upstream}, '
+                f'sent {after_s:.1f} s after the drain'
+            )
             promise = 'no new work to a leaving upstream'
-            broken.append(Violation(promise, detail))
-    return broken
+            violations.append(Violation(promise, detail))
+    return violations
 
 
 def _check_lethal(
@@ -311,7 +328,7 @@
     """Check that a request that crashes upstreams is quarantined."""
     if len(crashes) < 3:
         return []
-    known = crashes[2] + LETHAL_KNOWN_S
+    deadline = crashes[2] + LETHAL_KNOWN_S
     copies = {
         each.request_id: f'host {each.host}.{each.incarnation}'
         for each in records.sent
@@ -321,11 +338,11 @@
         f'{request_id} by {copies[request_id]} at {at:.2f}'
         for arrivals in records.arrivals.values()
         for at, request_id in arrivals
-        if at > known and request_id in copies
+        if at > deadline and request_id in copies
     ]
     if len(late) <= MAX_LATE_LETHAL:
         return []
     promise = 'a request that crashes upstreams is kept from them'
     return [
-        Violation(promise, f'{len(late)} copies after {known:.1f}: {late}')
+        Violation(promise, f'{len(late)} copies after {deadline:.1f}: {late}')
     ]
--- a/rudderrock/soak/_plan.py
+++ b/rudderrock/soak/_plan.py
@@ -64,7 +64,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault, which starts `start_s` seconds after the load.
+    """One fault, `start_s` seconds after the start of the load.
 
     `target` selects the host, upstream, route or snapshot, modulo the number
     of candidates. `variant` is the mode of the fault, for kinds that have
--- a/rudderrock/soak/_proxy.py
+++ b/rudderrock/soak/_proxy.py
@@ -92,11 +92,11 @@
             if server_writer is not None:
                 server_writer.transport.abort()
 
-    async def _pump(self, reader, writer, cut: plan.ProxyFault) -> None:
+    async def _pump(self, reader, writer, stall: plan.ProxyFault) -> None:
         while data := await reader.read(_CHUNK_BYTES):
             if self.fault is plan.ProxyFault.DELAY:
                 await asyncio.sleep(_DELAY_S)
-            while self.fault in (cut, plan.ProxyFault.STALL_BOTH):
+            while self.fault in (stall, plan.ProxyFault.STALL_BOTH):
                 await asyncio.sleep(0.02)
             writer.write(data)
             await writer.drain()
@@ -104,7 +104,7 @@
             writer.write_eof()
         # The end of a reply may be marked by closing the connection, so when
         # the server closes, the client's connection must be closed too.
-        if cut is plan.ProxyFault.STALL_TO_CLIENT:
+        if stall is plan.ProxyFault.STALL_TO_CLIENT:
             raise ConnectionAbortedError
 
 
--- a/rudderrock/soak/_run.py
+++ b/rudderrock/soak/_run.py
@@ -53,7 +53,7 @@
     def __init__(self, plan: plan_module.Plan, world: world_module.World):
         self.sent: list[checks.Sent] = []
         self.injected: collections.Counter[str] = collections.Counter()
-        self.broken: list[checks.Violation] = []
+        self.violations: list[checks.Violation] = []
         self._plan = plan
         self._world = world
         self._disturbances: list[tuple[float, float]] = []
@@ -125,18 +125,18 @@
             host = rng.choice(self._world.hosts)
             try:
                 async with asyncio.timeout(1.0):
-                    pair = await asyncio.open_connection(host.ip, host.port)
+                    streams = await asyncio.open_connection(host.ip, host.port)
             except (OSError, TimeoutError):
                 # The host is down; the next attempt picks a host at random.
                 await asyncio.sleep(_REQUEST_INTERVAL_S)
                 continue
             is_reusable = True
             while is_reusable and not self._is_finished:
-                is_reusable = await self._exchange(rng, host, *pair)
+                is_reusable = await self._exchange(rng, host, *streams)
                 await asyncio.sleep(
                     _REQUEST_INTERVAL_S * rng.uniform(0.5, 1.5)
                 )
-            pair[1].transport.abort()
+            streams[1].transport.abort()
 
     async def _exchange(
         self, rng: random.Random, host: world_module.Host, reader, writer
@@ -312,15 +312,15 @@
         for host in self._world.hosts:
             if not await self._is_serving(rng, host):
                 detail = f'host {host.number} after {_FINAL_TRIES} tries'
-                self.broken.append(checks.Violation('recovery', detail))
+                self.violations.append(checks.Violation('recovery', detail))
 
     async def _is_serving(
         self, rng: random.Random, host: world_module.Host
     ) -> bool:
         for _ in range(_FINAL_TRIES):
-            pair = await asyncio.open_connection(host.ip, host.port)
-            await self._exchange(rng, host, *pair)
-            pair[1].transport.abort()
+            streams = await asyncio.open_connection(host.ip, host.port)
+            await self._exchange(rng, host, *streams)
+            streams[1].transport.abort()
             if self.sent[-1].status == 200:
                 return True
             await asyncio.sleep(0.5)
@@ -361,9 +361,9 @@
             run = Run(plan, world)
             await run.run()
             records = run.make_records()
-    broken = run.broken + checks.check_records(records)
+    violations = run.violations + checks.check_records(records)
     statuses = collections.Counter(each.status for each in run.sent)
-    return Report(seed, run.injected, statuses, len(run.sent), broken)
+    return Report(seed, run.injected, statuses, len(run.sent), violations)
 
 
 async def _apply_proxy_fault(proxy, fault: plan_module.Fault) -> None:
--- a/rudderrock/standins/_memory_hosts.py
+++ b/rudderrock/standins/_memory_hosts.py
@@ -82,10 +82,10 @@
     ) -> result.Result[protocol.ProbeReply, transport.PeerUnreachable]:
         """Send a probe to a peer and return its reply."""
 
-        async def ask(host) -> protocol.ProbeReply:
+        async def handle(host) -> protocol.ProbeReply:
             return await host.membership.answer_probe(message)
 
-        return await self._call(address, message, timeout_s, ask)
+        return await self._call(address, message, timeout_s, handle)
 
     async def fetch_config(
         self,
@@ -95,12 +95,12 @@
     ) -> result.Result[protocol.ConfigReply, transport.PeerUnreachable]:
         """Request a newer table and layout from a peer."""
 
-        async def ask(host) -> protocol.ConfigReply:
+        async def handle(host) -> protocol.ConfigReply:
             return host.config.answer_config(message)
 
-        return await self._call(address, message, timeout_s, ask)
+        return await self._call(address, message, timeout_s, handle)
 
-    async def _call(self, address, message, timeout_s, ask):
+    async def _call(self, address, message, timeout_s, handle):
         try:
             async with asyncio.timeout(timeout_s):
                 host = await self._network.deliver(
@@ -108,11 +108,11 @@
                 )
                 if host is None:
                     await asyncio.sleep(_SILENCE_S)
-                reply = await ask(host)
-                back = await self._network.deliver(
+                reply = await handle(host)
+                delivered = await self._network.deliver(
                     address, self._address, reply
                 )
-                if back is None:
+                if delivered is None:
                     await asyncio.sleep(_SILENCE_S)
                 return result.Ok(reply)
         except TimeoutError:
--- a/rudderrock/standins/_memory_source.py
+++ b/rudderrock/standins/_memory_source.py
@@ -60,30 +60,30 @@
         self.table = table
         if table is not None:
             self._written[b'%d' % table.version] = table
-        self._change()
+        self._advance_revision()
         self.table_revision = self.revision
 
     def evacuate(self, zone: core.ZoneId) -> None:
         """Mark a zone as evacuated."""
-        self._change()
+        self._advance_revision()
         self.evacuated[zone] = self.revision
         self.table_revision = self.revision
 
     def give_back(self, zone: core.ZoneId) -> None:
         """Cancel the evacuation of a zone."""
         self.evacuated.pop(zone, None)
-        self._change()
+        self._advance_revision()
         self.table_revision = self.revision
 
     def set_endpoint(self, endpoint: gateway.Endpoint) -> None:
         """Write the registration of an upstream."""
         self.endpoints[endpoint.upstream] = endpoint
-        self._change()
+        self._advance_revision()
 
     def drop_history(self) -> None:
         """Compact the history, which ends the waiting watches."""
         self.is_history_compacted = True
-        self._change()
+        self._advance_revision()
 
     def make_copy(self) -> SourceSnapshot:
         """Return a snapshot of the current contents."""
@@ -99,7 +99,7 @@
 
     def note_other_change(self) -> None:
         """Advance the revision without a change that concerns hosts."""
-        self._change()
+        self._advance_revision()
 
     def come_back(self, snapshot: SourceSnapshot, cut: bool = True) -> None:
         """Restore the contents of a snapshot and increment the era.
@@ -125,7 +125,7 @@
     def remove_endpoint(self, upstream: str) -> None:
         """Remove the registration of an upstream."""
         self.endpoints.pop(upstream, None)
-        self._change()
+        self._advance_revision()
 
     async def read_table(
         self,
@@ -263,7 +263,7 @@
             evacuated=dict(self.evacuated),
         )
 
-    def _change(self) -> None:
+    def _advance_revision(self) -> None:
         self.revision += 1
         self._changed.set()
         self._changed = asyncio.Event()
--- a/rudderrock/standins/_upstream.py
+++ b/rudderrock/standins/_upstream.py
@@ -241,9 +241,11 @@
         if decoded.is_err():
             return responses.PlainTextResponse(decoded.unwrap_err(), 400)
         work = asyncio.create_task(model.handle(decoded.unwrap()))
-        gone = asyncio.create_task(transport.wait_for_disconnect(request))
-        await asyncio.wait((work, gone), return_when='FIRST_COMPLETED')
-        gone.cancel()
+        disconnected = asyncio.create_task(
+            transport.wait_for_disconnect(request)
+        )
+        await asyncio.wait((work, disconnected), return_when='FIRST_COMPLETED')
+        disconnected.cancel()
         if not work.done():
             work.cancel()
             return responses.Response(status_code=499)
--- a/rudderrock/standins/_wire_upstream.py
+++ b/rudderrock/standins/_wire_upstream.py
@@ -168,8 +168,8 @@
 
     async def _handle_request(self, run: WireRun, reader, writer) -> bool:
         """Answer one request; return whether the connection stays open."""
-        wanted = run.headers.get(self._names.expected_upstream.decode())
-        if wanted not in (None, self.upstream):
+        expected = run.headers.get(self._names.expected_upstream.decode())
+        if expected not in (None, self.upstream):
             writer.write(_render_reply(421, [], b''))
             return True
         match self.conduct:
@@ -194,17 +194,17 @@
 
     async def _work(self, reader) -> bool:
         """Process a request; return False if the connection is closed."""
-        gone = asyncio.ensure_future(reader.read(1))
+        disconnected = asyncio.ensure_future(reader.read(1))
         self.working += 1
         try:
             async with self._slots:
                 work_s = self.work_s + self._get_pause_s()
-                done, _ = await asyncio.wait({gone}, timeout=work_s)
+                done, _ = await asyncio.wait({disconnected}, timeout=work_s)
         finally:
             self.working -= 1
         if not done:
-            gone.cancel()
-            await asyncio.gather(gone, return_exceptions=True)
+            disconnected.cancel()
+            await asyncio.gather(disconnected, return_exceptions=True)
             self.finished += 1
             return True
         return False
@@ -219,10 +219,10 @@
         echo = (names.request_id, run.request_id.encode())
         stamp = (names.stamp, f'{self.upstream}.{run.request_id}'.encode())
         body = self._make_body(run.request_id)
-        whole = _render_reply(200, [echo, stamp], body)
+        full_reply = _render_reply(200, [echo, stamp], body)
         match self.conduct:
             case Conduct.GOOD:
-                writer.write(whole)
+                writer.write(full_reply)
             case Conduct.FAILING:
                 writer.write(_render_reply(500, [echo, stamp], b'failed'))
             case Conduct.RESETTING:
@@ -230,13 +230,13 @@
             case Conduct.SILENT:
                 await asyncio.sleep(3600.0)
             case Conduct.TRUNCATING:
-                writer.write(whole[:-1])
+                writer.write(full_reply[:-1])
                 await writer.drain()
                 writer.close()
                 await asyncio.sleep(1.0)
                 return False
             case Conduct.UNFRAMED | Conduct.UNFRAMED_CUT:
-                head, _, body = whole.partition(b'\r\n\r\n')
+                head, _, body = full_reply.partition(b'\r\n\r\n')
                 lines = [
                     line
                     for line in head.split(b'\r\n')
@@ -251,7 +251,7 @@
                 await asyncio.sleep(1.0)
                 return False
             case Conduct.DOUBLING:
-                writer.write(whole)
+                writer.write(full_reply)
                 await asyncio.sleep(0.002)
                 writer.write(_render_reply(200, [echo, stamp], b'e' * 16))
             case Conduct.SPOILING:
