--- a/rudderrock/soak/_plan.py
+++ b/rudderrock/soak/_plan.py
@@ -58,7 +58,7 @@
 _FAULTY_CONDUCTS = [
     each
     for each in standins.Conduct
-    if each not in (standins.Conduct.GOOD, standins.Conduct.EARLY)
+    if each not in (standins.Conduct.GOOD, standins.Conduct.EARLY_REPLY)
 ]
 
 
--- a/rudderrock/standins/_deployment.py
+++ b/rudderrock/standins/_deployment.py
@@ -89,7 +89,7 @@
     `Network.list_zones`. `addresses` holds the `IP:port` of each upstream;
     an upstream without one uses its id as address, for in-memory ports.
     """
-    known = addresses or {}
+    known_addresses = addresses or {}
     layout_upstreams = {}
     collections = {}
     zones = deployment.network.list_zones()
@@ -103,7 +103,7 @@
                 zone = zones[(service + server) % len(zones)]
                 layout_upstreams[upstream] = state.Upstream(
                     upstream=upstream,
-                    address=known.get(upstream, str(upstream)),
+                    address=known_addresses.get(upstream, str(upstream)),
                     zone=zone,
                     slots=group.slots,
                     connections=group.connections,
@@ -126,7 +126,7 @@
     deployment: Deployment,
     layout: state.Layout,
     clock: state.Clock,
-    source: random.Random,
+    rng: random.Random,
 ) -> dict[state.UpstreamId, upstreams.UpstreamModel]:
     """Return a model of each upstream of a layout."""
     groups = {group.collection: group for group in deployment.groups}
@@ -138,7 +138,7 @@
                 models[upstream] = upstreams.UpstreamModel(
                     layout.upstreams[upstream],
                     clock,
-                    random.Random(source.getrandbits(64)),
+                    random.Random(rng.getrandbits(64)),
                     versions={FIRST_VERSION},
                     service_s=group.service_s,
                     connect_s=group.connect_s,
--- a/rudderrock/standins/_fleet.py
+++ b/rudderrock/standins/_fleet.py
@@ -106,8 +106,8 @@
             self.tokens[team] = state.make_token(team, self.source)
         hashed = state.hash_token(self.tokens[team], random.Random(0))
         fields.setdefault('token_hashes', (hashed,))
-        known = dataclasses.asdict(base) if base else {'team': team}
-        row = state.make_checked(state.TeamRow, {**known, **fields})
+        base_fields = dataclasses.asdict(base) if base else {'team': team}
+        row = state.make_checked(state.TeamRow, {**base_fields, **fields})
         change = state.Change(
             edit_id=self.editor.make_edit_id(),
             author='operator',
@@ -229,8 +229,8 @@
         Return None if the host crashed before it answered.
         """
         host = self.hosts[name].host
-        known = host.authenticate(self.tokens.get(team))
-        match known:
+        authenticated = host.authenticate(self.tokens.get(team))
+        match authenticated:
             case result.Err(refused):
                 return refused
             case result.Ok(row):
--- a/rudderrock/standins/_loopback.py
+++ b/rudderrock/standins/_loopback.py
@@ -33,7 +33,7 @@
 async def serve_standins(
     deployment: deployments.Deployment,
     clock: state.Clock,
-    source: random.Random,
+    rng: random.Random,
     *,
     kv_address: str = _ANY_PORT,
     host_list_address: str = _ANY_PORT,
@@ -61,7 +61,7 @@
         stack.push_async_callback(kv.set_down, True)
         host_list = memory_hosts.MemoryHostList()
         draft = deployments.make_layout(deployment)
-        models = deployments.make_models(deployment, draft, clock, source)
+        models = deployments.make_models(deployment, draft, clock, rng)
         addresses = {
             upstream: await serve(
                 upstreams.make_upstream_app(model), _ANY_PORT
--- a/rudderrock/standins/_memory.py
+++ b/rudderrock/standins/_memory.py
@@ -13,7 +13,7 @@
 from rudderrock.standins import _pause as pauses
 from rudderrock.standins import _upstream as upstreams
 
-_SILENCE_S = 3600.0
+_HANG_S = 3600.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -78,7 +78,7 @@
             return protocol.ShardLost(True, 'connection reset')
         reply = await self._model.handle(request)
         if self._model.faults.hung:
-            await asyncio.sleep(_SILENCE_S)
+            await asyncio.sleep(_HANG_S)
         await asyncio.sleep(self._latency_s + faults.delay_s)
         await self._port.pause.wait_until_over()
         if self._port.draw_fraction() < faults.lose / 2:
@@ -92,7 +92,7 @@
     """Connects one host to upstream models in the same process.
 
     `zone` is the zone of the host; with the zone of the upstream it
-    determines the latency in `network`. `source` draws the faults.
+    determines the latency in `network`. `rng` draws the faults.
     """
 
     def __init__(
@@ -100,13 +100,13 @@
         zone: state.ZoneId,
         models: dict[state.UpstreamId, upstreams.UpstreamModel],
         network: deployments.Network,
-        source: random.Random,
+        rng: random.Random,
     ):
         self.faults = LinkFaults()
         self._zone = zone
         self._models = models
         self._network = network
-        self._source = source
+        self._rng = rng
         self.pause = pauses.Pause()
         self._held_reply: protocol.ShardReply | None = None
 
@@ -128,7 +128,7 @@
 
     def draw_fraction(self) -> float:
         """Return a random number in [0, 1) that decides on a fault."""
-        return self._source.random()
+        return self._rng.random()
 
     def swap_reply(self, reply: protocol.ShardReply) -> protocol.ShardReply:
         """Keep a reply and return the one kept before, if there is one."""
--- a/rudderrock/standins/_memory_hosts.py
+++ b/rudderrock/standins/_memory_hosts.py
@@ -12,7 +12,7 @@
 from rudderrock import transport
 from rudderrock.standins import _pause as pauses
 
-_SILENCE_S = 3600.0
+_HANG_S = 3600.0
 _CUT_TIMEOUT_S = 0.5
 
 
@@ -36,13 +36,13 @@
 class MemoryPeers:
     """The network between hosts in one process."""
 
-    def __init__(self, latency_s: float, source: random.Random):
+    def __init__(self, latency_s: float, rng: random.Random):
         self.faults = PeerFaults()
         self.messages = 0
         self.bytes = 0
         self._hosts: dict[str, object] = {}
         self._latency_s = latency_s
-        self._source = source
+        self._rng = rng
 
     def add(self, address: str, host: object) -> None:
         """Make a host reachable at an address."""
@@ -62,10 +62,10 @@
         self.bytes += len(protocol.encode(message))
         await asyncio.sleep(self._latency_s)
         pair = frozenset({sender, receiver})
-        silent = self.faults.paused & pair
-        if silent or pair in self.faults.cut:
+        paused = self.faults.paused & pair
+        if paused or pair in self.faults.cut:
             return None
-        if self._source.random() < self.faults.lose:
+        if self._rng.random() < self.faults.lose:
             return None
         return self._hosts.get(receiver)
 
@@ -107,13 +107,13 @@
                     self._address, address, message
                 )
                 if host is None:
-                    await asyncio.sleep(_SILENCE_S)
+                    await asyncio.sleep(_HANG_S)
                 reply = await handle(host)
                 delivered = await self._network.deliver(
                     address, self._address, reply
                 )
                 if delivered is None:
-                    await asyncio.sleep(_SILENCE_S)
+                    await asyncio.sleep(_HANG_S)
                 return result.Ok(reply)
         except TimeoutError:
             return result.Err(transport.PeerUnreachable('timed out'))
--- a/rudderrock/standins/_upstream.py
+++ b/rudderrock/standins/_upstream.py
@@ -21,7 +21,7 @@
 
 DEFAULT_MAX_QUEUE = 64
 _HITS_PER_SHARD = 3
-_SILENCE_S = 3600.0
+_HANG_S = 3600.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -76,7 +76,7 @@
         self,
         upstream: state.Upstream,
         clock: state.Clock,
-        source: random.Random,
+        rng: random.Random,
         *,
         versions: set[state.IndexVersion],
         service_s: float = 0.004,
@@ -94,7 +94,7 @@
         self.peak_connections = 0
         self.refused_connections = 0
         self._clock = clock
-        self._source = source
+        self._rng = rng
         self._service_s = service_s
         self._spread = spread
         self._max_queue = max_queue
@@ -169,7 +169,7 @@
         if self._clock.wall() >= request.deadline:
             return _rejected(request, kinds.EXPIRED)
         full = self._queued >= self._max_queue
-        if full or self._source.random() < self.faults.shed:
+        if full or self._rng.random() < self.faults.shed:
             return _rejected(request, kinds.SHED, retry_after_s=0.05)
         return None
 
@@ -192,8 +192,8 @@
     def _draw_service_s(self) -> float:
         faults = self.faults
         service_s = self._service_s * faults.slow_factor
-        service_s *= self._source.lognormvariate(0.0, self._spread)
-        if self._source.random() < faults.straggle:
+        service_s *= self._rng.lognormvariate(0.0, self._spread)
+        if self._rng.random() < faults.straggle:
             service_s *= faults.straggle_factor
         if self._clock.now() < faults.cold_until:
             service_s *= faults.cold_factor
@@ -203,7 +203,7 @@
         hits = [
             protocol.Hit(
                 id=f'{request.shard}-{request.version}-{number}',
-                score=round(self._source.random(), 6),
+                score=round(self._rng.random(), 6),
                 document=msgspec.Raw(
                     b'{"shard":"%s","echo":%s}'
                     % (request.shard.encode(), bytes(request.body))
@@ -250,7 +250,7 @@
             work.cancel()
             return responses.Response(status_code=499)
         if model.faults.hung:
-            await asyncio.sleep(_SILENCE_S)
+            await asyncio.sleep(_HANG_S)
         return _make_response(work.result())
 
     async def load(request: requests.Request) -> responses.Response:
--- a/rudderrock/standins/_wire_upstream.py
+++ b/rudderrock/standins/_wire_upstream.py
@@ -20,15 +20,15 @@
     SHEDDING = 'shedding'
     RESETTING = 'resetting'
     SILENT = 'silent'
-    TRUNCATING = 'truncating'
-    UNFRAMED = 'unframed'
-    UNFRAMED_CUT = 'unframed cut'
-    DOUBLING = 'doubling'
-    SPOILING = 'spoiling'
-    ENCODING = 'encoding'
-    UNSIGNED = 'unsigned'
+    TRUNCATED = 'truncating'
+    NO_CONTENT_LENGTH = 'unframed'
+    NO_CONTENT_LENGTH_RESET = 'unframed cut'
+    DUPLICATE_REPLY = 'doubling'
+    MALFORMED = 'spoiling'
+    CONTENT_ENCODED = 'encoding'
+    MISSING_STAMP = 'unsigned'
     CLOSING = 'closing'
-    EARLY = 'early'
+    EARLY_REPLY = 'early'
     MISDIRECTED = 'misdirected'
 
 
@@ -138,12 +138,12 @@
             head = await wire_server.read_head(reader)
             await self.wait_if_silent()
             at = asyncio.get_running_loop().time()
-            if self.conduct is Conduct.EARLY:
+            if self.conduct is Conduct.EARLY_REPLY:
                 writer.write(_render_reply(400, [], b''))
             body = await reader.readexactly(head.body_length)
             run = self._make_run(at, head, body)
             self.timed_arrivals.append((run.at, run.request_id))
-            if self.conduct is Conduct.EARLY:
+            if self.conduct is Conduct.EARLY_REPLY:
                 continue
             if not await self._handle_request(run, reader, writer):
                 return
@@ -229,13 +229,13 @@
                 return False
             case Conduct.SILENT:
                 await asyncio.sleep(3600.0)
-            case Conduct.TRUNCATING:
+            case Conduct.TRUNCATED:
                 writer.write(full_reply[:-1])
                 await writer.drain()
                 writer.close()
                 await asyncio.sleep(1.0)
                 return False
-            case Conduct.UNFRAMED | Conduct.UNFRAMED_CUT:
+            case Conduct.NO_CONTENT_LENGTH | Conduct.NO_CONTENT_LENGTH_RESET:
                 head, _, body = full_reply.partition(b'\r\n\r\n')
                 lines = [
                     line
@@ -244,22 +244,22 @@
                 ]
                 writer.write(b'\r\n'.join(lines) + b'\r\n\r\n' + body)
                 await writer.drain()
-                if self.conduct is Conduct.UNFRAMED_CUT:
+                if self.conduct is Conduct.NO_CONTENT_LENGTH_RESET:
                     await asyncio.sleep(0.01)
                     return False
                 writer.close()
                 await asyncio.sleep(1.0)
                 return False
-            case Conduct.DOUBLING:
+            case Conduct.DUPLICATE_REPLY:
                 writer.write(full_reply)
                 await asyncio.sleep(0.002)
                 writer.write(_render_reply(200, [echo, stamp], b'e' * 16))
-            case Conduct.SPOILING:
+            case Conduct.MALFORMED:
                 writer.write(b'\x00\x01 no http \r\n\r\n')
-            case Conduct.ENCODING:
+            case Conduct.CONTENT_ENCODED:
                 coded = (b'content-encoding', b'gzip')
                 writer.write(_render_reply(200, [echo, stamp, coded], body))
-            case Conduct.UNSIGNED:
+            case Conduct.MISSING_STAMP:
                 writer.write(_render_reply(200, [echo], body))
             case Conduct.CLOSING:
                 close = (b'connection', b'close')
