--- a/rudderrock/soak/_plan.py
+++ b/rudderrock/soak/_plan.py
@@ -49,8 +49,9 @@
 # not change the rest of the plan.
 _DRAWN_SEPARATELY = (FaultKind.LETHAL_REQUEST, FaultKind.STORE_RESTORED)
 _DRAWN_TOGETHER = [each for each in FaultKind if each not in _DRAWN_SEPARATELY]
-# A lethal request crashes each upstream that runs it. Its first copy is sent
-# before this fraction of the load's duration, the last ones at the end.
+# A lethal request crashes each upstream that runs it. Callers start to send
+# copies of it before this fraction of the load's duration, and continue until
+# the end of the load.
 _MAX_LETHAL_START_FRACTION = 0.4
 # The outage before the store is restored lasts this fraction of the duration
 # of other faults.
--- a/rudderrock/standins/_memory_source.py
+++ b/rudderrock/standins/_memory_source.py
@@ -106,7 +106,7 @@
 
         Later changes are lost, and revisions and lease numbers that were
         assigned after the snapshot are assigned again. With `cut`, waiting
-        watches fail; without it they go on waiting.
+        watches fail; without it they continue to wait.
         """
         self.era += 1
         self.table = snapshot.table
