--- a/rudderrock/soak/__init__.py
+++ b/rudderrock/soak/__init__.py
@@ -1,12 +1,15 @@
-"""A randomized soak of the real programs as separate processes.
+"""Randomized fault-injection test of the gateway programs.
 
-Faults are injected from outside: a proxy on each way, signals, and a store
-and upstreams that misbehave. What callers and upstreams see is checked.
-The time of day is used for log lines only, so it is left alone.
+Each host runs as a separate process. Faults are injected from outside: by
+proxies between the hosts, the store and the upstreams, by signals, and by
+stand-ins of the store and the upstreams that misbehave. The replies that
+callers receive and the requests that upstreams run are checked against the
+gateway's guarantees. The wall clock is not changed, because the programs use
+it only for log lines.
 """
 
-from rudderrock.soak._checks import Broken
 from rudderrock.soak._checks import check_records
+from rudderrock.soak._checks import Violation
 from rudderrock.soak._plan import Fault
 from rudderrock.soak._plan import FaultKind
 from rudderrock.soak._plan import make_plan
@@ -15,11 +18,11 @@
 from rudderrock.soak._run import run_seed
 
 __all__ = [
-    'Broken',
     'Fault',
     'FaultKind',
     'Plan',
     'Report',
+    'Violation',
     'check_records',
     'make_plan',
     'run_seed',
--- a/rudderrock/soak/_checks.py
+++ b/rudderrock/soak/_checks.py
@@ -1,4 +1,8 @@
-"""The promises, checked by what callers got and upstreams ran."""
+"""Checks of the gateway's guarantees after a soak run.
+
+The checks compare the replies that callers received with the requests that
+upstreams ran.
+"""
 
 import bisect
 import collections
@@ -9,38 +13,41 @@
 from rudderrock import standins
 
 TOP_K = 4
-LEAST = 0.5
-MOST_ATTEMPTS = 2
-# Statuses that promise that a request has not run and never will.
-PROMISES = frozenset({408, 421, 429, 503})
-# From so long after the third upstream has crashed under a request, seconds,
-# copies of it that were sent in calm moments may reach upstreams this often: a
-# canary waits until a service has an upstream to spare.
+MIN_COVERAGE = 0.5
+MAX_ATTEMPTS = 2
+# Statuses by which the gateway guarantees that a request has not run and will
+# not run.
+NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
+# Once a request has crashed three upstreams, the hosts have this many seconds
+# to quarantine it. After that, at most MAX_LATE_LETHAL of its copies sent in
+# undisturbed periods may reach upstreams, as canaries: a canary waits until
+# its service has an upstream to spare.
 LETHAL_KNOWN_S = 4.0
-MOST_LETHAL = 3
-# From so long after a version was written, in seconds, requests that are sent
-# in calm moments are served by it.
-IN_FORCE_S = 3.0
-# And so long after an upstream said that it leaves they do not reach it.
-LEAVE_S = 3.0
-_RECORDS = 6
+MAX_LATE_LETHAL = 3
+# A request sent in an undisturbed period this long after a table version was
+# written must be served by that version or a later one.
+TABLE_DEADLINE_S = 3.0
+# A request sent in an undisturbed period this long after an upstream started
+# to drain must not reach that upstream.
+DRAIN_DEADLINE_S = 3.0
+_RECORDS_PER_REPLY = 6
 _RECORD_BYTES = 16
 
 
 def make_records(upstream: str, request_id: str) -> bytes:
-    """Return the records that an upstream has for one request."""
+    """Return the records in an upstream's reply to one request."""
     return b''.join(
         hashlib.md5(
             f'{upstream}/{request_id}/{number}'.encode(),
             usedforsecurity=False,
         ).digest()
-        for number in range(_RECORDS)
+        for number in range(_RECORDS_PER_REPLY)
     )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Broken:
-    """A promise that did not hold, and what shows it."""
+class Violation:
+    """A violated guarantee and the evidence for it."""
 
     promise: str
     detail: str
@@ -48,11 +55,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Sent:
-    """One request of a caller and what came back.
+    """One request of a caller and the reply to it.
 
-    `status` is 0 if the connection ended without an answer. Times are of
-    the loop, in seconds. `calm` tells that nothing unplanned was going on
-    from a while before until its end.
+    `status` is 0 if the connection ended without a reply. Times are in
+    seconds, by the clock of the event loop. `calm` is whether no unplanned
+    fault was active while the request was in flight or in the last seconds
+    before it was sent.
     """
 
     request_id: str
@@ -69,25 +77,31 @@
     calm: bool = False
 
     def get_header(self, name: bytes) -> str:
-        """Return a header of the reply, or nothing."""
+        """Return a header of the reply, or an empty string."""
         return self.headers.get(name.decode('ascii'), '')
 
     @property
     def is_once(self) -> bool:
-        """Tell whether it may run at most once."""
+        """Return whether the request may run at most once."""
         return self.target.startswith('/once/')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Records:
-    """All that is known after a run.
-
-    `shard_sets` are the sets of shards that any version named, `services`
-    gives the service of each upstream, `moves` the order of the services
-    that the moved route had, and `moved_at` when each was written.
-    `drained_at` tells when upstreams said that they leave. `crashes` are the
-    times at which upstreams crashed, by the `lethal` targets of the requests
-    that did it.
+    """The observations of one soak run.
+
+    `sent` are the callers' requests. `runs` are pairs of an upstream and a
+    request that it ran. `arrivals` holds, by service, the time and the id
+    of each request that reached an upstream. `shard_sets` are the sets of
+    shards that any table version named. `services` is the service of each
+    upstream. `moves` are the successive target services of the route
+    `/moved/`, and `moved_at` the times at which each was written to the
+    table. `ratio`, `slack` and `window_s` bound the extra requests to a
+    service: in each window of `window_s` seconds at most `slack` plus `ratio`
+    times the first requests of this window and the one before. `crashes`
+    holds the times at which upstreams crashed, by the target of the lethal
+    request. `drained_at` is when each draining upstream registered that it
+    drains. All times are in seconds, by the clock of the event loop.
     """
 
     sent: list[Sent]
@@ -104,83 +118,91 @@
     drained_at: dict[str, float] = dataclasses.field(default_factory=dict)
 
 
-def check_records(records: Records) -> list[Broken]:
-    """Return every promise that was broken."""
+def check_records(records: Records) -> list[Violation]:
+    """Return all violated guarantees."""
     by_id = {each.request_id: each for each in records.sent}
     runs = collections.defaultdict(list)
     for upstream, run in records.runs:
         runs[run.request_id].append((upstream, run))
-    broken: list[Broken] = []
+    violations: list[Violation] = []
     for sent in records.sent:
-        broken += _check_sent(records, sent, runs[sent.request_id])
-    broken += _check_unasked(by_id, records.runs)
-    broken += _check_budget(records, by_id)
-    broken += _check_order(records)
-    broken += _check_in_force(records)
-    broken += _check_leaving(records, by_id)
+        violations += _check_sent(records, sent, runs[sent.request_id])
+    violations += _check_unrequested(by_id, records.runs)
+    violations += _check_budget(records, by_id)
+    violations += _check_version_order(records)
+    violations += _check_table_deadline(records)
+    violations += _check_draining(records, by_id)
     for target, crashes in records.crashes.items():
-        broken += _check_lethal(records, target, sorted(crashes))
-    return broken
+        violations += _check_lethal(records, target, sorted(crashes))
+    return violations
 
 
-def _check_sent(records: Records, sent: Sent, runs) -> list[Broken]:
-    broken = []
+def _check_sent(records: Records, sent: Sent, runs) -> list[Violation]:
+    violations = []
 
-    def note(promise: str, detail: str) -> None:
-        broken.append(Broken(promise, f'{sent.request_id}: {detail}'))
+    def add_violation(promise: str, detail: str) -> None:
+        violations.append(Violation(promise, f'{sent.request_id}: {detail}'))
 
     if sent.is_once and len(runs) > 1:
-        note('at most once', f'ran {len(runs)} times')
-    if sent.is_once and runs and sent.status in PROMISES:
-        note('a refusal is true', f'{sent.status} but it ran')
-    # What is bounded is the upstreams that a request is sent to: where a host
-    # that asks a shard for another shows no sign, each may run it again.
+        add_violation('at most once', f'ran {len(runs)} times')
+    if sent.is_once and runs and sent.status in NOT_EXECUTED_STATUSES:
+        add_violation(
+            'a refusal is true', f'{sent.status}, but the request ran'
+        )
+    # The limit applies to the number of upstreams, not to the number of runs.
+    # If a host that queries a shard on behalf of another host sends no interim
+    # reply in time, both hosts may send the request to the same upstream.
     upstreams = {name for name, _ in runs}
     counts = collections.Counter(records.services[name] for name in upstreams)
-    if counts and max(counts.values()) > MOST_ATTEMPTS:
-        note('attempts are bounded', str(counts))
+    if counts and max(counts.values()) > MAX_ATTEMPTS:
+        add_violation('attempts are bounded', str(counts))
     if sent.status == 200:
-        problem = _find_wrong(records, sent)
+        problem = _find_reply_problem(records, sent)
         if problem:
-            note('each caller its own whole answer', problem)
+            add_violation('each caller its own whole answer', problem)
     if sent.status == 0 and sent.calm and runs:
-        note('a planned stop cuts nothing', f'cut at {sent.ended:.3f}')
-    return broken
+        add_violation(
+            'a planned stop cuts nothing',
+            f'no reply, closed at {sent.ended:.3f}',
+        )
+    return violations
 
 
-def _find_wrong(records: Records, sent: Sent) -> str:
-    """Return what is wrong with an answer, or nothing."""
+def _find_reply_problem(records: Records, sent: Sent) -> str:
+    """Return the fault of a reply, or an empty string if it is correct."""
     if not sent.target.startswith('/all/'):
         stamp = sent.get_header(platform.NAMES.stamp)
         upstream, _, request_id = stamp.partition('.')
         if request_id != sent.request_id:
-            return f'stamp of {request_id}'
-        whole = make_records(upstream, request_id)
-        return '' if sent.reply == whole else 'another body'
+            return f'reply to request {request_id}'
+        expected = make_records(upstream, request_id)
+        return '' if sent.reply == expected else 'body is not the records'
     stamps = sent.get_header(platform.NAMES.part_stamps).split(', ')
     parts = [stamp.partition('.') for stamp in stamps]
     if any(part[2] != sent.request_id for part in parts):
         return f'parts of another request: {stamps}'
     shards = [records.services.get(part[0], '?') for part in parts]
     if len(set(shards)) != len(shards):
-        return f'two parts of one shard: {shards}'
+        return f'several parts of one shard: {shards}'
     missing = sent.get_header(platform.NAMES.missing_parts) or '0'
-    named = len(shards) + int(missing)
-    fitting = [
+    shard_count = len(shards) + int(missing)
+    matching = [
         each
         for each in records.shard_sets
-        if set(shards) <= each and len(each) == named
+        if set(shards) <= each and len(each) == shard_count
     ]
-    if not fitting:
-        return f'no version has {named} shards with {sorted(shards)}'
-    if len(shards) < LEAST * named:
-        return f'coverage {len(shards)} of {named}'
-    wanted = _pick_greatest([part[0] for part in parts], sent.request_id)
-    return '' if sent.reply == wanted else 'not the greatest records'
+    if not matching:
+        return f'no version of {shard_count} shards has {sorted(shards)}'
+    if len(shards) < MIN_COVERAGE * shard_count:
+        return f'coverage too low: {len(shards)} of {shard_count}'
+    expected_records = _pick_top_records(
+        [part[0] for part in parts], sent.request_id
+    )
+    return '' if sent.reply == expected_records else 'not the greatest records'
 
 
-def _pick_greatest(upstreams: list[str], request_id: str) -> bytes:
-    """Return the greatest records, worked out apart from the gateway."""
+def _pick_top_records(upstreams: list[str], request_id: str) -> bytes:
+    """Return the greatest `TOP_K` records, without using gateway code."""
     body = b''.join(make_records(name, request_id) for name in upstreams)
     records = [
         body[start : start + _RECORD_BYTES]
@@ -189,8 +211,8 @@
     return b''.join(sorted(records, reverse=True)[:TOP_K])
 
 
-def _check_unasked(by_id, runs) -> list[Broken]:
-    broken = []
+def _check_unrequested(by_id, runs) -> list[Violation]:
+    violations = []
     for upstream, run in runs:
         sent = by_id.get(run.request_id)
         if sent is None:
@@ -203,36 +225,43 @@
             detail = f'{upstream} ran {run} for {sent.request_id}'
         else:
             continue
-        broken.append(Broken('requests reach upstreams unchanged', detail))
-    return broken
+        violations.append(
+            Violation('requests reach upstreams unchanged', detail)
+        )
+    return violations
 
 
-def _check_budget(records: Records, by_id) -> list[Broken]:
-    """Slide a window over the extra arrivals of each service."""
-    broken = []
+def _check_budget(records: Records, by_id) -> list[Violation]:
+    """Check the bound on extra requests in a sliding window per service."""
+    violations = []
     for service, arrivals in records.arrivals.items():
         seen: set[str] = set()
-        extras = []
+        extra_times = []
         for at, request_id in sorted(arrivals):
             if request_id in seen:
-                extras.append(at)
+                extra_times.append(at)
             seen.add(request_id)
-        firsts = sorted(by_id[name].at for name in seen if name in by_id)
-        for end in extras:
+        first_times = sorted(by_id[name].at for name in seen if name in by_id)
+        for end in extra_times:
             start = end - records.window_s
-            count = sum(start < at <= end for at in extras)
-            asked = sum(start - records.window_s < at <= end for at in firsts)
-            if count > records.ratio * asked + records.slack:
-                detail = f'{service}: {count} extra for {asked} at {end:.1f}'
-                broken.append(Broken('extra load is bounded', detail))
+            count = sum(start < at <= end for at in extra_times)
+            first_count = sum(
+                start - records.window_s < at <= end for at in first_times
+            )
+            if count > records.ratio * first_count + records.slack:
+                detail = (
+                    f'{service}: {count} extra for {first_count} first '
+                    f'at {end:.1f}'
+                )
+                violations.append(Violation('extra load is bounded', detail))
                 break
-    return broken
+    return violations
 
 
 def _list_served_versions(records: Records) -> list[tuple[Sent, int]]:
-    """Return the requests that the moved route answered, and by which version.
+    """Return the answered requests to `/moved/` with their table versions.
 
-    Versions are numbered by the services that the route had in turn.
+    A version is given as the index in `moves` of the service that answered.
     """
     rank = {service: number for number, service in enumerate(records.moves)}
     served = []
@@ -244,59 +273,62 @@
     return served
 
 
-def _check_order(records: Records) -> list[Broken]:
-    """See that no process goes back to an older table."""
-    broken = []
+def _check_version_order(records: Records) -> list[Violation]:
+    """Check that no process reverts to an older table version."""
+    violations = []
     newest: dict[tuple[int, int], tuple[int, float]] = {}
     served = _list_served_versions(records)
     for sent, number in sorted(served, key=lambda pair: pair[0].ended):
         process = (sent.host, sent.incarnation)
         seen, at = newest.get(process, (-1, 0.0))
         if number < seen and sent.at > at:
-            detail = f'{sent.request_id} by version {number} after {seen}'
-            broken.append(Broken('a table never goes back', detail))
+            detail = f'{sent.request_id}: version {number} after {seen}'
+            violations.append(Violation('a table never goes back', detail))
         if number > seen:
             newest[process] = (number, sent.ended)
-    return broken
+    return violations
 
 
-def _check_in_force(records: Records) -> list[Broken]:
-    """See that a version is in force some seconds after it was written."""
-    broken = []
+def _check_table_deadline(records: Records) -> list[Violation]:
+    """Check that hosts apply a table version before the deadline."""
+    violations = []
     for sent, number in _list_served_versions(records):
-        due = bisect.bisect(records.moved_at, sent.at - IN_FORCE_S)
-        if sent.calm and number < due - 1:
+        due_count = bisect.bisect(records.moved_at, sent.at - TABLE_DEADLINE_S)
+        if sent.calm and number < due_count - 1:
             detail = (
-                f'{sent.request_id} by version {number} at host {sent.host}, '
-                f'{due - 1} was written {IN_FORCE_S:g} s before'
+                f'{sent.request_id}: version {number} at host {sent.host}, '
+                f'{due_count - 1} was written {TABLE_DEADLINE_S:g} s earlier'
             )
-            broken.append(Broken('a table change is in force', detail))
-    return broken
+            violations.append(Violation('a table change is in force', detail))
+    return violations
 
 
-def _check_leaving(records: Records, by_id) -> list[Broken]:
-    """See that an upstream that leaves gets no new work."""
-    broken = []
+def _check_draining(records: Records, by_id) -> list[Violation]:
+    """Check that a draining upstream receives no new requests."""
+    violations = []
     for upstream, run in records.runs:
         sent = by_id.get(run.request_id)
         drained_at = records.drained_at.get(upstream)
         if sent is None or drained_at is None or not sent.calm:
             continue
         after_s = sent.at - drained_at
-        if after_s > LEAVE_S:
-            detail = f'{run.request_id} at {upstream} {after_s:.1f} s after'
+        if after_s > DRAIN_DEADLINE_S:
+            detail = (
+                f'{run.request_id} at {upstream}, '
+                f'sent {after_s:.1f} s after the drain'
+            )
             promise = 'no new work to a leaving upstream'
-            broken.append(Broken(promise, detail))
-    return broken
+            violations.append(Violation(promise, detail))
+    return violations
 
 
 def _check_lethal(
     records: Records, target: str, crashes: list[float]
-) -> list[Broken]:
-    """See that a request which crashes upstreams is kept from them."""
+) -> list[Violation]:
+    """Check that a request that crashes upstreams is quarantined."""
     if len(crashes) < 3:
         return []
-    known = crashes[2] + LETHAL_KNOWN_S
+    deadline = crashes[2] + LETHAL_KNOWN_S
     copies = {
         each.request_id: f'host {each.host}.{each.incarnation}'
         for each in records.sent
@@ -306,9 +338,11 @@
         f'{request_id} by {copies[request_id]} at {at:.2f}'
         for arrivals in records.arrivals.values()
         for at, request_id in arrivals
-        if at > known and request_id in copies
+        if at > deadline and request_id in copies
     ]
-    if len(late) <= MOST_LETHAL:
+    if len(late) <= MAX_LATE_LETHAL:
         return []
     promise = 'a request that crashes upstreams is kept from them'
-    return [Broken(promise, f'{len(late)} copies after {known:.1f}: {late}')]
+    return [
+        Violation(promise, f'{len(late)} copies after {deadline:.1f}: {late}')
+    ]
--- a/rudderrock/standins/_host_source.py
+++ b/rudderrock/standins/_host_source.py
@@ -1,4 +1,4 @@
-"""One host's way to a source, which may be barred for this host only."""
+"""A host's connection to a shared source, with faults for that host only."""
 
 import asyncio
 import functools
@@ -8,7 +8,7 @@
 from rudderrock import gateway
 from rudderrock.standins import _memory_source as memory_source
 
-_CALLS = frozenset(
+_FORWARDED_CALLS = frozenset(
     {
         'read_table',
         'watch_table',
@@ -23,26 +23,26 @@
 
 
 class HostSource:
-    """Passes calls on to a shared source unless the way is barred.
+    """Forwards calls to a shared source, unless a fault is set.
 
-    `is_refused` makes calls fail at once, `is_silent` makes them hang for
-    `patience_s`, as if the host's packets were dropped. A call that is
-    under way when the way becomes silent gets no answer either. Each call
-    takes `delay_s` longer, as by a thin link; 0 is one turn of the loop.
+    With `is_refused`, calls fail at once. With `is_silent`, calls time out
+    after `timeout_s`, as if the host's packets were dropped; so do calls in
+    flight when it is set. `delay_s` is added to each call, as by a slow
+    link; 0 yields to the event loop once.
     """
 
     def __init__(
-        self, source: memory_source.MemorySource, patience_s: float = 1.0
+        self, source: memory_source.MemorySource, timeout_s: float = 1.0
     ):
         self.is_refused = False
         self.is_silent = False
         self.delay_s: float | None = None
         self.calls = 0
         self._source = source
-        self._patience_s = patience_s
+        self._timeout_s = timeout_s
 
     def __getattr__(self, name: str):
-        if name in _CALLS:
+        if name in _FORWARDED_CALLS:
             return functools.partial(self._call, name)
         return getattr(self._source, name)
 
@@ -56,5 +56,5 @@
             answer = await getattr(self._source, name)(*arguments)
             if not self.is_silent:
                 return answer
-        await asyncio.sleep(self._patience_s)
+        await asyncio.sleep(self._timeout_s)
         return result.Err(gateway.Unavailable('no reply in time'))
--- a/rudderrock/standins/_memory.py
+++ b/rudderrock/standins/_memory.py
@@ -1,4 +1,4 @@
-"""The way to upstreams in memory, for scenarios on virtual time."""
+"""In-memory connections to upstream models, for scenarios in virtual time."""
 
 import asyncio
 import dataclasses
@@ -13,15 +13,16 @@
 from rudderrock.standins import _pause as pauses
 from rudderrock.standins import _upstream as upstreams
 
-_SILENCE_S = 3600.0
+_HANG_S = 3600.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class LinkFaults:
-    """What is wrong with the way to upstreams just now, as parts of 1.
+    """Active faults of the connections to upstreams.
 
-    `lose` drops a connection in the middle of an exchange, `cross` swaps
-    the replies of two exchanges, `delay_s` adds seconds to each reply.
+    `lose` is the probability that a connection is lost during an exchange,
+    `cross` the probability that a reply is swapped with that of another
+    exchange. `delay_s` is added to each reply, in seconds.
     """
 
     lose: float = 0.0
@@ -40,7 +41,7 @@
 
     @property
     def is_usable(self) -> bool:
-        """Tell whether an exchange may start on it."""
+        """Return whether an exchange may start on this connection."""
         return self._open and not self._model.faults.lost
 
     async def exchange(
@@ -48,7 +49,10 @@
         request: protocol.ShardRequest,
         ticket: transport.ExchangeTicket,
     ) -> protocol.ShardReply:
-        """Send a request and read its whole reply."""
+        """Send a request and return its reply.
+
+        Return `ShardTimeout` if there is none by `ticket.until`.
+        """
         try:
             async with asyncio.timeout_at(ticket.until) as abort:
                 ticket.arm(abort)
@@ -57,7 +61,7 @@
             return protocol.ShardTimeout()
 
     async def close(self) -> None:
-        """Close the connection; harmless if it is closed."""
+        """Close the connection, unless it is closed already."""
         if self._open:
             self._open = False
             self._model.disconnect()
@@ -68,26 +72,27 @@
         faults = self._port.faults
         await self._port.pause.wait_until_over()
         await asyncio.sleep(self._latency_s)
-        if self._port.draw() < faults.lose / 2:
+        if self._port.draw_fraction() < faults.lose / 2:
             return protocol.ShardLost(True, 'lost on the way there')
         if self._model.faults.lost:
             return protocol.ShardLost(True, 'connection reset')
         reply = await self._model.handle(request)
         if self._model.faults.hung:
-            await asyncio.sleep(_SILENCE_S)
+            await asyncio.sleep(_HANG_S)
         await asyncio.sleep(self._latency_s + faults.delay_s)
         await self._port.pause.wait_until_over()
-        if self._port.draw() < faults.lose / 2:
+        if self._port.draw_fraction() < faults.lose / 2:
             return protocol.ShardLost(True, 'lost on the way back')
-        if self._port.draw() < faults.cross:
-            reply = self._port.cross(reply)
+        if self._port.draw_fraction() < faults.cross:
+            reply = self._port.swap_reply(reply)
         return transport.check_shard_reply(request, reply)
 
 
 class MemoryUpstreamPort:
     """Connects one host to upstream models in the same process.
 
-    Parameters: `zone` is the host's own; `network` gives latencies.
+    `zone` is the zone of the host; with the zone of the upstream it
+    determines the latency in `network`. `rng` draws the faults.
     """
 
     def __init__(
@@ -95,20 +100,20 @@
         zone: state.ZoneId,
         models: dict[state.UpstreamId, upstreams.UpstreamModel],
         network: deployments.Network,
-        source: random.Random,
+        rng: random.Random,
     ):
         self.faults = LinkFaults()
         self._zone = zone
         self._models = models
         self._network = network
-        self._source = source
+        self._rng = rng
         self.pause = pauses.Pause()
-        self._held: protocol.ShardReply | None = None
+        self._held_reply: protocol.ShardReply | None = None
 
     async def connect(
         self, upstream: state.Upstream
     ) -> result.Result[MemoryConnection, transport.ConnectFailed]:
-        """Open a connection, which takes what the model says."""
+        """Open a connection, which takes `connect_s` of the model."""
         model = self._models.get(upstream.upstream)
         if model is None or not model.connect():
             await asyncio.sleep(self._network.between_zones_s)
@@ -121,11 +126,11 @@
         latency_s = self._network.get_latency_s(self._zone, upstream.zone)
         return result.Ok(MemoryConnection(self, model, latency_s))
 
-    def draw(self) -> float:
-        """Draw a number from 0 to 1 for a fault."""
-        return self._source.random()
+    def draw_fraction(self) -> float:
+        """Return a random number in [0, 1) that decides on a fault."""
+        return self._rng.random()
 
-    def cross(self, reply: protocol.ShardReply) -> protocol.ShardReply:
-        """Keep a reply and give the one kept before in its place."""
-        held, self._held = self._held, reply
+    def swap_reply(self, reply: protocol.ShardReply) -> protocol.ShardReply:
+        """Keep a reply and return the one kept before, if there is one."""
+        held, self._held_reply = self._held_reply, reply
         return held or reply
--- a/rudderrock/standins/_memory_hosts.py
+++ b/rudderrock/standins/_memory_hosts.py
@@ -1,4 +1,4 @@
-"""The ways between hosts and to the platform in memory."""
+"""In-memory connections between hosts and to the platform."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -12,13 +12,18 @@
 from rudderrock import transport
 from rudderrock.standins import _pause as pauses
 
-_SILENCE_S = 3600.0
+_HANG_S = 3600.0
 _CUT_TIMEOUT_S = 0.5
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class PeerFaults:
-    """What is wrong between hosts: cut pairs, and the part lost."""
+    """Active faults between hosts.
+
+    `lose` is the probability that a message is lost. `cut` holds the pairs
+    of addresses without a connection, `paused` the addresses of paused
+    hosts.
+    """
 
     lose: float = 0.0
     cut: set[frozenset[str]] = dataclasses.field(default_factory=set)
@@ -31,42 +36,42 @@
 class MemoryPeers:
     """The network between hosts in one process."""
 
-    def __init__(self, latency_s: float, source: random.Random):
+    def __init__(self, latency_s: float, rng: random.Random):
         self.faults = PeerFaults()
         self.messages = 0
         self.bytes = 0
         self._hosts: dict[str, object] = {}
         self._latency_s = latency_s
-        self._source = source
+        self._rng = rng
 
     def add(self, address: str, host: object) -> None:
-        """Let a host be reached at an address."""
+        """Make a host reachable at an address."""
         self._hosts[address] = host
 
     def remove(self, address: str) -> None:
-        """Let a host be gone, as by a crash."""
+        """Make an address unreachable, as after a crash."""
         self._hosts.pop(address, None)
 
     def make_port(self, address: str) -> 'MemoryPeerPort':
         """Return the port of the host at an address."""
         return MemoryPeerPort(self, address)
 
-    async def carry(self, sender: str, receiver: str, message: object):
-        """Carry one message; return the host reached, or None."""
+    async def deliver(self, sender: str, receiver: str, message: object):
+        """Deliver a message; return the receiver, or None if it is lost."""
         self.messages += 1
         self.bytes += len(protocol.encode(message))
         await asyncio.sleep(self._latency_s)
         pair = frozenset({sender, receiver})
-        silent = self.faults.paused & pair
-        if silent or pair in self.faults.cut:
+        paused = self.faults.paused & pair
+        if paused or pair in self.faults.cut:
             return None
-        if self._source.random() < self.faults.lose:
+        if self._rng.random() < self.faults.lose:
             return None
         return self._hosts.get(receiver)
 
 
 class MemoryPeerPort:
-    """One host's way to its peers."""
+    """The peer port of one host."""
 
     def __init__(self, network: MemoryPeers, address: str):
         self._network = network
@@ -75,12 +80,12 @@
     async def probe(
         self, address: str, message: protocol.Probe, timeout_s: float
     ) -> result.Result[protocol.ProbeReply, transport.PeerUnreachable]:
-        """Send a probe and wait for its reply."""
+        """Send a probe to a peer and return its reply."""
 
-        async def ask(host) -> protocol.ProbeReply:
+        async def handle(host) -> protocol.ProbeReply:
             return await host.membership.answer_probe(message)
 
-        return await self._call(address, message, timeout_s, ask)
+        return await self._call(address, message, timeout_s, handle)
 
     async def fetch_config(
         self,
@@ -88,35 +93,37 @@
         message: protocol.ConfigRequest,
         timeout_s: float,
     ) -> result.Result[protocol.ConfigReply, transport.PeerUnreachable]:
-        """Ask a peer for a later table and layout."""
+        """Request a newer table and layout from a peer."""
 
-        async def ask(host) -> protocol.ConfigReply:
+        async def handle(host) -> protocol.ConfigReply:
             return host.config.answer_config(message)
 
-        return await self._call(address, message, timeout_s, ask)
+        return await self._call(address, message, timeout_s, handle)
 
-    async def _call(self, address, message, timeout_s, ask):
+    async def _call(self, address, message, timeout_s, handle):
         try:
             async with asyncio.timeout(timeout_s):
-                host = await self._network.carry(
+                host = await self._network.deliver(
                     self._address, address, message
                 )
                 if host is None:
-                    await asyncio.sleep(_SILENCE_S)
-                reply = await ask(host)
-                back = await self._network.carry(address, self._address, reply)
-                if back is None:
-                    await asyncio.sleep(_SILENCE_S)
+                    await asyncio.sleep(_HANG_S)
+                reply = await handle(host)
+                delivered = await self._network.deliver(
+                    address, self._address, reply
+                )
+                if delivered is None:
+                    await asyncio.sleep(_HANG_S)
                 return result.Ok(reply)
         except TimeoutError:
             return result.Err(transport.PeerUnreachable('timed out'))
 
 
 class HostKv:
-    """One host's way to the key-value service, which can be cut or paused.
+    """A host's connection to the key-value service, with faults.
 
-    While it is paused, what the service has answered does not arrive, as
-    with a process that is paused.
+    While `cut` is set, calls fail. During a pause, replies of the service
+    are held back, as for a paused process.
     """
 
     def __init__(self, kv: transport.KvPort):
@@ -125,30 +132,30 @@
         self._kv = kv
 
     async def get(self, key: str):
-        """Read one key."""
-        return await self._pass(self._kv.get, key)
+        """Return the value and version of a key."""
+        return await self._forward(self._kv.get, key)
 
     async def swap(self, request: protocol.SwapRequest):
-        """Compare and swap one key; return its new version."""
-        return await self._pass(self._kv.swap, request)
+        """Write a key if its version is as expected; return its version."""
+        return await self._forward(self._kv.swap, request)
 
     async def watch(self, key: str, after: int, timeout_s: float):
-        """Wait for a version later than `after`, or the time to be over."""
-        return await self._pass(self._kv.watch, key, after, timeout_s)
+        """Return a key once its version exceeds `after`, or at the timeout."""
+        return await self._forward(self._kv.watch, key, after, timeout_s)
 
     async def grant(self, ttl_s: float):
-        """Ask for a lease; return its id."""
-        return await self._pass(self._kv.grant, ttl_s)
+        """Request a lease and return its id."""
+        return await self._forward(self._kv.grant, ttl_s)
 
     async def renew(self, lease: str):
-        """Prolong a lease by its time to live."""
-        return await self._pass(self._kv.renew, lease)
+        """Extend a lease to its full time to live from now."""
+        return await self._forward(self._kv.renew, lease)
 
     async def revoke(self, lease: str):
-        """Give a lease back."""
-        return await self._pass(self._kv.revoke, lease)
+        """Revoke a lease."""
+        return await self._forward(self._kv.revoke, lease)
 
-    async def _pass(self, call, *arguments):
+    async def _forward(self, call, *arguments):
         await self.pause.wait_until_over()
         if self.cut:
             await asyncio.sleep(_CUT_TIMEOUT_S)
@@ -161,7 +168,10 @@
 
 
 class MemoryHostList:
-    """The platform's list of live and leaving hosts; set it by hand."""
+    """The platform's list of running and draining hosts.
+
+    A scenario sets `hosts`; `down` makes reads of the list fail.
+    """
 
     def __init__(self):
         self.hosts: list[transport.ListedHost] = []
@@ -170,7 +180,7 @@
     async def list_hosts(
         self,
     ) -> result.Result[list[transport.ListedHost], transport.PeerUnreachable]:
-        """Return the list as the platform has it now."""
+        """Return the current host list."""
         if self.down:
             return result.Err(transport.PeerUnreachable('list is down'))
         return result.Ok(list(self.hosts))
--- a/rudderrock/standins/_upstream.py
+++ b/rudderrock/standins/_upstream.py
@@ -1,8 +1,8 @@
-"""A stand-in of an upstream: slots, a queue, stragglers, drains, records.
+"""A stand-in of an upstream, with a request queue and fault injection.
 
-`UpstreamModel` is the server itself. It is reached over HTTP by
-`make_upstream_app`, or in memory by `MemoryUpstreamPort`. It keeps its own
-record of what ran, against which a scenario checks every outcome.
+`UpstreamModel` is the server itself. `make_upstream_app` serves it over HTTP,
+and `MemoryUpstreamPort` connects to it in memory. It records the requests that
+it ran, so that a scenario can check every outcome against them.
 """
 
 import asyncio
@@ -21,18 +21,20 @@
 
 DEFAULT_MAX_QUEUE = 64
 _HITS_PER_SHARD = 3
-_SILENCE_S = 3600.0
+_HANG_S = 3600.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class UpstreamFaults:
-    """What is wrong with an upstream just now.
-
-    `straggle` is the part of requests that take `straggle_factor` times as
-    long; `slow_factor` slows all. A `lost` one drops its connections and
-    takes none, a `hung` one takes them and never answers. `shed` is the
-    part refused. `false_load` is reported in place of the true load.
-    `cold_until` is the loop time up to which it is `cold_factor` slower.
+    """Active faults of an upstream.
+
+    `straggle` is the probability that a request takes `straggle_factor`
+    times as long. `slow_factor` multiplies the time of all requests. `shed`
+    is the probability that a request is shed. A `lost` upstream drops its
+    connections and accepts none. A `hung` upstream accepts connections but
+    sends no replies. A `leaving` upstream rejects all requests. `false_load`
+    is reported in place of the actual load. Until the loop time `cold_until`
+    requests take `cold_factor` times as long.
     """
 
     straggle: float = 0.0
@@ -49,7 +51,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """One request that an upstream worked on."""
+    """One request that an upstream started to process.
+
+    `started` is the time in seconds. `finished` is False if the request was
+    cancelled.
+    """
 
     request: protocol.ShardRequest
     started: float
@@ -57,20 +63,20 @@
 
 
 class UpstreamModel:
-    """One server of shards.
+    """A server of shards.
 
-    Parameters: `upstream` is its description in the layout; `versions`
-    what index versions it holds; `service_s` its median time for a request
-    in seconds, drawn log-normally with `spread`; `connect_s` what a new
-    connection takes; `max_queue` the requests it lets wait beyond its
-    slots.
+    `upstream` is its entry in the layout and `versions` are the index
+    versions that it holds. The time to process a request is log-normal with
+    median `service_s`, in seconds, and standard deviation `spread` of the
+    logarithm. `connect_s` is the time to open a connection, in seconds.
+    `max_queue` is the number of requests that may wait for a slot.
     """
 
     def __init__(
         self,
         upstream: state.Upstream,
         clock: state.Clock,
-        source: random.Random,
+        rng: random.Random,
         *,
         versions: set[state.IndexVersion],
         service_s: float = 0.004,
@@ -88,7 +94,7 @@
         self.peak_connections = 0
         self.refused_connections = 0
         self._clock = clock
-        self._source = source
+        self._rng = rng
         self._service_s = service_s
         self._spread = spread
         self._max_queue = max_queue
@@ -99,9 +105,9 @@
     async def handle(
         self, request: protocol.ShardRequest
     ) -> protocol.ShardAnswer | protocol.ShardRejected:
-        """Work on one request, or say why not.
+        """Process a request and return the answer or a rejection.
 
-        Cancelling this call is how a caller's cancellation arrives.
+        The call is cancelled when the caller cancels the request.
         """
         self.received += 1
         rejection = self._reject(request)
@@ -118,7 +124,7 @@
             self._slots.release()
 
     def report_load(self) -> protocol.Load:
-        """Return the load that this upstream claims to have."""
+        """Return the load, or `false_load` if that fault is set."""
         if self.faults.false_load is not None:
             return self.faults.false_load
         return protocol.Load(
@@ -129,7 +135,10 @@
         )
 
     def connect(self) -> bool:
-        """Take one more connection if the limit allows it."""
+        """Accept a connection; return False if it is refused.
+
+        A connection is refused beyond the limit or if the upstream is lost.
+        """
         if self.faults.lost:
             return False
         if self.open_connections >= self.upstream.connections:
@@ -142,7 +151,7 @@
         return True
 
     def disconnect(self) -> None:
-        """Let one connection go."""
+        """Record that a connection is closed."""
         self.open_connections -= 1
 
     def _reject(
@@ -160,7 +169,7 @@
         if self._clock.wall() >= request.deadline:
             return _rejected(request, kinds.EXPIRED)
         full = self._queued >= self._max_queue
-        if full or self._source.random() < self.faults.shed:
+        if full or self._rng.random() < self.faults.shed:
             return _rejected(request, kinds.SHED, retry_after_s=0.05)
         return None
 
@@ -183,8 +192,8 @@
     def _draw_service_s(self) -> float:
         faults = self.faults
         service_s = self._service_s * faults.slow_factor
-        service_s *= self._source.lognormvariate(0.0, self._spread)
-        if self._source.random() < faults.straggle:
+        service_s *= self._rng.lognormvariate(0.0, self._spread)
+        if self._rng.random() < faults.straggle:
             service_s *= faults.straggle_factor
         if self._clock.now() < faults.cold_until:
             service_s *= faults.cold_factor
@@ -194,7 +203,7 @@
         hits = [
             protocol.Hit(
                 id=f'{request.shard}-{request.version}-{number}',
-                score=round(self._source.random(), 6),
+                score=round(self._rng.random(), 6),
                 document=msgspec.Raw(
                     b'{"shard":"%s","echo":%s}'
                     % (request.shard.encode(), bytes(request.body))
@@ -222,21 +231,26 @@
 
 
 def make_upstream_app(model: UpstreamModel) -> applications.Starlette:
-    """Put an upstream behind HTTP; a closed connection cancels its work."""
+    """Return an application that serves an upstream over HTTP.
+
+    A request is cancelled when its connection is closed.
+    """
 
     async def shard(request: requests.Request) -> responses.Response:
         decoded = protocol.decode(protocol.ShardRequest, await request.body())
         if decoded.is_err():
             return responses.PlainTextResponse(decoded.unwrap_err(), 400)
         work = asyncio.create_task(model.handle(decoded.unwrap()))
-        gone = asyncio.create_task(transport.wait_for_disconnect(request))
-        await asyncio.wait((work, gone), return_when='FIRST_COMPLETED')
-        gone.cancel()
+        disconnected = asyncio.create_task(
+            transport.wait_for_disconnect(request)
+        )
+        await asyncio.wait((work, disconnected), return_when='FIRST_COMPLETED')
+        disconnected.cancel()
         if not work.done():
             work.cancel()
             return responses.Response(status_code=499)
         if model.faults.hung:
-            await asyncio.sleep(_SILENCE_S)
+            await asyncio.sleep(_HANG_S)
         return _make_response(work.result())
 
     async def load(request: requests.Request) -> responses.Response:
--- a/rudderrock/standins/_wire_upstream.py
+++ b/rudderrock/standins/_wire_upstream.py
@@ -1,4 +1,4 @@
-"""An upstream that speaks plain HTTP, with faults to be switched on."""
+"""A stand-in of an HTTP upstream, with fault injection."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,50 +8,54 @@
 from rudderrock import gateway
 from rudderrock.standins import _wire_server as wire_server
 
-# For how long an upstream that has crashed is down, in seconds.
+# Time from a crash of an upstream until it listens again.
 DOWN_S = 3.0
 
 
 class Conduct(enum.Enum):
-    """How an upstream treats the requests that it gets."""
+    """Modes in which an upstream responds to requests."""
 
     GOOD = 'good'
     FAILING = 'failing'
     SHEDDING = 'shedding'
     RESETTING = 'resetting'
     SILENT = 'silent'
-    TRUNCATING = 'truncating'
-    UNFRAMED = 'unframed'
-    UNFRAMED_CUT = 'unframed cut'
-    DOUBLING = 'doubling'
-    SPOILING = 'spoiling'
-    ENCODING = 'encoding'
-    UNSIGNED = 'unsigned'
+    TRUNCATED = 'truncating'
+    NO_CONTENT_LENGTH = 'unframed'
+    NO_CONTENT_LENGTH_RESET = 'unframed cut'
+    DUPLICATE_REPLY = 'doubling'
+    MALFORMED = 'spoiling'
+    CONTENT_ENCODED = 'encoding'
+    MISSING_STAMP = 'unsigned'
     CLOSING = 'closing'
-    EARLY = 'early'
-    SAYING_421 = 'misdirected'
+    EARLY_REPLY = 'early'
+    MISDIRECTED = 'misdirected'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pauses:
-    """When an upstream does nothing: `length_s` in each `every_s` seconds.
+    """Periodic pauses: `length_s` seconds in every `every_s` seconds.
 
-    `phase_s` shifts the first one, so that upstreams pause one by one.
+    `phase_s` shifts the pauses, so that upstreams do not pause at the same
+    time.
     """
 
     length_s: float
     every_s: float
     phase_s: float = 0.0
 
-    def get_left(self, now: float) -> float:
-        """Return for how long a pause still lasts, 0 without one."""
-        since_s = (now + self.phase_s) % self.every_s
-        return max(0.0, self.length_s - since_s)
+    def get_remaining_s(self, now: float) -> float:
+        """Return the remaining seconds of the current pause, or 0."""
+        elapsed_s = (now + self.phase_s) % self.every_s
+        return max(0.0, self.length_s - elapsed_s)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WireRun:
-    """One request that an upstream began to work on; time in seconds."""
+    """One request that an upstream started to process.
+
+    `at` is when its head was read, in seconds by the clock of the loop.
+    """
 
     at: float
     request_id: str
@@ -62,14 +66,16 @@
 
 
 class WireUpstream(wire_server.WireServer):
-    """Serves one address; `runs` is what it has worked on.
+    """An HTTP upstream that records the requests it processes in `runs`.
 
-    Parameters: `records` is the body of each answer, or makes it from the
-    request's id; `work_s` is how long it works on a request, `slots` of
-    them at once. With `pauses` it begins on nothing while one lasts, and it
-    reads nothing of a new connection for `connect_s`. It stops working when
-    the connection closes. It crashes when it has run a request whose target
-    is in `lethal`, and is back `DOWN_S` later.
+    `records` is the body of each reply, or a function that returns it for a
+    request id. Processing a request takes `work_s` seconds, for up to
+    `slots` requests at once; it is cancelled when the connection closes.
+    A request that starts during one of the `pauses` takes longer by the
+    rest of the pause. Nothing is read from a new connection for `connect_s`
+    seconds. Connections beyond `max_connections` are closed. After running
+    a request whose target is in `lethal`, the upstream crashes and listens
+    again `DOWN_S` seconds later.
     """
 
     def __init__(
@@ -78,7 +84,7 @@
         names: gateway.HeaderNames,
         records: bytes | Callable[[str], bytes] = b'',
         work_s: float = 0.01,
-        most_connections: int = 1000,
+        max_connections: int = 1000,
         slots: int = 1000,
         pauses: Pauses | None = None,
         connect_s: float = 0.0,
@@ -89,11 +95,11 @@
         self.work_s = work_s
         self.conduct = Conduct.GOOD
         self.lethal: frozenset[str] = frozenset()
-        # When it crashed, and under a request for which target.
+        # The time of each crash and the target of the request that caused it.
         self.crash_log: list[tuple[float, str]] = []
-        # Called when it crashes, for what stands before it.
+        # Called at each crash, so that a proxy can go down as well.
         self.on_crash: Callable[[], None] = lambda: None
-        self.most_connections = most_connections
+        self.max_connections = max_connections
         self.runs: list[WireRun] = []
         self.finished = 0
         self.timed_arrivals: list[tuple[float, str]] = []
@@ -107,7 +113,7 @@
 
     @property
     def arrivals(self) -> list[str]:
-        """Return the ids of all requests that arrived, in order."""
+        """Return the ids of all received requests, in order of arrival."""
         return [request_id for _, request_id in self.timed_arrivals]
 
     def _make_body(self, request_id: str) -> bytes:
@@ -116,11 +122,11 @@
         return self.records
 
     async def serve(self, reader, writer) -> None:
-        """Serve one connection, unless there are too many."""
+        """Serve one connection, or close it if there are too many."""
         self.open += 1
         self.most_open = max(self.most_open, self.open)
         try:
-            if self.open <= self.most_connections:
+            if self.open <= self.max_connections:
                 await self._serve(reader, writer)
         finally:
             self.open -= 1
@@ -132,14 +138,14 @@
             head = await wire_server.read_head(reader)
             await self.wait_if_silent()
             at = asyncio.get_running_loop().time()
-            if self.conduct is Conduct.EARLY:
-                writer.write(_make(400, [], b''))
+            if self.conduct is Conduct.EARLY_REPLY:
+                writer.write(_render_reply(400, [], b''))
             body = await reader.readexactly(head.body_length)
             run = self._make_run(at, head, body)
             self.timed_arrivals.append((run.at, run.request_id))
-            if self.conduct is Conduct.EARLY:
+            if self.conduct is Conduct.EARLY_REPLY:
                 continue
-            if not await self._treat(run, reader, writer):
+            if not await self._handle_request(run, reader, writer):
                 return
 
     def _make_run(
@@ -157,21 +163,23 @@
 
     @property
     def crashes(self) -> list[float]:
-        """Return when it crashed."""
+        """Return the times of all crashes."""
         return [at for at, _ in self.crash_log]
 
-    async def _treat(self, run: WireRun, reader, writer) -> bool:
-        """Answer one request; tell whether the connection goes on."""
-        wanted = run.headers.get(self._names.expected_upstream.decode())
-        if wanted not in (None, self.upstream):
-            writer.write(_make(421, [], b''))
+    async def _handle_request(self, run: WireRun, reader, writer) -> bool:
+        """Answer one request; return whether the connection stays open."""
+        expected = run.headers.get(self._names.expected_upstream.decode())
+        if expected not in (None, self.upstream):
+            writer.write(_render_reply(421, [], b''))
             return True
         match self.conduct:
             case Conduct.SHEDDING:
-                writer.write(_make(503, [(self._names.not_run, b'1')], b''))
+                writer.write(
+                    _render_reply(503, [(self._names.not_run, b'1')], b'')
+                )
                 return True
-            case Conduct.SAYING_421:
-                writer.write(_make(421, [], b''))
+            case Conduct.MISDIRECTED:
+                writer.write(_render_reply(421, [], b''))
                 return True
         self.runs.append(run)
         if not await self._work(reader):
@@ -185,50 +193,50 @@
         return await self._answer(run, writer)
 
     async def _work(self, reader) -> bool:
-        """Work until done; stop when the connection is closed."""
-        gone = asyncio.ensure_future(reader.read(1))
+        """Process a request; return False if the connection is closed."""
+        disconnected = asyncio.ensure_future(reader.read(1))
         self.working += 1
         try:
             async with self._slots:
-                work_s = self.work_s + self._get_pause()
-                done, _ = await asyncio.wait({gone}, timeout=work_s)
+                work_s = self.work_s + self._get_pause_s()
+                done, _ = await asyncio.wait({disconnected}, timeout=work_s)
         finally:
             self.working -= 1
         if not done:
-            gone.cancel()
-            await asyncio.gather(gone, return_exceptions=True)
+            disconnected.cancel()
+            await asyncio.gather(disconnected, return_exceptions=True)
             self.finished += 1
             return True
         return False
 
-    def _get_pause(self) -> float:
+    def _get_pause_s(self) -> float:
         if self.pauses is None:
             return 0.0
-        return self.pauses.get_left(asyncio.get_running_loop().time())
+        return self.pauses.get_remaining_s(asyncio.get_running_loop().time())
 
     async def _answer(self, run: WireRun, writer) -> bool:
         names = self._names
         echo = (names.request_id, run.request_id.encode())
         stamp = (names.stamp, f'{self.upstream}.{run.request_id}'.encode())
         body = self._make_body(run.request_id)
-        whole = _make(200, [echo, stamp], body)
+        full_reply = _render_reply(200, [echo, stamp], body)
         match self.conduct:
             case Conduct.GOOD:
-                writer.write(whole)
+                writer.write(full_reply)
             case Conduct.FAILING:
-                writer.write(_make(500, [echo, stamp], b'failed'))
+                writer.write(_render_reply(500, [echo, stamp], b'failed'))
             case Conduct.RESETTING:
                 return False
             case Conduct.SILENT:
                 await asyncio.sleep(3600.0)
-            case Conduct.TRUNCATING:
-                writer.write(whole[:-1])
+            case Conduct.TRUNCATED:
+                writer.write(full_reply[:-1])
                 await writer.drain()
                 writer.close()
                 await asyncio.sleep(1.0)
                 return False
-            case Conduct.UNFRAMED | Conduct.UNFRAMED_CUT:
-                head, _, body = whole.partition(b'\r\n\r\n')
+            case Conduct.NO_CONTENT_LENGTH | Conduct.NO_CONTENT_LENGTH_RESET:
+                head, _, body = full_reply.partition(b'\r\n\r\n')
                 lines = [
                     line
                     for line in head.split(b'\r\n')
@@ -236,26 +244,26 @@
                 ]
                 writer.write(b'\r\n'.join(lines) + b'\r\n\r\n' + body)
                 await writer.drain()
-                if self.conduct is Conduct.UNFRAMED_CUT:
+                if self.conduct is Conduct.NO_CONTENT_LENGTH_RESET:
                     await asyncio.sleep(0.01)
                     return False
                 writer.close()
                 await asyncio.sleep(1.0)
                 return False
-            case Conduct.DOUBLING:
-                writer.write(whole)
+            case Conduct.DUPLICATE_REPLY:
+                writer.write(full_reply)
                 await asyncio.sleep(0.002)
-                writer.write(_make(200, [echo, stamp], b'e' * 16))
-            case Conduct.SPOILING:
+                writer.write(_render_reply(200, [echo, stamp], b'e' * 16))
+            case Conduct.MALFORMED:
                 writer.write(b'\x00\x01 no http \r\n\r\n')
-            case Conduct.ENCODING:
+            case Conduct.CONTENT_ENCODED:
                 coded = (b'content-encoding', b'gzip')
-                writer.write(_make(200, [echo, stamp, coded], body))
-            case Conduct.UNSIGNED:
-                writer.write(_make(200, [echo], body))
+                writer.write(_render_reply(200, [echo, stamp, coded], body))
+            case Conduct.MISSING_STAMP:
+                writer.write(_render_reply(200, [echo], body))
             case Conduct.CLOSING:
                 close = (b'connection', b'close')
-                writer.write(_make(200, [echo, stamp, close], body))
+                writer.write(_render_reply(200, [echo, stamp, close], body))
                 await writer.drain()
                 writer.close()
                 await asyncio.sleep(1.0)
@@ -263,6 +271,6 @@
         return True
 
 
-def _make(status: int, headers: gateway.Headers, body: bytes) -> bytes:
+def _render_reply(status: int, headers: gateway.Headers, body: bytes) -> bytes:
     reply = gateway.Reply(status, headers, body)
     return gateway.render_reply(reply, close=False)
