--- a/features/gateway.feature
+++ b/features/gateway.feature
@@ -1,4 +1,4 @@
-Feature: A gateway forwards every request truthfully
+Feature: A gateway forwards requests to upstreams
 
   Scenario: method, path, query, headers and body reach the upstream unchanged
     Given an upstream "u1" of "notes"
@@ -8,9 +8,9 @@
     Then the reply is 200
     And "u1" ran it as POST "/notes/a%20b?x=1&y=2" with the body "parcel"
     And "u1" was sent the header "x-color" as "blue"
-    And "u1" was named as the only one that may run it
+    And "u1" was sent its own id as the expected upstream
 
-  Scenario: headers of one connection are not passed on
+  Scenario: hop-by-hop headers are not forwarded
     Given an upstream "u1" of "notes"
     And the route "/notes/" to "notes"
     And a gateway
@@ -19,7 +19,7 @@
     And "u1" was not sent the header "x-own"
     And "u1" was not sent the header "connection"
 
-  Scenario: a body in chunks reaches the upstream whole
+  Scenario: a chunked body reaches the upstream complete
     Given an upstream "u1" of "notes"
     And the route "/notes/" to "notes" that runs once
     And a gateway
@@ -27,7 +27,7 @@
     Then the reply is 200
     And "u1" ran it as POST "/notes/1" with the body "parcel"
 
-  Scenario: the longest prefix of the host's routes is taken
+  Scenario: the route with the longest matching prefix of the host is used
     Given an upstream "u1" of "notes"
     And an upstream "u2" of "scans"
     And the route "/a/" to "notes"
@@ -43,7 +43,7 @@
     When a caller sends GET "/a/1" to the host "other.example"
     Then the reply is 404
 
-  Scenario: a gateway that knows no routes yet says when to come back
+  Scenario: a gateway without routes refuses requests with a Retry-After header
     Given an upstream "u1" of "notes"
     And a gateway
     When a caller sends GET "/notes/1"
@@ -51,7 +51,7 @@
     And it says when to come back
     And the gateway is not ready
 
-  Scenario: the weights of a split are kept
+  Scenario: requests are distributed by the weights of a split
     Given an upstream "u1" of "left"
     And an upstream "u2" of "right"
     And the route "/s/" split 3 to 1 over "left" and "right"
@@ -59,7 +59,7 @@
     When 80 requests for "/s/1" are sent at 20 a second
     Then "u1" ran 60 of them and "u2" 20
 
-  Scenario: a full part of a split is not given to another part
+  Scenario: requests that one target of a split sheds are not sent to another target
     Given an upstream "u1" of "left"
     And an upstream "u2" of "right"
     And the route "/s/" split 1 to 1 over "left" and "right"
@@ -68,19 +68,19 @@
     When 40 requests for "/s/1" are sent at 20 a second
     Then "u1" ran 0 of them and "u2" 20
 
-  Scenario: an older table never replaces a newer one
+  Scenario: an older routing table never replaces a newer one
     Given an upstream "u1" of "notes"
     And an upstream "u2" of "scans"
     And the route "/a/" to "notes"
     And a gateway
     When the route "/a/" is moved to "scans"
     And 1 second passes
-    And the source shows the version before again
+    And the source returns the previous table again
     And 15 seconds pass
     And a caller sends GET "/a/1"
     Then "u2" ran it and nobody else
 
-  Scenario: a new table is in force at once
+  Scenario: a new routing table takes effect within 0.1 seconds
     Given an upstream "u1" of "notes"
     And an upstream "u2" of "scans"
     And the route "/a/" to "notes"
@@ -90,28 +90,28 @@
     And a caller sends GET "/a/1"
     Then "u2" ran it and nobody else
 
-  Scenario: a table that a deaf watch misses is in force once the history is gone
+  Scenario: a table whose watch event was lost takes effect after the history is compacted
     Given an upstream "u1" of "notes"
     And an upstream "u2" of "scans"
     And the route "/a/" to "notes"
     And a gateway
-    When the source's watches hear nothing
+    When the source sends no events to its watches
     And the route "/a/" is moved to "scans"
     And 1 second passes
-    And the source drops its history and cuts its watches
+    And the source compacts its history and ends its watches
     And 0.5 seconds pass
     And a caller sends GET "/a/1"
     Then "u2" ran it and nobody else
 
-  Scenario: the table is read once when the history is gone
+  Scenario: the table is read once after the history is compacted
     Given an upstream "u1" of "notes"
     And the route "/a/" to "notes"
     And a gateway
-    When the source drops its history and cuts its watches
+    When the source compacts its history and ends its watches
     And 3 seconds pass
     Then the table was read 2 times
 
-  Scenario: a table written while the source is away is in force after its return
+  Scenario: a table written during an outage of the source takes effect after the outage
     Given an upstream "u1" of "notes"
     And an upstream "u2" of "scans"
     And the route "/a/" to "notes"
@@ -124,15 +124,15 @@
     And a caller sends GET "/a/1"
     Then "u2" ran it and nobody else
 
-  Scenario: an answer that names another request is never passed on
+  Scenario: a reply with the stamp of another request is never forwarded
     Given an upstream "u1" of "notes"
     And the route "/notes/" to "notes"
-    And "u1" answers every request twice, the second late
+    And "u1" replies to every request twice, the second time late
     And a gateway
     When 40 requests for "/notes/1" are sent at 100 a second
-    Then every reply is 200 and signed for its own request
+    Then every reply is 200 and has the stamp of its own request
 
-  Scenario Outline: what is not a whole answer is not passed on: <fault>
+  Scenario Outline: an incomplete or invalid reply is not forwarded: <fault>
     Given an upstream "u1" of "notes"
     And the route "/notes/" to "notes"
     And "u1" is <fault>
@@ -148,20 +148,20 @@
       | unsigned     |
       | resetting    |
 
-  Scenario: an answer without a length that is reset on the way is lost
-    When a connection brings an answer without a length and is reset
+  Scenario: a reply without a length is lost if its connection is reset
+    When a connection receives a reply without a length and is reset
     Then its request is lost and may have run
 
-  Scenario: an answer without a length ends with its connection
+  Scenario: a reply without a length ends when its connection is closed
     Given an upstream "u1" of "notes"
     And the route "/notes/" to "notes"
     And "u1" is unframed
     And a gateway
     When a caller sends GET "/notes/1"
     Then the reply is 200
-    And its body is whole
+    And its body is complete
 
-  Scenario Outline: an idempotent request is sent again after a failure: <fault>
+  Scenario Outline: an idempotent request is retried after a failure: <fault>
     Given an upstream "u1" of "notes"
     And an upstream "u2" of "notes" in "south-1"
     And the route "/notes/" to "notes"
@@ -181,7 +181,7 @@
       | misdirected |
       | silent      |
 
-  Scenario Outline: a request that may run once is not sent again: <fault>
+  Scenario Outline: a non-idempotent request is not retried after a failure: <fault>
     Given an upstream "u1" of "notes"
     And an upstream "u2" of "notes" in "south-1"
     And the route "/notes/" to "notes" that runs once
@@ -198,7 +198,7 @@
       | truncating | 502    |
       | silent     | 504    |
 
-  Scenario Outline: a rejection lets a request that may run once go elsewhere: <fault>
+  Scenario Outline: a non-idempotent request is retried after a rejection: <fault>
     Given an upstream "u1" of "notes"
     And an upstream "u2" of "notes" in "south-1"
     And the route "/notes/" to "notes" that runs once
@@ -213,7 +213,7 @@
       | shedding    |
       | misdirected |
 
-  Scenario: a refusal that promises not to have run is true and quick
+  Scenario: a request that all upstreams shed is refused quickly and has not run
     Given an upstream "u1" of "notes"
     And an upstream "u2" of "notes" in "south-1"
     And the route "/notes/" to "notes" that runs once
@@ -226,7 +226,7 @@
     And it ran 0 times
     And it took less than 0.2 seconds
 
-  Scenario: a request that nobody can take is refused at once
+  Scenario: a request to a service without upstreams is refused at once
     Given the route "/notes/" to "notes"
     And a gateway
     When a caller sends GET "/notes/1"
@@ -234,7 +234,7 @@
     And it says when to come back
     And it took less than 0.01 seconds
 
-  Scenario: a reset on a kept connection costs no second run
+  Scenario: a request runs once after an idle connection was reset
     Given an upstream "u1" of "notes"
     And the route "/notes/" to "notes" that runs once
     And a gateway
@@ -245,7 +245,7 @@
     Then the reply is 200
     And it ran 1 time
 
-  Scenario: an address that was given to another upstream runs nothing
+  Scenario: a request is not executed by another upstream that took over the address
     Given an upstream "u1" of "notes"
     And an upstream "u2" of "notes" in "south-1"
     And the route "/notes/" to "notes" that runs once
@@ -255,7 +255,7 @@
     Then the reply is 200
     And "u2" ran it and nobody else
 
-  Scenario: an address that was given to another upstream is left alone
+  Scenario: an address taken over by another upstream gets only one request
     Given an upstream "u1" of "notes"
     And an upstream "u2" of "notes" in "south-1"
     And the route "/notes/" to "notes"
@@ -265,7 +265,7 @@
     Then every reply is 200
     And 1 request has reached the address of "u1" since
 
-  Scenario: the only upstream's address was given to another
+  Scenario: the address of the only upstream gets only one request after it was taken over
     Given an upstream "u1" of "notes"
     And the route "/notes/" to "notes"
     And a gateway
@@ -273,30 +273,30 @@
     And 100 requests for "/notes/1" are sent at 25 a second
     Then 1 request has reached the address of "u1" since
 
-  Scenario: a caller that leaves stops the work done for it
+  Scenario: a request is aborted at its upstream when the caller disconnects
     Given an upstream "u1" of "notes" that works for 5 seconds
     And the route "/notes/" to "notes" with a timeout of 10 seconds
     And a gateway
-    When a caller sends GET "/notes/1" with 9 seconds and leaves after 0.2 seconds
+    When a caller sends GET "/notes/1" with 9 seconds and disconnects after 0.2 seconds
     And 0.5 seconds pass
-    Then "u1" is at work for nobody
+    Then "u1" is working on no request
 
-  Scenario: a caller that leaves stops the work at every shard
+  Scenario: a request is aborted at every shard when the caller disconnects
     Given 5 shards that work for 5 seconds
     And the route "/all/" to all shards with a timeout of 10 seconds
     And a gateway
-    When a caller sends GET "/all/1" with 9 seconds and leaves after 0.2 seconds
+    When a caller sends GET "/all/1" with 9 seconds and disconnects after 0.2 seconds
     And 0.5 seconds pass
     Then no shard is at work for anybody
 
-  Scenario: upstreams are told how much time is left
+  Scenario: the remaining time is sent to upstreams
     Given an upstream "u1" of "notes"
     And the route "/notes/" to "notes" with a timeout of 0.6 seconds
     And a gateway
     When a caller sends GET "/notes/1" with 5 seconds
-    Then "u1" was told at most 600 ms
+    Then "u1" was sent a deadline of at most 600 ms
 
-  Scenario: a route's timeout ends a request
+  Scenario: a request times out after its route's timeout
     Given an upstream "u1" of "notes" that works for 5 seconds
     And the route "/notes/" to "notes" with a timeout of 0.6 seconds
     And a gateway
@@ -305,7 +305,7 @@
     And it took less than 0.61 seconds
     And it took more than 0.5 seconds
 
-  Scenario: a caller's deadline ends a request
+  Scenario: a request times out at the caller's deadline
     Given an upstream "u1" of "notes" that works for 5 seconds
     And the route "/notes/" to "notes" with a timeout of 10 seconds
     And a gateway
@@ -315,22 +315,22 @@
 
   Scenario: the greatest records of all shards are merged
     Given shards with the records "b", "ab", "bc" and "a"
-    And the route "/all/" to all shards for the greatest 4
+    And the route "/all/" to all shards for the greatest 4 records
     And a gateway
     When a caller sends GET "/all/1"
     Then the reply is 200
     And its records are "cbbb"
     And 0 shards are missing and 4 are signed
 
-  Scenario: a remainder shorter than a record counts for nothing
+  Scenario: an incomplete record at the end of a reply is ignored
     Given shards with the records "b", "a" and "c"
     And a shard that sends half a record
-    And the route "/all/" to all shards for the greatest 9
+    And the route "/all/" to all shards for the greatest 9 records
     And a gateway
     When a caller sends GET "/all/1"
     Then its records are "cba"
 
-  Scenario: coverage is true when a shard fails
+  Scenario: the reported coverage is correct when a shard fails
     Given 10 shards
     And the route "/all/" to all shards, at least 0.9 of them
     And every upstream of shard 3 is failing
@@ -339,25 +339,25 @@
     Then the reply is 200
     And 1 shards are missing and 9 are signed
 
-  Scenario: the line of a query names the shards that are missing, and why
+  Scenario: the log line of a query names the missing shards and the reason
     Given 10 shards of 2 replicas
     And the route "/all/" to all shards, at least 0.9 of them
     And every upstream of shard 3 is failing
     And a gateway
     When a caller sends GET "/all/1"
-    Then the line of the last request says "shard-3: failure: status 500"
-    And the line of the last request has 1 extras and 0 denied
+    Then the log line of the last request has the detail "shard-3: failure: status 500"
+    And the log line of the last request has 1 extras and 0 denied
 
-  Scenario: the line of a late query names what was missing at its goal
+  Scenario: the log line of a late query names the shards missing at its latency goal
     Given 10 shards
     And the route "/all/" to all shards, at least 0.9 of them
     And every upstream of shard 3 is silent
     And every upstream of shard 4 is silent
     And a gateway
     When a caller sends GET "/all/1"
-    Then the line of the last request waited for "shard-3: shard-3-0 182 ms; shard-4: shard-4-0 182 ms"
+    Then the log line of the last request has waited_for "shard-3: shard-3-0 182 ms; shard-4: shard-4-0 182 ms"
 
-  Scenario: too little coverage is a failure, at once
+  Scenario: a query fails at once when its minimum coverage is out of reach
     Given 10 shards
     And the route "/all/" to all shards, at least 0.9 of them
     And every upstream of shard 3 is failing
@@ -380,7 +380,7 @@
     And it took less than 0.01 seconds
     And no upstream ran anything
 
-  Scenario: a query is sent while enough shards have upstreams
+  Scenario: a query is sent when enough shards have upstreams
     Given 10 shards
     And the route "/all/" to all shards, at least 0.9 of them
     And a gateway
@@ -390,7 +390,7 @@
     Then the reply is 200
     And 1 shards are missing and 9 are signed
 
-  Scenario: coverage of exactly the least is enough
+  Scenario: coverage equal to the minimum is enough
     Given 20 shards
     And the route "/all/" to all shards, at least 0.85 of them
     And every upstream of shard 3 is failing
@@ -401,7 +401,7 @@
     Then the reply is 200
     And 3 shards are missing and 17 are signed
 
-  Scenario: enough coverage is not held back beyond the goal
+  Scenario: a reply with enough coverage is sent by the latency goal
     Given 10 shards
     And the route "/all/" to all shards, at least 0.9 of them
     And every upstream of shard 3 is silent
@@ -411,7 +411,7 @@
     And it took less than 0.2 seconds
     And 1 shards are missing and 9 are signed
 
-  Scenario: a paused replica is hedged
+  Scenario: a request to a paused replica is hedged
     Given 10 shards of 2 replicas
     And the route "/all/" to all shards, at least 0.9 of them
     And the near upstream of shard 3 is silent
@@ -421,7 +421,7 @@
     And 0 shards are missing and 10 are signed
     And it took less than 0.2 seconds
 
-  Scenario: each late shard of a wide query is hedged, also into another region
+  Scenario: each late shard of a wide query is hedged, also to another region
     Given 70 shards of 2 replicas
     And the route "/all/" to all shards, at least 0.9 of them
     And the near upstream of shard 3 is silent
@@ -431,7 +431,7 @@
     And 0 shards are missing and 70 are signed
     And it took less than 0.2 seconds
 
-  Scenario: the next request passes over a replica that is paused
+  Scenario: the next request is not sent to a paused replica
     Given 10 shards of 2 replicas
     And the route "/all/" to all shards, at least 0.9 of them
     And the near upstream of shard 3 is silent
@@ -440,24 +440,24 @@
     And a caller sends GET "/all/2"
     Then it took less than 0.04 seconds
 
-  Scenario: extra requests stay within the budget when everything is slow
+  Scenario: extra requests stay within the budget when all upstreams are slow
     Given 4 shards of 2 replicas
     And the route "/all/" to all shards, at least 0.5 of them
     And every upstream is silent
-    And a gateway with a slack of 10
+    And a gateway with a slack of 10 extra requests
     When 300 requests for "/all/1" are sent at 30 a second
-    Then no service got more than 0.2 extra arrivals a request and 10 in any 10 seconds
+    Then no service got more than 0.2 extra requests per request and 10 in any 10 seconds
 
   Scenario: extra requests stay within the budget when one shard is slow
     Given 4 shards of 2 replicas
     And the route "/all/" to all shards, at least 0.5 of them
     And every upstream of shard 2 is silent
-    And a gateway with a slack of 10
+    And a gateway with a slack of 10 extra requests
     When 300 requests for "/all/1" are sent at 30 a second
-    Then no service got more than 0.2 extra arrivals a request and 10 in any 10 seconds
+    Then no service got more than 0.2 extra requests per request and 10 in any 10 seconds
     And some extra requests were sent
 
-  Scenario: hedges are not sent for a cause that all shards share
+  Scenario: no hedges are sent when all shards are equally slow
     Given 10 shards of 2 replicas that work for 0.1 seconds
     And the route "/all/" to all shards
     And a gateway
@@ -465,13 +465,13 @@
     Then every reply is 200
     And no shard got an extra request
 
-  Scenario: extra requests stay within the budget when everything sheds
+  Scenario: extra requests stay within the budget when all upstreams shed load
     Given 4 shards of 2 replicas
     And the route "/all/" to all shards, at least 0.5 of them
     And every upstream is shedding
-    And a gateway with a slack of 10
+    And a gateway with a slack of 10 extra requests
     When 300 requests for "/all/1" are sent at 30 a second
-    Then no service got more than 0.2 extra arrivals a request and 10 in any 10 seconds
+    Then no service got more than 0.2 extra requests per request and 10 in any 10 seconds
     And some extra requests were sent
 
   Scenario: no request is sent to more upstreams than its route allows
@@ -482,37 +482,37 @@
     When 20 requests for "/all/1" are sent at 10 a second
     Then no request ran at more than 2 upstreams of a shard
 
-  Scenario: under three times the load that shards can do, answers stay in time
+  Scenario: replies stay timely under three times the shards' capacity
     Given 6 shards with 2 slots that work for 0.04 seconds
     And the route "/urgent/" to all shards with priority 1
     And the route "/other/" to all shards with priority 3
     And a gateway
-    When both are asked for 10 seconds, together 3 times what the shards can do
-    Then the answers in time are 0.8 or more of what the shards can do
-    And the urgent ones are answered more often than the others
-    And what was refused has not run and was told at once when to come back
+    When both routes get requests for 10 seconds, together 3 times the capacity of the shards
+    Then timely replies are 0.8 or more of the capacity of the shards
+    And urgent requests are answered more often than the others
+    And refused requests have not run and got a Retry-After header at once
 
-  Scenario: refusing is given up where it doesn't help
+  Scenario: queries are not refused when refusing them does not reduce the latency
     Given 6 shards that work for 0.3 seconds
     And the route "/all/" to all shards
     And a gateway
     When 600 requests for "/all/1" are sent at 20 a second
-    Then over 0.7 of the replies are 200
+    Then more than 0.7 of the replies are 200
 
-  Scenario: slow shards alone make no host refuse
+  Scenario: a host does not refuse queries because a few shards are slow
     Given 10 shards of 2 replicas
     And the route "/all/" to all shards, at least 0.5 of them
     And every upstream of shard 3 is silent
     And every upstream of shard 4 is silent
-    And a gateway with a slack of 10
+    And a gateway with a slack of 10 extra requests
     When 300 requests for "/all/1" are sent at 30 a second
     Then every reply is 200
 
-  Scenario: an answer is of one version while the shards are changed
+  Scenario: a reply comes from one shard version while the shards are replaced
     Given 4 shards that work for 0.15 seconds
     And the route "/all/" to all shards, at least 0.5 of them
     And a gateway
-    When requests for "/all/1" are sent at 50 a second for 4 seconds while 6 new shards take over
+    When requests for "/all/1" are sent at 50 a second for 4 seconds while 6 new shards replace the old
     Then every reply is 200
     And every reply names 4 old shards or 6 new shards and never both
 
@@ -523,7 +523,7 @@
     When 400 requests for "/all/1" are sent at 1000 a second
     Then the shard never had more than 4 connections
 
-  Scenario: an upstream that drains gets no new work
+  Scenario: a draining upstream gets no new requests
     Given an upstream "u1" of "notes"
     And an upstream "u2" of "notes" in "south-1"
     And the route "/notes/" to "notes"
@@ -533,14 +533,14 @@
     And 20 requests for "/notes/1" are sent at 20 a second
     Then "u1" ran 0 of them and "u2" 20
 
-  Scenario: what runs at an upstream when it drains is not cut
+  Scenario: a request in flight at a draining upstream is completed
     Given an upstream "u1" of "notes" that works for 3 seconds
     And the route "/notes/" to "notes" with a timeout of 10 seconds that runs once
     And a gateway
-    When "u1" drains and its entry goes while it works on a request
+    When "u1" drains and its entry is removed while it works on a request
     Then the reply is 200
 
-  Scenario: entries that lapse during an outage are kept until they are back
+  Scenario: upstreams whose entries expire during an outage are kept for a grace period
     Given an upstream "u1" of "notes"
     And the route "/notes/" to "notes"
     And a gateway
@@ -555,7 +555,7 @@
     And a caller sends GET "/notes/1"
     Then the reply is 503
 
-  Scenario: an entry that lapses with no outage is gone at once
+  Scenario: an upstream whose entry expires without an outage is removed at once
     Given an upstream "u1" of "notes"
     And the route "/notes/" to "notes"
     And a gateway
@@ -564,37 +564,37 @@
     And a caller sends GET "/notes/1"
     Then the reply is 503
 
-  Scenario: a planned stop cuts nothing, and callers that stay are served
+  Scenario: a planned stop interrupts no request, and open connections are served
     Given an upstream "u1" of "notes" that works for 0.1 seconds
     And the route "/notes/" to "notes"
     And a gateway
-    When it is stopped while callers on open connections send on
+    When the gateway is stopped while callers send on open connections
     Then no request was cut
     And the gateway has ended within 6 seconds
 
-  Scenario: a gateway that stops says so to the balancer at once
+  Scenario: a stopping gateway reports at once that it is not ready
     Given an upstream "u1" of "notes"
     And the route "/notes/" to "notes"
     And a gateway
     Then the gateway is ready
-    When it is told to stop
+    When the gateway is asked to stop
     Then the gateway is not ready
     When a caller sends GET "/notes/1"
     Then the reply is 200
-    And it says that the connection ends
+    And the reply has Connection: close
 
-  Scenario: a long request that came before the stop is answered
+  Scenario: a long request received before the stop is answered
     Given an upstream "u1" of "notes" that works for 4 seconds
     And the route "/notes/" to "notes" with a timeout of 10 seconds that runs once
     And a gateway
-    When it is told to stop while it works on a POST "/notes/1"
+    When the gateway is asked to stop during a POST "/notes/1"
     Then the reply is 200
     And the gateway has ended within 6 seconds
 
-  Scenario Outline: what a caller may send is bounded: <what>
+  Scenario Outline: a request that is malformed or exceeds a limit is refused: <what>
     Given an upstream "u1" of "notes"
     And the route "/notes/" to "notes" that runs once
-    And callers may send 200 bytes of head and 100 of body, the head within 1 second
+    And callers may send 200 bytes of headers and 100 of body, the headers within 1 second
     And a gateway
     When a caller sends <what>
     Then the reply is <status>
@@ -607,7 +607,7 @@
       | a head too slow  | 408    |
       | what is not HTTP | 400    |
 
-  Scenario Outline: a request whose length is in doubt reaches no upstream: <what>
+  Scenario Outline: a request with an ambiguous length reaches no upstream: <what>
     Given an upstream "u1" of "notes"
     And the route "/notes/" to "notes" that runs once
     And a gateway
@@ -629,18 +629,18 @@
     Then the reply is 400
     And no upstream ran anything
 
-  Scenario: requests sent ahead on one connection are answered in order
+  Scenario: pipelined requests are answered in order
     Given an upstream "u1" of "notes"
     And the route "/notes/" to "notes"
     And a gateway
-    When a caller sends 3 requests for "/notes/1" ahead
-    Then it gets 3 replies, each to its own request in order
+    When a caller pipelines 3 requests for "/notes/1"
+    Then it gets 3 replies in the order of the requests
 
-  Scenario: a connection with unsent bytes of a body is not used again
-    When a connection brings an answer while bytes of its request wait
-    Then its answer is taken and the connection is closed
+  Scenario: a connection with unsent bytes of a request is not reused
+    When a connection receives a reply while bytes of its request are unsent
+    Then its reply is accepted and the connection is closed
 
-  Scenario: an early answer leaves no bytes of the body behind
+  Scenario: after an early reply no bytes of the body are sent with the next request
     Given an upstream "u1" of "notes"
     And the route "/notes/" to "notes" that runs once
     And "u1" is early
@@ -652,7 +652,7 @@
     Then the reply is 200
     And "u1" ran it as POST "/notes/2" with the body "second"
 
-  Scenario: every request that fails leaves a line with its id and reason
+  Scenario: every failed request is logged with its id and reason
     Given an upstream "u1" of "notes"
     And the route "/notes/" to "notes"
     And "u1" is resetting
@@ -660,24 +660,24 @@
     When a caller sends GET "/notes/1"
     Then the log has a line of it with the outcome "lost" and a reason
 
-  Scenario: a caller that leaves is in the log too
+  Scenario: a request whose caller disconnects is logged
     Given an upstream "u1" of "notes" that works for 5 seconds
     And the route "/notes/" to "notes"
     And a gateway
-    When a caller sends GET "/notes/1" with 1 second and leaves after 0.2 seconds
+    When a caller sends GET "/notes/1" with 1 second and disconnects after 0.2 seconds
     And 0.1 seconds pass
     Then the log has a line of it with the outcome "caller_left" and a reason
 
-  Scenario: the log is bounded and says what it left out
+  Scenario: the log is limited and counts the omitted lines
     Given the route "/notes/" to "notes"
     And a gateway
     When 900 requests for "/notes/1" are sent at 450 a second
     And 3 seconds pass
     And a caller sends GET "/notes/1"
-    Then the log has at most 500 lines on requests
-    And it says how many were left out
+    Then the log has at most 500 request lines
+    And the log counts the omitted lines
 
-  Scenario: losing the source and getting it back are in the log
+  Scenario: the loss and the return of the source are logged
     Given a gateway
     When the source is down
     And 2 seconds pass
@@ -686,7 +686,7 @@
     Then the log has a line "dependency_lost"
     And the log has a line "dependency_back"
 
-  Scenario: every line of the log is as docs/events.md says
+  Scenario: every log line has the fields that docs/events.md lists
     Given an upstream "u1" of "notes"
     And the route "/notes/" to "notes"
     And a gateway
@@ -695,65 +695,65 @@
     And 2 seconds pass
     And the source is back
     And 2 seconds pass
-    And it is told to stop
-    Then every line of the log has the fields that its kind has
-    And docs/events.md is what the definitions make
+    And the gateway is asked to stop
+    Then every log line has the fields of its kind
+    And docs/events.md matches the definitions
 
-  Scenario: a reader of the log that stops reading delays nothing
-    When 5000 lines are logged to a pipe that nobody reads
-    Then none of them blocked and the rest were counted as dropped
+  Scenario: logging does not block while the log pipe is not read
+    When 5000 lines are logged to a pipe that is not read
+    Then logging did not block and the other lines were counted as dropped
     When the pipe is read again
-    Then what was kept comes whole and in order
+    Then the kept lines are complete and in order
 
-  Scenario: a defect in following the source is logged, and following goes on
+  Scenario: an unexpected exception while reading the source is logged, and reading continues
     Given an upstream "u1" of "notes"
     And the route "/notes/" to "notes"
     And a gateway
-    When the source breaks its contract once
+    When the source raises an unexpected exception once
     And 5 seconds pass
     And the route "/notes/" is moved to "scans"
     And 3 seconds pass
     Then the newest table is in force
-    And the log tells of a defect
+    And the log reports the exception
 
-  Scenario: a caller that doesn't read costs little memory
+  Scenario: the memory used for a caller that does not read is limited
     Given an upstream "u1" of "notes" that answers with 400000 bytes
     And the route "/notes/" to "notes" with a timeout of 10 seconds
     And a gateway
-    When a caller sends 12 requests for "/notes/1" ahead and reads nothing for 3 seconds
+    When a caller pipelines 12 requests for "/notes/1" and reads nothing for 3 seconds
     Then "u1" ran no more than 3 requests
-    When the caller reads what it was sent
-    Then it got 12 whole answers
+    When the caller reads its replies
+    Then it got 12 complete replies
 
-  Scenario: a caller that reads nothing for as long as it may be idle is cut
+  Scenario: a caller that reads nothing for the idle timeout is disconnected
     Given an upstream "u1" of "notes" that answers with 400000 bytes
     And the route "/notes/" to "notes"
     And a gateway
-    When a caller sends 12 requests for "/notes/1" ahead and reads nothing for 20 seconds
-    Then the gateway has no connection of a caller
+    When a caller pipelines 12 requests for "/notes/1" and reads nothing for 20 seconds
+    Then the gateway has no caller connections
 
-  Scenario: connections that have all fallen silent cost one request
+  Scenario: only one request fails when all open connections stop responding
     Given an upstream "u1" of "notes" that works for 0.1 seconds
     And the route "/notes/" to "notes"
     And a gateway
     When 4 requests for "/notes/1" are sent at 40 a second
-    And the open connections of "u1" fall silent
+    And the open connections of "u1" stop responding
     And 3 callers in turn send GET "/notes/1"
     Then 2 of the last 3 replies are 200
 
-  Scenario: the line of a request that timed out names the upstream that had it
+  Scenario: the log line of a timed-out request names its upstream
     Given an upstream "u1" of "notes"
     And the route "/notes/" to "notes"
     And "u1" is silent
     And a gateway
     When a caller sends GET "/notes/1"
     Then the reply is 504
-    And the line of the last request says "no answer in time from u1"
+    And the log line of the last request has the detail "no answer in time from u1"
 
-  Scenario: an answer to HEAD states no length that is not the upstream's
+  Scenario: a reply to HEAD has no length that the upstream did not send
     Given an upstream "u1" of "notes" that answers with 400000 bytes
     And the route "/notes/" to "notes"
     And a gateway
     When a caller sends HEAD "/notes/1"
     Then the reply is 200
-    And it states no length
+    And the reply has no Content-Length
--- a/features/steps/adapter.py
+++ b/features/steps/adapter.py
@@ -65,7 +65,7 @@
 
 
 @given(
-    r'a settings file that says cpu_share (\S+), cores (\S+) and link_mbps '
+    r'a settings file with cpu_share (\S+), cores (\S+) and link_mbps '
     r'(\S+)'
 )
 def make_strong_file(context, share, cores, link):
@@ -100,12 +100,12 @@
     write_file(context, ''.join(kept))
 
 
-@when(r'it is read')
+@when(r'the settings file is read')
 def read_file(context):
     context.settings_file = platform.read_settings_file(context.file)
 
 
-@when(r'a settings file that is not there is read')
+@when(r'a missing settings file is read')
 def read_no_file(context):
     context.settings_file = platform.read_settings_file(
         pathlib.Path('no/such/boot.conf')
@@ -144,7 +144,9 @@
     assert context.settings_file.ok_value.settings.seeds == wanted
 
 
-@then(r'extra requests are bounded by ([\d.]+), (\d+) seconds and (\d+)')
+@then(
+    r'extra requests have ratio ([\d.]+), window (\d+) seconds and slack (\d+)'
+)
 def check_bounds(context, ratio, window, slack):
     settings = context.settings_file.ok_value.settings
     assert settings.extra_ratio == float(ratio)
@@ -207,7 +209,7 @@
     write_config(context, raw[: len(raw) // 2])
 
 
-@given(r'the store drops its history')
+@given(r'the store compacts its history')
 def drop_history(context):
     context.store.drop_history()
 
@@ -217,7 +219,7 @@
     context.store.refusal = platform_standins.Refusal(how)
 
 
-@step(r'the store takes ([\d.]+) seconds for an answer')
+@step(r'the store takes ([\d.]+) seconds for a reply')
 def set_slow(context, seconds):
     context.store.slow_s = float(seconds)
 
@@ -303,7 +305,7 @@
     return context.table_read.routes[('members.example', prefix)].target
 
 
-@then(r'the gather has (\d+) shards, the greatest (\d+) and at least ([\d.]+)')
+@then(r'the gather has (\d+) shards, top_k (\d+) and min_coverage ([\d.]+)')
 def check_gather(context, count, top_k, least):
     target = get_target(context, '/all/')
     assert len(target.shards) == int(count)
@@ -349,13 +351,13 @@
     assert not reading.problem and reading.table is None, reading
 
 
-@then(r'the watch brings version (\d+) after ([\d.]+) seconds')
+@then(r'the watch returns version (\d+) after ([\d.]+) seconds')
 def check_watch(context, version, seconds):
     assert context.answer.ok_value.table.version == int(version)
     assert abs(context.took - float(seconds)) < 0.01, context.took
 
 
-@then(r'the watch brings nothing')
+@then(r'the watch returns nothing')
 def check_watch_nothing(context):
     assert context.answer.ok_value is None
 
@@ -372,7 +374,7 @@
     assert phases.count(gateway.Phase.DRAINING) == int(draining), phases
 
 
-@then(r'one problem is told')
+@then(r'one problem is reported')
 def check_one_problem(context):
     assert len(context.answer.ok_value.problems) == 1
 
@@ -403,12 +405,12 @@
         assert context.answer.is_ok(), context.answer
 
 
-@when(r'it withdraws')
+@when(r'the host withdraws')
 def withdraw(context):
     call(context, context.source.withdraw(context.lease))
 
 
-@then(r'the store names (\d+) hosts?')
+@then(r'the store lists (\d+) hosts?')
 def check_hosts(context, count):
     call(context, context.source.list_hosts())
     found = context.answer.ok_value
@@ -417,13 +419,13 @@
         assert found == [context.entry], found
 
 
-@then(r'a renewal says that the lease has ended')
+@then(r'a renewal reports that the lease has ended')
 def check_lease_ended(context):
     call(context, context.source.renew(context.lease))
     assert context.answer.err_value == gateway.LeaseEnded()
 
 
-@given(r'the operator writes version (\d+) for a server that answers')
+@given(r'the operator writes version (\d+) with a route to a running server')
 def write_served(context, version):
     context.server = standins.WireUpstream(
         'i-1', platform.NAMES, records=b'r' * 16
@@ -471,21 +473,21 @@
     context.reply = run(context, ask())
 
 
-@then(r"it gets the server's answer with its stamp")
+@then(r"it gets the server's reply with its stamp")
 def check_platform_answer(context):
     assert context.reply.status == 200, context.reply
     assert context.reply.headers['x-server-stamp'] == 'i-1.9c41'
     assert context.reply.body == b'r' * 16
 
 
-@then(r'the server was sent its own id and the time left')
+@then(r'the server was sent its own id and the remaining time')
 def check_platform_sent(context):
     headers = context.server.runs[-1].headers
     assert headers['x-expect-instance'] == 'i-1', headers
     assert 0 < int(headers['x-deadline-ms']) <= 900, headers
 
 
-@when(r"the gateway's program is loaded by itself")
+@when(r"the gateway's program is imported by itself")
 def load_program(context):
     code = (
         'import sys; import rudderrock.programs.gateway; '
@@ -498,7 +500,7 @@
     context.modules = set(done.stdout.split())
 
 
-@then(r'it has not loaded (.+)')
+@then(r'it has not imported (.+)')
 def check_modules(context, listed):
     unwanted = set(re.findall(r'"([^"]+)"', listed))
     assert 'rudderrock.gateway' in context.modules
--- a/features/steps/entries.py
+++ b/features/steps/entries.py
@@ -65,7 +65,7 @@
 
 
 @then(
-    r'the upstream was born at (\d+), is at sequence (\d+) and cold for '
+    r'the upstream was born at (\d+), has sequence (\d+) and is cold for '
     r'([\d.]+) seconds'
 )
 def check_entry(context, born, sequence, seconds):
@@ -134,7 +134,7 @@
             raise AssertionError(found)
 
 
-@given(r'a gateway over the store whose log is kept')
+@given(r'a gateway over the store with a recorded log')
 def start_logged(context):
     bench = gateway_steps.get(context)
     bench.keep_log()
@@ -151,7 +151,7 @@
 
 @given(
     r'the operator writes a route within "([^"]+)" and "([^"]+)" whose '
-    r'service stands ([\d.]+) a second for (\d+) seconds'
+    r'cold service takes ([\d.]+) requests a second for (\d+) seconds'
 )
 def write_within(context, first, second, rate, seconds):
     route = {
@@ -184,7 +184,10 @@
     assert route.residency == gateway.Within(regions), route
 
 
-@then(r'its service is cold for (\d+) seconds and stands ([\d.]+) a second')
+@then(
+    r'its service is cold for (\d+) seconds and takes ([\d.]+) requests '
+    r'a second'
+)
 def check_service(context, seconds, rate):
     (service,) = context.answer.ok_value.table.services.values()
     assert service.warmup_s == float(seconds), service
@@ -235,7 +238,7 @@
     watch(context, lambda: context.store.put(key, b'{}'))
 
 
-@then(r'the watch brings no table, and the next one begins after it')
+@then(r'the watch returns no table and a position after the write')
 def check_other(context):
     reading = context.answer.ok_value
     assert reading.table is None and not reading.problem, reading
--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -122,8 +122,8 @@
 
 
 @when(
-    r'both are asked for (\d+) seconds, together (\d+) times what the '
-    r'shards can do'
+    r'both routes get requests for (\d+) seconds, together (\d+) times the '
+    r'capacity of the shards'
 )
 def overload(context, seconds, times):
     bench = get(context)
@@ -144,7 +144,7 @@
     context.urgent, context.other = run(context, both())
 
 
-@then(r'the answers in time are ([\d.]+) or more of what the shards can do')
+@then(r'timely replies are ([\d.]+) or more of the capacity of the shards')
 def check_goodput(context, part):
     good = [
         each
@@ -155,7 +155,7 @@
     assert len(good) >= float(part) * most, (len(good), most)
 
 
-@then(r'the urgent ones are answered more often than the others')
+@then(r'urgent requests are answered more often than the others')
 def check_urgent(context):
     served = [
         sum(each.status == 200 for each in replies)
@@ -164,7 +164,7 @@
     assert served[0] > 1.2 * served[1], served
 
 
-@then(r'what was refused has not run and was told at once when to come back')
+@then(r'refused requests have not run and got a Retry-After header at once')
 def check_refusals(context):
     bench = get(context)
     ran = {
@@ -266,7 +266,7 @@
     add_scatter(context, prefix, timeout_s=float(seconds))
 
 
-@given(r'the route "([^"]+)" to all shards for the greatest (\d+)')
+@given(r'the route "([^"]+)" to all shards for the greatest (\d+) records')
 def add_scatter_top(context, prefix, top_k):
     add_scatter(context, prefix, top_k=int(top_k))
 
@@ -277,8 +277,8 @@
 
 
 @given(
-    r'callers may send (\d+) bytes of head and (\d+) of body, '
-    r'the head within 1 second'
+    r'callers may send (\d+) bytes of headers and (\d+) of body, '
+    r'the headers within 1 second'
 )
 def set_limits(context, head, body):
     get(context).limits = gateway.IntakeLimits(
@@ -297,7 +297,7 @@
     bench.upstreams[upstream].conduct = standins.Conduct(conduct)
 
 
-@given(r'"([^"]+)" answers every request twice, the second late')
+@given(r'"([^"]+)" replies to every request twice, the second time late')
 def set_doubling(context, upstream):
     set_conduct(context, upstream, 'doubling')
 
@@ -341,7 +341,7 @@
     run(context, bench.start())
 
 
-@given(r'a gateway with a slack of (\d+)')
+@given(r'a gateway with a slack of (\d+) extra requests')
 def start_gateway_slack(context, slack):
     bench = get(context)
     bench.publish()
@@ -356,17 +356,17 @@
     bench.publish()
 
 
-@when(r'the source shows the version before again')
+@when(r'the source returns the previous table again')
 def show_old(context):
     get(context).source.set_table(context.old_table)
 
 
-@when(r"the source's watches hear nothing")
+@when(r'the source sends no events to its watches')
 def make_deaf(context):
     get(context).source.is_deaf = True
 
 
-@when(r'the source drops its history and cuts its watches')
+@when(r'the source compacts its history and ends its watches')
 def drop_history(context):
     source = get(context).source
     source.drop_history()
@@ -404,7 +404,7 @@
     model.cut_connections()
 
 
-@when(r'"([^"]+)" drains and its entry goes while it works on a request')
+@when(r'"([^"]+)" drains and its entry is removed while it works on a request')
 def drain_at_work(context, upstream):
     bench = get(context)
     raw = gateway_bench.make_raw(
@@ -422,14 +422,14 @@
     context.reply = run(context, drain())
 
 
-@when(r'it is told to stop')
+@when(r'the gateway is asked to stop')
 def tell_stop(context):
     context.stopped_at = context.loop.time()
     get(context).process.stop()
     run(context, asyncio.sleep(0))
 
 
-@when(r'it is told to stop while it works on a POST "([^"]+)"')
+@when(r'the gateway is asked to stop during a POST "([^"]+)"')
 def stop_at_work(context, path):
     bench = get(context)
     raw = gateway_bench.make_raw(
@@ -446,7 +446,7 @@
     context.reply = run(context, stop())
 
 
-@when(r'it is stopped while callers on open connections send on')
+@when(r'the gateway is stopped while callers send on open connections')
 def stop_under_load(context):
     bench = get(context)
     context.cut = []
--- a/features/steps/gateway_callers.py
+++ b/features/steps/gateway_callers.py
@@ -84,7 +84,7 @@
 @when(
     r'a caller sends GET "([^"]+)" with '
     + _SECONDS
-    + ' and leaves after '
+    + ' and disconnects after '
     + _SECONDS
 )
 def send_and_leave(context, path, deadline, seconds):
@@ -114,7 +114,7 @@
 
 @when(
     r'requests for "([^"]+)" are sent at (\d+) a second for (\d+) seconds '
-    r'while (\d+) new shards take over'
+    r'while (\d+) new shards replace the old'
 )
 def send_during_change(context, path, rate, seconds, count):
     bench = gateway_steps.get(context)
@@ -190,7 +190,7 @@
     context.reply = run(context, gateway_steps.get(context).ask(raw.encode()))
 
 
-@when(r'a caller sends (\d+) requests for "([^"]+)" ahead')
+@when(r'a caller pipelines (\d+) requests for "([^"]+)"')
 def send_ahead(context, count, path):
     context.sent_ids = [
         gateway_steps.next_id(context) for _ in range(int(count))
@@ -230,7 +230,7 @@
     return link
 
 
-@when(r'a connection brings an answer without a length and is reset')
+@when(r'a connection receives a reply without a length and is reset')
 def reset_unframed(context):
     link = make_link(context)
     link.data_received(
@@ -239,13 +239,13 @@
     link.connection_lost(ConnectionResetError())
 
 
-@when(r'a connection brings an answer while bytes of its request wait')
+@when(r'a connection receives a reply while bytes of its request are unsent')
 def answer_early(context):
     link = make_link(context, unsent=10)
     link.data_received(b'HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nr')
 
 
-@then(r'its answer is taken and the connection is closed')
+@then(r'its reply is accepted and the connection is closed')
 def check_closed(context):
     assert context.outcomes[0].body == b'r', context.outcomes
     assert context.transport.abort.called
@@ -262,7 +262,7 @@
 
 
 @when(
-    r'a caller sends (\d+) requests for "([^"]+)" ahead and reads nothing '
+    r'a caller pipelines (\d+) requests for "([^"]+)" and reads nothing '
     r'for ' + _SECONDS
 )
 def send_unread(context, count, path, seconds):
@@ -283,7 +283,7 @@
     run(context, send())
 
 
-@when(r'the caller reads what it was sent')
+@when(r'the caller reads its replies')
 def read_all(context):
     async def read():
         context.caller.reader._transport.resume_reading()
@@ -292,7 +292,7 @@
     context.replies = run(context, read())
 
 
-@then(r'it got (\d+) whole answers')
+@then(r'it got (\d+) complete replies')
 def check_whole_answers(context, count):
     assert len(context.replies) == int(count)
     for reply in context.replies:
@@ -306,14 +306,14 @@
     assert len(runs) <= int(most), len(runs)
 
 
-@then(r'the gateway has no connection of a caller')
+@then(r'the gateway has no caller connections')
 def check_no_caller(context):
     assert 'rudderrock_caller_connections 0' in run(
         context, gateway_steps.get(context).scrape()
     )
 
 
-@when(r'the open connections of "([^"]+)" fall silent')
+@when(r'the open connections of "([^"]+)" stop responding')
 def silence_connections(context, upstream):
     gateway_steps.get(context).upstreams[upstream].silence_connections()
 
@@ -339,6 +339,6 @@
     send(context, path, method='HEAD')
 
 
-@then(r'it states no length')
+@then(r'the reply has no Content-Length')
 def check_no_length(context):
     assert 'content-length' not in context.reply.headers, context.reply
--- a/features/steps/gateway_checks.py
+++ b/features/steps/gateway_checks.py
@@ -30,7 +30,7 @@
     assert context.reply.status == int(status), context.reply
 
 
-@then(r'over ([\d.]+) of the replies are 200')
+@then(r'more than ([\d.]+) of the replies are 200')
 def check_most_good(context, part):
     statuses = collections.Counter(each.status for each in context.replies)
     assert statuses[200] > float(part) * statuses.total(), statuses
@@ -42,7 +42,7 @@
     assert set(statuses) == {200}, statuses
 
 
-@then(r'every reply is 200 and signed for its own request')
+@then(r'every reply is 200 and has the stamp of its own request')
 def check_all_own(context):
     check_all_good(context)
     names = [
@@ -52,7 +52,7 @@
     assert names == [f'load-{n}' for n in range(len(names))], names
 
 
-@then(r'it gets (\d+) replies, each to its own request in order')
+@then(r'it gets (\d+) replies in the order of the requests')
 def check_in_order(context, count):
     names = [
         each.headers['rudderrock-stamp'].split('.', 1)[1]
@@ -67,12 +67,12 @@
     assert 0 < float(context.reply.headers['retry-after']) < 1
 
 
-@then(r'it says that the connection ends')
+@then(r'the reply has Connection: close')
 def check_close(context):
     assert context.reply.headers['connection'] == 'close', context.reply
 
 
-@then(r'its body is whole')
+@then(r'its body is complete')
 def check_whole(context):
     assert context.reply.body == b'r' * 32, context.reply
 
@@ -137,12 +137,12 @@
     assert name not in found.headers, found
 
 
-@then(r'"([^"]+)" was named as the only one that may run it')
+@then(r'"([^"]+)" was sent its own id as the expected upstream')
 def check_expected(context, upstream):
     check_header(context, upstream, 'rudderrock-expect-upstream', upstream)
 
 
-@then(r'"([^"]+)" was told at most (\d+) ms')
+@then(r'"([^"]+)" was sent a deadline of at most (\d+) ms')
 def check_told(context, upstream, most):
     found = get(context).upstreams[upstream].runs[-1]
     told = int(found.headers['rudderrock-deadline-ms'])
@@ -187,7 +187,7 @@
     assert found == [int(left), int(right)], found
 
 
-@then(r'"([^"]+)" is at work for nobody')
+@then(r'"([^"]+)" is working on no request')
 def check_idle(context, upstream):
     model = get(context).upstreams[upstream]
     assert model.runs and not model.finished
@@ -212,7 +212,7 @@
 
 
 @then(
-    r'no service got more than ([\d.]+) extra arrivals a request and (\d+) '
+    r'no service got more than ([\d.]+) extra requests per request and (\d+) '
     r'in any 10 seconds'
 )
 def check_budget(context, ratio, slack):
@@ -306,19 +306,19 @@
     assert list_lines(context, kind)
 
 
-@then(r'the log has at most (\d+) lines on requests')
+@then(r'the log has at most (\d+) request lines')
 def check_bounded(context, most):
     found = list_lines(context, 'request')
     assert 0 < len(found) <= int(most), len(found)
 
 
-@then(r'it says how many were left out')
+@then(r'the log counts the omitted lines')
 def check_dropped(context):
     told = sum(line['count'] for line in list_lines(context, 'lines_dropped'))
     assert told + len(list_lines(context, 'request')) == 901, told
 
 
-@then(r'every line of the log has the fields that its kind has')
+@then(r'every log line has the fields of its kind')
 def check_fields(context):
     common = {'at', 'host', 'kind'}
     kinds = set()
@@ -333,14 +333,14 @@
     assert len(kinds) >= 6, kinds
 
 
-@then(r'docs/events.md is what the definitions make')
+@then(r'docs/events.md matches the definitions')
 def check_page(context):
     page = pathlib.Path('docs/events.md').read_text(encoding='utf-8')
     assert page == gateway.format_event_page()
     assert set(gateway.KIND_INFO) == set(gateway.LogKind)
 
 
-@when(r'(\d+) lines are logged to a pipe that nobody reads')
+@when(r'(\d+) lines are logged to a pipe that is not read')
 def fill_pipe(context, count):
     context.pipe, writing = os.pipe()
     context.stack.callback(os.close, context.pipe)
@@ -353,7 +353,7 @@
         context.handler.emit(record)
 
 
-@then(r'none of them blocked and the rest were counted as dropped')
+@then(r'logging did not block and the other lines were counted as dropped')
 def check_dropped_lines(context):
     assert 0 < context.handler.dropped < context.line_count
 
@@ -371,7 +371,7 @@
             continue
 
 
-@then(r'what was kept comes whole and in order')
+@then(r'the kept lines are complete and in order')
 def check_kept(context):
     lines = context.read.decode().splitlines()
     numbers = [int(line.split(' ')[0]) for line in lines]
@@ -380,7 +380,7 @@
     assert all(len(line) == 207 for line in lines)
 
 
-@when(r'the source breaks its contract once')
+@when(r'the source raises an unexpected exception once')
 def break_source(context):
     source = get(context).source
     good = source.list_upstreams
@@ -411,24 +411,24 @@
     assert bench.process.tables.version == bench.version
 
 
-@then(r'the log tells of a defect')
+@then(r'the log reports the exception')
 def check_defect(context):
     lines = get(context).log.lines
     assert any('failed on a defect' in line for line in lines), lines
 
 
-@then(r'the line of the last request says "([^"]+)"')
+@then(r'the log line of the last request has the detail "([^"]+)"')
 def check_last_line(context, text):
     assert list_lines(context, 'request')[-1]['detail'] == text
 
 
-@then(r'the line of the last request has (\d+) extras and (\d+) denied')
+@then(r'the log line of the last request has (\d+) extras and (\d+) denied')
 def check_extras(context, extras, denied):
     line = list_lines(context, 'request')[-1]
     assert (line['extras'], line['denied']) == (int(extras), int(denied)), line
 
 
-@then(r'the line of the last request waited for "([^"]+)"')
+@then(r'the log line of the last request has waited_for "([^"]+)"')
 def check_waited_for(context, waited_for):
     line = list_lines(context, 'request')[-1]
     assert line['waited_for'] == waited_for, line
