--- a/features/gateway_bench.py
+++ b/features/gateway_bench.py
@@ -128,7 +128,7 @@
         self._upstream_count = 0
 
     async def start(self, **settings) -> None:
-        """Start the gateway and wait until it has read the source."""
+        """Start the gateway and give it 1.5 seconds to read the source."""
         loop = asyncio.get_running_loop()
         clock = state.Clock(loop)
         self.keep_log()
