--- a/features/delegate.feature
+++ b/features/delegate.feature
@@ -1,78 +1,78 @@
-Feature: Wide queries are run by the few hosts of a zone that are best at it
+Feature: A few coordinators of each zone run the wide queries
 
-  Scenario: a host with a thin link hands a wide query over
-    Given 6 gateways before 60 shards, of which 2 have a wide link
+  Scenario: a host with a slow link delegates a wide query
+    Given 6 gateways in front of 60 shards, 2 of the gateways with a fast link
     When every gateway is asked for all shards
-    Then every answer is whole
-    And only the 2 gateways with a wide link sent to the shards
+    Then every answer is complete
+    And only the 2 gateways with a fast link sent requests to the shards
 
-  Scenario: a narrow query is run where it came
-    Given 6 gateways before 20 shards, of which 2 have a wide link
+  Scenario: a narrow query is run by the host that received it
+    Given 6 gateways in front of 20 shards, 2 of the gateways with a fast link
     When every gateway is asked for all shards
-    Then every answer is whole
-    And all 6 gateways sent to the shards
+    Then every answer is complete
+    And all 6 gateways sent requests to the shards
 
-  Scenario: hosts that are all alike choose two of them
-    Given 6 gateways before 60 shards, of which 0 have a wide link
+  Scenario: two of several equal hosts become coordinators
+    Given 6 gateways in front of 60 shards, 0 of the gateways with a fast link
     When every gateway is asked for all shards
-    Then every answer is whole
-    And only 2 gateways sent to the shards
+    Then every answer is complete
+    And only 2 gateways sent requests to the shards
 
-  Scenario: a host that is gone is not waited for
-    Given 6 gateways before 60 shards, of which 2 have a wide link
-    When one gateway with a wide link is killed
+  Scenario: queries do not wait for a killed coordinator
+    Given 6 gateways in front of 60 shards, 2 of the gateways with a fast link
+    When one gateway with a fast link is killed
     And every gateway is asked for all shards
-    Then every answer is whole
+    Then every answer is complete
 
-  Scenario: the hosts that run wide queries share most of the slack of their budget
-    Given 6 gateways before 60 shards, of which 2 have a wide link
-    Then a gateway with a wide link may send 6 extra requests to a shard, of a slack of 20
-    And a gateway with a thin link may send 1.25 extra requests to a shard, of a slack of 20
+  Scenario: coordinators share most of the slack of the extra request budget
+    Given 6 gateways in front of 60 shards, 2 of the gateways with a fast link
+    Then a gateway with a fast link may send 6 extra requests to a shard, of a slack of 20
+    And a gateway with a slow link may send 1.25 extra requests to a shard, of a slack of 20
 
-  Scenario: all able hosts are gone
-    Given 6 gateways before 60 shards, of which 2 have a wide link
-    When both gateways with a wide link are killed
+  Scenario: queries are answered without the hosts with fast links
+    Given 6 gateways in front of 60 shards, 2 of the gateways with a fast link
+    When both gateways with a fast link are killed
     And every gateway is asked for all shards
-    Then every answer is whole
+    Then every answer is complete
 
-  Scenario: a frozen host costs the queries that it has, and no more
-    Given 6 gateways before 60 shards, of which 2 have a wide link
-    When one gateway with a wide link goes silent to its peers
+  Scenario: a coordinator that hangs loses only the queries it already has
+    Given 6 gateways in front of 60 shards, 2 of the gateways with a fast link
+    When one gateway with a fast link stops answering its peers
     And every gateway is asked for all shards 4 times
     Then no gateway has lost more than 1 query
     And no shard got a request twice
 
-  Scenario: a host that stops takes none, and ends what it has
-    Given 6 gateways before 60 shards that work for 0.1 seconds, of which 2 have a wide link
-    When one gateway with a wide link is told to stop while it runs queries for others
-    Then every answer is whole
+  Scenario: a coordinator that stops accepts no queries and finishes those it has
+    Given 6 gateways in front of 60 shards that take 0.1 seconds per request, 2 of the gateways with a fast link
+    When one gateway with a fast link is stopped while it runs queries for others
+    Then every answer is complete
 
   Scenario: a host with an older table is not used
-    Given 6 gateways before 60 shards, of which 2 have a wide link
-    When one gateway with a wide link keeps an older table
+    Given 6 gateways in front of 60 shards, 2 of the gateways with a fast link
+    When one gateway with a fast link keeps an older table
     And the shards are replaced by 50 others
     And every gateway but that one is asked for all shards
-    Then every answer is whole and of the 50 others
+    Then every answer covers the 50 new shards
 
-  Scenario: a host with an older table that says the same of a query is used
-    Given 6 gateways before 60 shards, of which 2 have a wide link
-    When one gateway with a wide link keeps an older table
+  Scenario: a host with an older table but the same route is used
+    Given 6 gateways in front of 60 shards, 2 of the gateways with a fast link
+    When one gateway with a fast link keeps an older table
     And the timeout of "/other/" changes
     And every gateway but that one is asked for all shards
-    Then every answer is whole
-    And only the 2 gateways with a wide link sent to the shards
+    Then every answer is complete
+    And only the 2 gateways with a fast link sent requests to the shards
 
-  Scenario: parts are asked of hosts with an older table that says the same of a query
-    Given 3 gateways in each of two zones of a region before 60 shards, half in each
+  Scenario: parts are delegated to hosts with an older table but the same route
+    Given 3 gateways in each of two zones of a region in front of 60 shards, half of them in each zone
     When the gateways of the other zone keep an older table
     And the timeout of "/other/" changes
     And every gateway of the first zone is asked for all shards
-    Then every answer is whole, with the greatest records
-    And shards of each zone were asked 90 times, from their own zone
+    Then every answer is complete and has the greatest records
+    And shards of each zone got 90 requests, all from gateways of their own zone
 
-  Scenario Outline: a host whose table says something else of a query is not used: <what>
-    Given 6 gateways before 60 shards, of which 2 have a wide link
-    When one gateway with a wide link keeps an older table
+  Scenario Outline: a host whose route of a query differs is not used: <what>
+    Given 6 gateways in front of 60 shards, 2 of the gateways with a fast link
+    When one gateway with a fast link keeps an older table
     And the route "/all/" <what>
     And every gateway but that one is asked for all shards
     Then that gateway sent nothing to the shards
@@ -83,128 +83,128 @@
       | may be handled in "north"    |
       | allows 1 attempt             |
 
-  Scenario: a caller that leaves stops the work at the shards
-    Given 6 gateways before 60 shards that work for 5 seconds, of which 2 have a wide link
-    When a caller of a gateway with a thin link leaves after 0.2 seconds
+  Scenario: a caller that disconnects stops the work at the shards
+    Given 6 gateways in front of 60 shards that take 5 seconds per request, 2 of the gateways with a fast link
+    When a caller of a gateway with a slow link disconnects after 0.2 seconds
     And 0.5 seconds pass
     Then no shard is at work for anybody
 
-  Scenario: extra requests of queries that were handed over are bounded too
-    Given 6 gateways before 60 shards, of which 2 have a wide link
+  Scenario: extra requests of delegated queries are bounded too
+    Given 6 gateways in front of 60 shards, 2 of the gateways with a fast link
     And every upstream of shard 7 is silent
-    When a gateway with a thin link is asked 30 times a second for 10 seconds
-    Then shard 7 got no more than 0.2 extra arrivals a request and 20
+    When a gateway with a slow link is sent 30 queries a second for 10 seconds
+    Then shard 7 got at most 0.2 extra requests per query plus 20
 
-  Scenario: the log of both hosts tells of a query that was handed over
-    Given 6 gateways before 60 shards, of which 2 have a wide link
+  Scenario: both hosts log a delegated query
+    Given 6 gateways in front of 60 shards, 2 of the gateways with a fast link
     When every gateway is asked for all shards
-    Then the log has two lines of each query that was handed over
+    Then the log has two lines for each delegated query
 
-  Scenario: the other zone's shards are asked from there, and merged
-    Given 3 gateways in each of two zones of a region before 60 shards, half in each
+  Scenario: shards of another zone are queried from there and merged
+    Given 3 gateways in each of two zones of a region in front of 60 shards, half of them in each zone
     When every gateway is asked for all shards
-    Then every answer is whole, with the greatest records
-    And shards of each zone were only asked from their own zone
+    Then every answer is complete and has the greatest records
+    And shards of each zone got requests only from gateways of their own zone
 
-  Scenario: the other zone's hosts are gone
-    Given 3 gateways in each of two zones of a region before 60 shards, half in each
+  Scenario: queries are answered without the hosts of the other zone
+    Given 3 gateways in each of two zones of a region in front of 60 shards, half of them in each zone
     When the gateways of the other zone are killed
     And every gateway is asked for all shards
-    Then every answer is whole, with the greatest records
+    Then every answer is complete and has the greatest records
 
-  Scenario: coverage is true when a shard of the other zone fails
-    Given 3 gateways in each of two zones of a region before 60 shards, half in each
+  Scenario: the reported coverage is right if a shard of the other zone fails
+    Given 3 gateways in each of two zones of a region in front of 60 shards, half of them in each zone
     And every upstream of shard 7 is failing
     When every gateway is asked for all shards
-    Then every answer tells of 1 missing shard of 60
+    Then every answer reports 1 missing shard of 60
 
-  Scenario: what the other zone lacks is waited for here
-    Given 3 gateways in each of two zones of a region before 60 shards, half in each
-    And 6 shards of the other zone and 0 of the first work for 3 seconds
-    And 1 more shard of the other zone and 3 of the first work for 0.7 seconds
+  Scenario: a host waits for shards that are late in the other zone
+    Given 3 gateways in each of two zones of a region in front of 60 shards, half of them in each zone
+    And 6 shards of the other zone and 0 of the first answer after 3 seconds
+    And 1 more shard of the other zone and 3 of the first answer after 0.7 seconds
     When every gateway of the first zone is asked for all shards
-    Then every answer comes after 0.7 seconds and covers at least 0.9
+    Then every answer takes at least 0.7 seconds and covers at least a fraction of 0.9
 
-  Scenario: too few shards of the other zone are asked from here
-    Given 3 gateways in each of two zones of a region before 60 shards, 4 in the other
+  Scenario: a part with too few shards is not delegated to the other zone
+    Given 3 gateways in each of two zones of a region in front of 60 shards, 4 of them in the other zone
     When every gateway of the first zone is asked for all shards
-    Then every answer is whole, with the greatest records
-    And no gateway of the other zone was asked
+    Then every answer is complete and has the greatest records
+    And no gateway of the other zone sent requests to the shards
 
   Scenario: all shards are in the other zone
-    Given 3 gateways in each of two zones of a region before 60 shards, 60 in the other
+    Given 3 gateways in each of two zones of a region in front of 60 shards, 60 of them in the other zone
     When every gateway of the first zone is asked for all shards
-    Then every answer is whole, with the greatest records
-    And it took less than 0.1 seconds in all
+    Then every answer is complete and has the greatest records
+    And it took less than 0.1 seconds in total
 
-  Scenario: shards of another region are asked from there, and merged
-    Given 3 gateways in each of two regions before 20 shards, 7 in the other
+  Scenario: shards of another region are queried from there and merged
+    Given 3 gateways in each of two regions in front of 20 shards, 7 of them in the other region
     When every gateway of the first zone is asked for all shards
-    Then every answer is whole, with the greatest records
-    And the shards of the other region were asked by its gateways only
+    Then every answer is complete and has the greatest records
+    And the shards of the other region got requests only from its gateways
 
-  Scenario: two shards of another region are asked from here
-    Given 3 gateways in each of two regions before 20 shards, 2 in the other
+  Scenario: a part with two shards is not delegated to another region
+    Given 3 gateways in each of two regions in front of 20 shards, 2 of them in the other region
     When every gateway of the first zone is asked for all shards
-    Then every answer is whole, with the greatest records
-    And no gateway of the other zone was asked
+    Then every answer is complete and has the greatest records
+    And no gateway of the other zone sent requests to the shards
 
-  Scenario: frozen hosts of another region are done without
-    Given 3 gateways in each of two regions before 20 shards, 7 in the other
+  Scenario: frozen hosts of another region do not delay queries
+    Given 3 gateways in each of two regions in front of 20 shards, 7 of them in the other region
     When the gateways of the other region are frozen
     And every gateway of the first zone is asked for all shards
-    Then every answer is whole, with the greatest records
-    And it took less than 0.1 seconds in all
-    And no gateway of the other zone was asked
-
-  Scenario: hosts of another region that are cut off with a part are done without
-    Given 3 gateways in each of two regions before 20 shards, 7 in the other
-    When the gateways of the other region lose their connections while the first zone asks for all shards
-    Then every answer is whole, with the greatest records
+    Then every answer is complete and has the greatest records
+    And it took less than 0.1 seconds in total
+    And no gateway of the other zone sent requests to the shards
+
+  Scenario: a part is queried again if its connection to another region is cut
+    Given 3 gateways in each of two regions in front of 20 shards, 7 of them in the other region
+    When the connections to the gateways of the other region are cut while the first zone is asked for all shards
+    Then every answer is complete and has the greatest records
     And no shard got a request more than 2 times
 
-  Scenario: a lost part is not asked again if that might be one attempt too many
-    Given 3 gateways in each of two regions before 20 shards of 3 replicas, 7 in the other
-    When the gateways of the other region lose their connections while the first zone asks for all shards
+  Scenario: a lost part is not queried again if that may exceed the attempt limit
+    Given 3 gateways in each of two regions in front of 20 shards of 3 replicas, 7 of them in the other region
+    When the connections to the gateways of the other region are cut while the first zone is asked for all shards
     Then every answer is 502
     And no shard got a request more than 1 times
 
-  Scenario: a part without a sign is not asked again if that might be one attempt too many
-    Given 3 gateways in each of two regions before 20 shards of 3 replicas, 7 in the other
-    When the gateways of the other region read nothing any more on open connections
+  Scenario: a part without an interim reply is not queried again if that may exceed the attempt limit
+    Given 3 gateways in each of two regions in front of 20 shards of 3 replicas, 7 of them in the other region
+    When the gateways of the other region stop reading from open connections
     And every gateway of the first zone is asked for all shards
     Then every answer is 502
     And no shard got a request more than 1 times
 
-  Scenario: a wide query without a sign is not run again if that might be one attempt too many
-    Given 6 gateways before 60 shards of 3 replicas, of which 2 have a wide link
-    When one gateway with a wide link is frozen
-    And a gateway with a thin link is asked for all shards until the frozen one is asked
-    Then it is lost
+  Scenario: a wide query without an interim reply is not run again if that may exceed the attempt limit
+    Given 6 gateways in front of 60 shards of 3 replicas, 2 of the gateways with a fast link
+    When one gateway with a fast link is frozen
+    And a gateway with a slow link is asked for all shards until a query is delegated to the frozen one
+    Then that query is lost
     And no shard got a request more than 1 times
 
-  Scenario: a frozen host costs no wide query
-    Given 6 gateways before 60 shards, of which 2 have a wide link
-    When one gateway with a wide link is frozen
+  Scenario: a frozen host loses no wide query
+    Given 6 gateways in front of 60 shards, 2 of the gateways with a fast link
+    When one gateway with a fast link is frozen
     And every gateway is asked for all shards 2 times
-    Then every answer is whole
+    Then every answer is complete
     And no shard got a request twice
 
-  Scenario: a way that seemed long at first is measured again
-    Given 3 gateways in each of two regions before 20 shards, 7 in the other
-    When the ways to the other region seem to take 2 seconds
+  Scenario: a round trip that was measured as too long is measured again
+    Given 3 gateways in each of two regions in front of 20 shards, 7 of them in the other region
+    When the round trip to the other region is measured as 2 seconds
     And every gateway of the first zone is asked for all shards
     And 1 second passes
     And every gateway of the first zone is asked for all shards
-    Then every answer is whole, with the greatest records
-    And the gateways of the other region were asked
+    Then every answer is complete and has the greatest records
+    And the gateways of the other region sent requests to the shards
 
   Scenario: a body reaches the shards of another region unchanged
-    Given 3 gateways in each of two regions before 20 shards, 7 in the other
+    Given 3 gateways in each of two regions in front of 20 shards, 7 of them in the other region
     When a gateway of the first zone is asked for all shards by POST with a body of 300000 bytes
     Then every shard ran it as POST with that body
 
-  Scenario: a long head reaches the shards of another region
-    Given 3 gateways in each of two regions before 20 shards, 7 in the other
+  Scenario: a long request head reaches the shards of another region
+    Given 3 gateways in each of two regions in front of 20 shards, 7 of them in the other region
     When a gateway of the first zone is asked for all shards with a head of 16000 bytes
     Then every shard ran it as GET with that body
--- a/features/steps/canaries.py
+++ b/features/steps/canaries.py
@@ -54,7 +54,7 @@
     return gateway.Canary(context.known, clock, lambda: quarantine.DIGEST)
 
 
-@given(r'a request that was lost with (\d+) upstreams?')
+@given(r'a request whose first attempt crashed (\d+) upstreams?')
 def lose_with(context, count):
     context.known = quarantine.make_quarantine(context, 'h1')
     incarnations = [
@@ -65,7 +65,7 @@
     context.probe = make_probe(context)
 
 
-@when(r'attempts at services with ([\d, and]+) live upstreams? wait')
+@when(r'attempts wait at services with ([\d, and]+) live upstreams?')
 def wait_at(context, counts):
     context.waiting = start_waiting(context.probe, counts)
 
@@ -82,25 +82,28 @@
     return waiting
 
 
-@then(r'the one at the service with (\d+) is sent alone')
+@then(r'only the attempt at the service with (\d+) is sent')
 def check_sent_alone(context, live):
     sent = [each.live for each in context.waiting if each.is_sent]
     assert sent == [int(live)], sent
 
 
-@when(r'its upstream ends too and a copy waits at services with ([\d and]+)')
+@when(
+    r'its upstream crashes too and attempts of a copy wait at services with '
+    r'([\d and]+)'
+)
 def end_canary(context, counts):
     context.probe.record_lost()
     context.probe.record_checked(core.UpstreamLife('u9/0'), True)
     context.copies = start_waiting(make_probe(context), counts)
 
 
-@when(r'a copy waits at services with ([\d and]+)')
+@when(r'attempts of a copy wait at services with ([\d and]+)')
 def wait_copy(context, counts):
     context.copies = start_waiting(make_probe(context), counts)
 
 
-@then(r'the copy is sent to nobody')
+@then(r'no attempt of the copy is sent')
 def check_copy(context):
     assert not [each for each in context.copies if each.is_sent]
     assert {each.decision for each in context.copies} == {
@@ -132,8 +135,8 @@
 
 
 @when(
-    r'(\d+) queries a second come for ([\d.]+) seconds, and after ([\d.]+) of '
-    r'them all upstreams of zone "([^"]+)" crash'
+    r'(\d+) queries a second are sent for ([\d.]+) seconds, and after '
+    r'([\d.]+) seconds all upstreams of zone "([^"]+)" crash'
 )
 def crash_zone(context, rate, seconds, after_s, zone):
     bench = gateway_steps.get(context)
@@ -167,7 +170,7 @@
     assert len(bad) <= int(most), bad
 
 
-@then(r'none of them was kept back for longer than ([\d.]+) seconds')
+@then(r'no query was refused with a Retry-After above ([\d.]+) seconds')
 def check_kept_for(context, seconds):
     refused = [each for each in context.replies if each.status == 503]
     for each in refused:
@@ -175,8 +178,8 @@
 
 
 @given(
-    r'(\d+) gateways in each of two zones before (\d+) shards of (\d+) '
-    r'upstreams, (\d+) of them in the other'
+    r'(\d+) gateways in each of two zones in front of (\d+) shards of (\d+) '
+    r'upstreams, (\d+) of these shards in the other zone'
 )
 def start_few_replicas(context, count, shards, replicas, others):
     delegate.start_zones(
@@ -185,8 +188,8 @@
 
 
 @given(
-    r'(\d+) gateways in each of two zones before (\d+) shards, (\d+) with an '
-    r'upstream in the other and one in another region'
+    r'(\d+) gateways in each of two zones in front of (\d+) shards, (\d+) of '
+    r'them with one upstream in the other zone and one in another region'
 )
 def start_spanning(context, count, shards, others):
     bench = gateway_steps.get(context)
@@ -202,8 +205,8 @@
 
 
 @given(
-    r'upstreams of the first zone work for ([\d.]+) seconds, of the other for '
-    r'([\d.]+)'
+    r'upstreams of the first zone take ([\d.]+) seconds per request, those of '
+    r'the other zone ([\d.]+)'
 )
 def set_work(context, first_s, other_s):
     bench = gateway_steps.get(context)
@@ -229,7 +232,7 @@
     context.took_s = context.loop.time() - began
 
 
-@then(r'the reply has all shards within ([\d.]+) seconds')
+@then(r'the reply covers all shards and takes at most ([\d.]+) seconds')
 def check_whole(context, seconds):
     assert context.reply.status == 200, context.reply
     missing = gateway.HeaderNames().missing_parts.decode()
@@ -237,7 +240,7 @@
     assert context.took_s <= float(seconds), context.took_s
 
 
-@given(r'the upstreams of (\d+) shards work for ([\d.]+) seconds')
+@given(r'the upstreams of (\d+) shards take ([\d.]+) seconds per request')
 def set_some_work(context, count, seconds):
     models = gateway_steps.get(context).upstreams
     for name, model in models.items():
--- a/features/steps/copies.py
+++ b/features/steps/copies.py
@@ -20,7 +20,7 @@
 use_step_matcher('re')
 
 
-@when(r'the source is copied')
+@when(r'a snapshot of the source is made')
 def copy_source(context):
     context.copy = gateway_steps.get(context).source.make_copy()
 
@@ -31,7 +31,10 @@
         gateway_steps.get(context).publish()
 
 
-@when(r'the source comes back from the copy after ([\d.]+) seconds?')
+@when(
+    r'the source is restored from the snapshot after an outage of ([\d.]+) '
+    r'seconds?'
+)
 def come_back(context, seconds):
     source = gateway_steps.get(context).source
     source.is_down = True
@@ -40,7 +43,9 @@
     source.come_back(context.copy)
 
 
-@then(r'each gateway has told once that the source returned in era (\d+)')
+@then(
+    r'each gateway has logged once that the source was restored in era (\d+)'
+)
 def check_told(context, era):
     lines = map(json.loads, gateway_steps.get(context).log.lines)
     told = collections.Counter(
@@ -52,7 +57,7 @@
     assert told == wanted, told
 
 
-@then(r'each gateway counts (\d+) return and era (\d+)')
+@then(r'the metrics of each gateway show (\d+) restore and era (\d+)')
 def check_counted(context, returns, era):
     for member in context.fleet.members.values():
         figures = member.process._list_gauges()
@@ -60,7 +65,7 @@
         assert figures['source_era'] == int(era), figures
 
 
-@when(r'the store comes back from a copy of now')
+@when(r'the store is restored from a snapshot of its present state')
 def come_back_now(context):
     async def come_back():
         context.store.come_back(context.store.make_copy())
@@ -68,12 +73,14 @@
     run(context, come_back())
 
 
-@given(r'the store names its era as "([^"]+)"')
+@given(r'the store sends "([^"]+)" as its era')
 def spoil_era(context, text):
     context.store.era_text = text
 
 
-@when(r'the store comes back from a copy after the first page of a listing')
+@when(
+    r'the store is restored from a snapshot after the first page of a listing'
+)
 def come_back_between(context):
     store = context.store
     copy = store.make_copy()
@@ -89,7 +96,7 @@
     adapter_steps.call(context, list_pages())
 
 
-@then(r'it was read in era (\d+)')
+@then(r'the listing was read in era (\d+)')
 def check_era(context, era):
     assert context.answer.ok_value.position.era == int(era), context.answer
 
@@ -101,7 +108,9 @@
     assert detail in problem.detail, problem
 
 
-@when(r'a peer asks that has version (none|\d+) of revision (\d+)')
+@when(
+    r'a peer with table version (none|\d+) of revision (\d+) asks for changes'
+)
 def ask_as_peer(context, version, revision):
     known = {'table': revision, 'is_lost': 0}
     if version != 'none':
@@ -120,7 +129,7 @@
     assert (context.changes.table is not None) == (which == 'the')
 
 
-@when(r'a peer asks again that knows era (none|\d+)')
+@when(r'a peer that knows era (none|\d+) asks again')
 def ask_again(context, era):
     member = context.fleet.members[context.fleet.find_reader()]
     changes = member.process._changes
@@ -132,47 +141,49 @@
     context.changes = changes.list_changes(known)
 
 
-@then(r'it is told (all|no more) upstreams')
+@then(r'it is sent (all|no more) upstreams')
 def check_upstreams(context, which):
     count = 1 if which == 'all' else 0
     assert len(context.changes.upstreams) == count, context.changes
     assert context.changes.whole == (which == 'all'), context.changes
 
 
-@when(r'a zone is evacuated and 5 other entries are written')
+@when(r'a zone is evacuated and 5 unrelated entries are written')
 def write_after_return(context):
     context.store.evacuate('north-1')
     for number in range(5):
         context.store.put(f'other/{number}', b'{}')
 
 
-@when(r'the source watches the operators from the era before')
+@when(
+    r'the source watches the routing table from a position in the previous era'
+)
 def watch_before(context):
     store = context.store
     before = gateway.Position(store.era - 1, store.revision)
     adapter_steps.call(context, context.source.watch_table(before, 0.5))
 
 
-@when(r'the source comes back from the copy and cuts no watch')
+@when(r'the source is restored from the snapshot without ending the watches')
 def come_back_quietly(context):
     source = gateway_steps.get(context).source
     source.come_back(context.copy, cut=False)
 
 
-@when(r'(\d+) other entries are written')
+@when(r'(\d+) unrelated entries are written')
 def write_others(context, count):
     for _ in range(int(count)):
         gateway_steps.get(context).source.note_other_change()
 
 
-@when(r'"([^"]+)" registers again as it was')
+@when(r'"([^"]+)" registers again with the same entry')
 def register_again(context, upstream):
     source = gateway_steps.get(context).source
     source.set_endpoint(context.copy.endpoints[upstream])
 
 
 @when(
-    r'"([^"]+)" registers again as it was, which a copy of just before lacks'
+    r'"([^"]+)" registers again with the same entry just after a new snapshot'
 )
 def register_after_copy(context, upstream):
     before = gateway_steps.get(context).source.make_copy()
@@ -190,14 +201,14 @@
     run(context, context.fleet.kill('g7'))
 
 
-@then(r'no host has been registered twice')
+@then(r'no host is registered twice')
 def check_registered_once(context):
     leases = gateway_steps.get(context).source.hosts
     names = collections.Counter(each.host for each in leases.values())
     assert set(names.values()) == {1}, leases
 
 
-@then(r'a renewal says that the source has returned')
+@then(r'a renewal reports that the source was restored')
 def check_returned(context):
     adapter_steps.call(context, context.source.renew(context.lease))
     assert context.answer.err_value == gateway.SourceRestored(), context.answer
@@ -211,7 +222,10 @@
     assert context.answer.ok_value == wanted, context.answer
 
 
-@then(r'what the reader tells in era (\d+) is (not good|good) to the others')
+@then(
+    r"the reader's changes in era (\d+) are (not good|good) enough for the "
+    r'others'
+)
 def check_good(context, era, judged):
     reader = context.fleet.find_reader()
     known = gateway.Known()
--- a/features/steps/delegate.py
+++ b/features/steps/delegate.py
@@ -44,15 +44,18 @@
     run(context, asyncio.sleep(6.0))
 
 
-@given(r'(\d+) gateways before (\d+) shards, of which (\d+) have a wide link')
+@given(
+    r'(\d+) gateways in front of (\d+) shards, (\d+) of the gateways with a '
+    r'fast link'
+)
 def start_plain(context, count, shards, wide):
     start(context, int(count), int(shards), int(wide))
 
 
 @given(
-    r'(\d+) gateways before (\d+) shards that work for '
+    r'(\d+) gateways in front of (\d+) shards that take '
     + _SECONDS
-    + r', of which (\d+) have a wide link'
+    + r' per request, (\d+) of the gateways with a fast link'
 )
 def start_slow(context, count, shards, seconds, wide):
     start(context, int(count), int(shards), int(wide), work_s=float(seconds))
@@ -106,25 +109,24 @@
     ask_all(context, names)
 
 
-@when(r'one gateway with a wide link is killed')
+@when(r'one gateway with a fast link is killed')
 def kill_one(context):
     run(context, context.fleet.kill(context.wide[0]))
 
 
-@when(r'both gateways with a wide link are killed')
+@when(r'both gateways with a fast link are killed')
 def kill_both(context):
     for name in context.wide:
         run(context, context.fleet.kill(name))
 
 
-@when(r'one gateway with a wide link goes silent to its peers')
+@when(r'one gateway with a fast link stops answering its peers')
 def silence_one(context):
     context.fleet.members[context.wide[0]].freeze_peers()
 
 
 @when(
-    r'one gateway with a wide link is told to stop while it runs queries '
-    r'for others'
+    r'one gateway with a fast link is stopped while it runs queries for others'
 )
 def stop_one(context):
     thin = [each for each in context.fleet.members if each not in context.wide]
@@ -141,7 +143,7 @@
     context.answers = run(context, stop())
 
 
-@when(r'one gateway with a wide link keeps an older table')
+@when(r'one gateway with a fast link keeps an older table')
 def keep_old(context):
     context.old = context.wide[0]
     member = context.fleet.members[context.old]
@@ -207,7 +209,7 @@
     run(context, asyncio.sleep(0.5))
 
 
-@when(r'a caller of a gateway with a thin link leaves after ' + _SECONDS)
+@when(r'a caller of a gateway with a slow link disconnects after ' + _SECONDS)
 def leave(context, seconds):
     name = list(context.fleet.members)[-1]
     raw = gateway_bench.make_raw('gone', '/all/1', deadline_ms=5000)
@@ -222,7 +224,7 @@
 
 
 @when(
-    r'a gateway with a thin link is asked (\d+) times a second for (\d+) '
+    r'a gateway with a slow link is sent (\d+) queries a second for (\d+) '
     r'seconds'
 )
 def ask_often(context, rate, seconds):
@@ -244,7 +246,7 @@
     context.answers = run(context, go())
 
 
-@then(r'every answer is whole')
+@then(r'every answer is complete')
 def check_whole(context):
     for name, request_id, reply in context.answers:
         assert reply.status == 200, (name, request_id, reply)
@@ -253,20 +255,20 @@
         assert set(stamps) == wanted, (name, stamps)
 
 
-@then(r'every answer is whole and of the (\d+) others')
+@then(r'every answer covers the (\d+) new shards')
 def check_others(context, count):
     assert len(context.shards) == int(count)
     check_whole(context)
 
 
-@then(r'only the (\d+) gateways with a wide link sent to the shards')
+@then(r'only the (\d+) gateways with a fast link sent requests to the shards')
 def check_wide_sent(context, count):
     sent = list_senders(context)
     assert sent == set(context.wide), sent
     assert len(sent) == int(count)
 
 
-@then(r'(?:only|all) (\d+) gateways sent to the shards')
+@then(r'(?:only|all) (\d+) gateways sent requests to the shards')
 def check_sent(context, count):
     assert len(list_senders(context)) == int(count)
 
@@ -287,9 +289,7 @@
         assert max(counts.values()) == 1, counts
 
 
-@then(
-    r'shard (\d+) got no more than ([\d.]+) extra arrivals a request and (\d+)'
-)
+@then(r'shard (\d+) got at most ([\d.]+) extra requests per query plus (\d+)')
 def check_extra(context, number, ratio, slack):
     model = gateway_steps.get(context).upstreams[f'shard-{number}-0']
     counts = collections.Counter(model.arrivals)
@@ -298,7 +298,7 @@
     assert extra <= most, extra
 
 
-@then(r'the log has two lines of each query that was handed over')
+@then(r'the log has two lines for each delegated query')
 def check_two_lines(context):
     lines = gateway_checks.list_lines(context, 'request')
     by_id = collections.Counter(line['request_id'] for line in lines)
@@ -330,16 +330,16 @@
 
 
 @given(
-    r'(\d+) gateways in each of two zones of a region before (\d+) shards, '
-    r'half in each'
+    r'(\d+) gateways in each of two zones of a region in front of (\d+) '
+    r'shards, half of them in each zone'
 )
 def start_halves(context, count, shards):
     start_zones(context, int(count), int(shards), int(shards) // 2)
 
 
 @given(
-    r'(\d+) gateways in each of two zones of a region before (\d+) shards, '
-    r'(\d+) in the other'
+    r'(\d+) gateways in each of two zones of a region in front of (\d+) '
+    r'shards, (\d+) of them in the other zone'
 )
 def start_few(context, count, shards, others):
     start_zones(context, int(count), int(shards), int(others))
@@ -356,7 +356,7 @@
     ask_all(context, list(context.fleet.members)[:3])
 
 
-@then(r'every answer is whole, with the greatest records')
+@then(r'every answer is complete and has the greatest records')
 def check_merged(context):
     check_whole(context)
     upstreams = gateway_steps.get(context).upstreams.values()
@@ -366,12 +366,15 @@
         assert reply.body == wanted, reply
 
 
-@then(r'shards of each zone were only asked from their own zone')
+@then(r'shards of each zone got requests only from gateways of their own zone')
 def check_own_zone(context):
     check_own_zone_times(context, 6 * 30)
 
 
-@then(r'shards of each zone were asked (\d+) times, from their own zone')
+@then(
+    r'shards of each zone got (\d+) requests, all from gateways of their own '
+    r'zone'
+)
 def check_own_zone_times(context, times):
     members = list(context.fleet.members.values())
     first = sum(each.gateway.counters.first_attempts for each in members[:3])
@@ -380,7 +383,7 @@
     check_no_repeat(context)
 
 
-@then(r'every answer tells of 1 missing shard of (\d+)')
+@then(r'every answer reports 1 missing shard of (\d+)')
 def check_one_missing(context, count):
     for _, _, reply in context.answers:
         assert reply.status == 200, reply
@@ -389,15 +392,15 @@
         assert len(set(stamps)) == int(count) - 1, stamps
 
 
-@then(r'no gateway of the other zone was asked')
+@then(r'no gateway of the other zone sent requests to the shards')
 def check_unasked(context):
     for member in list(context.fleet.members.values())[3:]:
         assert not member.gateway.counters.first_attempts
 
 
 @given(
-    r'(\d+) (more )?shards? of the other zone and (\d+) of the first work '
-    r'for ' + _SECONDS
+    r'(\d+) (more )?shards? of the other zone and (\d+) of the first answer '
+    r'after ' + _SECONDS
 )
 def slow_some(context, others, more, first, seconds):
     upstreams = gateway_steps.get(context).upstreams
@@ -411,7 +414,8 @@
 
 
 @then(
-    r'every answer comes after ([\d.]+) seconds and covers at least ([\d.]+)'
+    r'every answer takes at least ([\d.]+) seconds and covers at least a '
+    r'fraction of ([\d.]+)'
 )
 def check_waited(context, seconds, least):
     for _, _, reply in context.answers:
@@ -423,22 +427,22 @@
     assert took >= float(seconds) - 0.001, took
 
 
-@then(r'it took less than ([\d.]+) seconds in all')
+@then(r'it took less than ([\d.]+) seconds in total')
 def check_took(context, seconds):
     assert context.took < float(seconds), context.took
 
 
 @given(
-    r'(\d+) gateways in each of two regions before (\d+) shards, '
-    r'(\d+) in the other'
+    r'(\d+) gateways in each of two regions in front of (\d+) shards, (\d+) '
+    r'of them in the other region'
 )
 def start_regions(context, count, shards, others):
     start_zones(context, int(count), int(shards), int(others), zone='south-1')
 
 
 @given(
-    r'(\d+) gateways in each of two regions before (\d+) shards of '
-    r'(\d+) replicas, (\d+) in the other'
+    r'(\d+) gateways in each of two regions in front of (\d+) shards of (\d+) '
+    r'replicas, (\d+) of them in the other region'
 )
 def start_replicated(context, count, shards, replicas, others):
     start_zones(
@@ -462,14 +466,14 @@
         run(context, member.silence_peers())
 
 
-@when(r'one gateway with a wide link is frozen')
+@when(r'one gateway with a fast link is frozen')
 def freeze_one(context):
     run(context, context.fleet.members[context.wide[0]].silence_peers())
 
 
 @when(
-    r'the gateways of the other region lose their connections while the '
-    r'first zone asks for all shards'
+    r'the connections to the gateways of the other region are cut while the '
+    r'first zone is asked for all shards'
 )
 def cut_region(context):
     async def cut():
@@ -482,7 +486,7 @@
     run(context, task)
 
 
-@then(r'the shards of the other region were asked by its gateways only')
+@then(r'the shards of the other region got requests only from its gateways')
 def check_asked_there(context):
     members = list(context.fleet.members.values())
     first = sum(each.gateway.counters.first_attempts for each in members[:3])
@@ -504,26 +508,23 @@
         assert reply.status == int(status), reply
 
 
-@when(
-    r'the gateways of the other region read nothing any more on open '
-    r'connections'
-)
+@when(r'the gateways of the other region stop reading from open connections')
 def deafen_region(context):
     for member in list_other(context):
         member.deafen_peers()
 
 
 @given(
-    r'(\d+) gateways before (\d+) shards of (\d+) replicas, '
-    r'of which (\d+) have a wide link'
+    r'(\d+) gateways in front of (\d+) shards of (\d+) replicas, (\d+) of the '
+    r'gateways with a fast link'
 )
 def start_wide_replicated(context, count, shards, replicas, wide):
     start(context, int(count), int(shards), int(wide), replicas=int(replicas))
 
 
 @when(
-    r'a gateway with a thin link is asked for all shards until the frozen '
-    r'one is asked'
+    r'a gateway with a slow link is asked for all shards until a query is '
+    r'delegated to the frozen one'
 )
 def ask_until_frozen(context):
     name = list(context.fleet.members)[-1]
@@ -533,19 +534,19 @@
             return
 
 
-@then(r'it is lost')
+@then(r'that query is lost')
 def check_lost(context):
     assert context.answers[0][2].status == 502, context.answers
 
 
-@when(r'the ways to the other region seem to take ' + _SECONDS)
+@when(r'the round trip to the other region is measured as ' + _SECONDS)
 def lengthen_ways(context, seconds):
     for member in list(context.fleet.members.values())[:3]:
         for peer in member.gateway.delegation.list_clients():
             peer.round_trip_s = float(seconds)
 
 
-@then(r'the gateways of the other region were asked')
+@then(r'the gateways of the other region sent requests to the shards')
 def check_other_asked(context):
     assert any(
         each.gateway.counters.first_attempts for each in list_other(context)
@@ -591,11 +592,11 @@
 
 
 @then(
-    r'a gateway with a (wide|thin) link may send ([\d.]+) extra requests to a '
+    r'a gateway with a (fast|slow) link may send ([\d.]+) extra requests to a '
     r'shard, of a slack of 20'
 )
 def check_wide_slack(context, link, count):
-    wide = {'wide': True, 'thin': False}[link]
+    wide = {'fast': True, 'slow': False}[link]
     found = [
         member.gateway.get_extra_slack(context.shards[0])
         for name, member in context.fleet.members.items()
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -52,12 +52,15 @@
     start_fleet(context, int(north), int(south), upstream, service)
 
 
-@when(r'the gateway that reads is killed')
+@when(r'the gateway that reads the source is killed')
 def kill_reader(context):
     run(context, context.fleet.kill(context.fleet.find_reader()))
 
 
-@when(r'the gateway that reads goes silent to its peers and the source')
+@when(
+    r'the gateway that reads the source gets no answer from the source and '
+    r'gives none to its peers'
+)
 def silence_reader(context):
     reader = context.fleet.find_reader()
     context.silenced = reader
@@ -65,7 +68,9 @@
     context.fleet.members[reader].freeze_peers()
 
 
-@when(r'the source is (refused|silent) for the gateway that reads and 2 more')
+@when(
+    r'the source is (refused|silent) for the gateway that reads it and 2 more'
+)
 def bar_some(context, how):
     reader = context.fleet.find_reader()
     others = [each for each in context.fleet.members if each != reader]
@@ -93,7 +98,7 @@
     return sum(each.source.calls for each in members)
 
 
-@then(r'they have called it at most (\d+) times in that time')
+@then(r'they have called it at most (\d+) times during that time')
 def check_made(context, most):
     assert context.made <= int(most), context.made
 
@@ -110,8 +115,8 @@
 
 
 @when(
-    r'the source is away for everybody and a seventh gateway starts that is '
-    r'told (\d+) others'
+    r'the source refuses all gateways and a seventh gateway starts with (\d+) '
+    r'reachable seeds'
 )
 def start_with_seeds(context, count):
     members = list(context.fleet.members.values())
@@ -130,21 +135,24 @@
     return tuple((address, 8003) for address in addresses)
 
 
-@when(r'a seventh gateway starts that is told (\d+) others')
+@when(r'a seventh gateway starts with (\d+) reachable seeds')
 def start_told(context, count):
     seeds = list_seeds(context, int(count))
     run(context, context.fleet.add(_NORTH, seeds=seeds))
 
 
-@when(r'a seventh gateway starts whose readings take ([\d.]+) seconds each')
+@when(
+    r'a seventh gateway starts whose readings of the source take ([\d.]+) '
+    r'seconds longer'
+)
 def start_thin(context, seconds):
     run(context, context.fleet.add(_NORTH))
     context.fleet.members['g7'].source.delay_s = float(seconds)
 
 
 @given(
-    r'(\d+) gateways and (\d+) that are told of them start together with an '
-    r'upstream "([^"]+)" of "([^"]+)"'
+    r'(\d+) seed gateways and (\d+) others start together with an upstream '
+    r'"([^"]+)" of "([^"]+)"'
 )
 def start_together(context, seeds, others, upstream, service):
     make_fleet(context, upstream, service)
@@ -157,7 +165,7 @@
     run(context, start_all(context, range(1, count + 1)))
 
 
-@given(r'each call to the source takes one turn of the loop more')
+@given(r'each call to the source takes one more iteration of the event loop')
 def lengthen_calls(context):
     context.source_delay_s = 0.0
 
@@ -172,7 +180,7 @@
         await asyncio.sleep(0.005)
 
 
-@when(r'all gateways are killed and start again together')
+@when(r'all gateways are killed and restart together')
 def restart_all(context):
     names = list(context.fleet.members)
     for name in names:
@@ -197,12 +205,12 @@
     assert found == int(count), found
 
 
-@then(r'all of them together have called the source at most (\d+) times')
+@then(r'the gateways have called the source at most (\d+) times in total')
 def check_all_calls(context, most):
     assert count_calls(context) <= int(most), count_calls(context)
 
 
-@when(r'a new peer asks the gateway that reads for changes')
+@when(r'a new peer asks the gateway that reads the source for changes')
 def ask_anew(context):
     async def ask():
         member = context.fleet.members[context.fleet.find_reader()]
@@ -214,7 +222,7 @@
     context.told.append(run(context, ask()).ok_value)
 
 
-@then(r'the second was told of a reading ([\d.]+) seconds older')
+@then(r'the second peer got a reading that was ([\d.]+) seconds older')
 def check_older(context, seconds):
     first, second = context.told
     assert (first.number, first.generation) == (
@@ -231,8 +239,8 @@
 
 
 @given(
-    r'a directory that took over reading (\d+) of "([^"]+)", '
-    r'([\d.]+) seconds old'
+    r'a directory that has applied reading (\d+) of "([^"]+)", ([\d.]+) '
+    r'seconds old'
 )
 def make_directory(context, number, origin, age):
     context.clock = state.Clock(context.loop)
@@ -249,12 +257,12 @@
     context.directory.apply_reading((), gateway.Position(0, 1), stamp)
 
 
-@when(r'the same reading comes back as ([\d.]+) seconds old')
+@when(r'the same reading arrives with an age of ([\d.]+) seconds')
 def repeat_reading(context, age):
     take_reading(context, context.number, context.origin, age)
 
 
-@when(r'reading (\d+) of "([^"]+)" comes, ([\d.]+) seconds old')
+@when(r'reading (\d+) of "([^"]+)" arrives, ([\d.]+) seconds old')
 def take_next(context, number, origin, age):
     take_reading(context, number, origin, age)
 
@@ -271,7 +279,7 @@
         assert member.gateway.is_ready
 
 
-@then(r'all but (\d+) of them leave the source alone')
+@then(r'only (\d+) of the gateways reads the source')
 def check_readers(context, count):
     members = context.fleet.members.values()
     before = [member.source.calls for member in members]
@@ -285,7 +293,7 @@
     assert len(busy) == int(count), made
 
 
-@then(r'at most (\d+) of those that are not turned away ask the source')
+@then(r'at most (\d+) of the gateways that reach the source read it')
 def check_few_readers(context, most):
     members = [
         member
@@ -302,7 +310,7 @@
     assert len(busy) <= int(most), made
 
 
-@then(r'all of them count (\d+) hosts')
+@then(r'every gateway counts (\d+) hosts')
 def check_count(context, count):
     found = [each.hosts.count() for each in context.fleet.members.values()]
     assert set(found) == {int(count)}, found
@@ -322,7 +330,7 @@
         assert request_id in ids, (name, upstream)
 
 
-@then(r'no gateway knows an upstream of "([^"]+)"')
+@then(r'no gateway has an upstream for "([^"]+)"')
 def check_none_known(context, path):
     for name in context.fleet.members:
         raw = gateway_bench.make_raw(gateway_steps.next_id(context), path)
@@ -330,20 +338,20 @@
         assert reply.status == 503, (name, reply)
 
 
-@then(r'the registry names (\d+) hosts')
+@then(r'(\d+) hosts are registered')
 def check_registry(context, count):
     found = gateway_steps.get(context).source.hosts.values()
     assert len({each.host for each in found}) == int(count), found
 
 
-@then(r'each may send (\d+) extra requests of a slack of 20')
+@then(r'each gateway may send (\d+) extra requests of a slack of 20')
 def check_slack(context, count):
     for member in context.fleet.members.values():
         slack = 20.0 / member.hosts.count()
         assert slack == float(count), slack
 
 
-@when(r'a peer asks the gateway that reads for changes')
+@when(r'a peer asks the gateway that reads the source for changes')
 def ask_for_changes(context):
     """Keep the peer, so that it asks next time for what is new."""
 
@@ -360,7 +368,7 @@
     context.peer.acknowledge(context.changes)
 
 
-@then(r'it is told of (\d+) hosts?, and knows (\d+)')
+@then(r'it is sent (\d+) hosts?, and knows (\d+)')
 def check_told_hosts(context, told, known):
     assert len(context.changes.hosts) == int(told), context.changes.hosts
     assert len(context.known_hosts) == int(known), context.known_hosts
@@ -372,7 +380,7 @@
     context.endpoints = [make_endpoint('u1', zone)]
 
 
-@given(r'a sibling in "([^"]+)"')
+@given(r'another upstream of its service in "([^"]+)"')
 def note_sibling(context, zone):
     context.endpoints.append(make_endpoint('u2', zone))
 
@@ -414,13 +422,13 @@
     )
 
 
-@then(r'a host in "([^"]+)" may open (\d+)')
+@then(r'a host in "([^"]+)" may open (\d+) connections')
 def check_share(context, zone, count):
     share = get_share(context, state.ZoneId(zone))
     assert share.cap == int(count), share
 
 
-@then(r'all together stay below (\d+)')
+@then(r'all hosts together may open at most (\d+) connections')
 def check_sum(context, accepted):
     total = 0
     for zone in context.zones:
@@ -454,13 +462,13 @@
     context.reply = gateway.render_changes(context.changes)
 
 
-@then(r'they are sent in less than (\d+) bytes and read back the same')
+@then(r'they are encoded in less than (\d+) bytes and decode to the same')
 def check_compressed(context, most):
     assert len(context.reply.body) < int(most), len(context.reply.body)
     assert gateway.read_changes(context.reply) == context.changes
 
 
-@then(r"what is left of them after (\d+) bytes can't be read")
+@then(r"their first (\d+) bytes can't be decoded")
 def check_cut(context, length):
     cut = gateway.Reply(
         200, context.reply.headers, context.reply.body[: int(length)]
--- a/features/steps/histories.py
+++ b/features/steps/histories.py
@@ -68,13 +68,16 @@
         loop.close()
 
 
-@then(r'hosts keep what they believe in order where (.+)')
+@then(r'no host reverts to an old state where (.+)')
 def check_found(context, what):
     problems = play(_FOUND[what])
     assert not problems, problems
 
 
-@then(r'(\d+) histories of the source leave what hosts believe in order')
+@then(
+    r'in (\d+) random histories of the source no host reverts to an old '
+    r'state, and all end in the right one'
+)
 def check_histories(context, count):
     # By hand: python -m features.run features/copies.feature -D examples=N
     examples = context.config.userdata.getint('examples', int(count))
--- a/features/steps/quarantine.py
+++ b/features/steps/quarantine.py
@@ -36,8 +36,8 @@
 
 
 @then(
-    r'the (\d+) lines of "([^"]+)" have one digest and the first tells of '
-    r'(\d+) lost attempts at least'
+    r'the (\d+) log lines of "([^"]+)" have the same digest, and the first '
+    r'has at least (\d+) lost attempts'
 )
 def check_lost_lines(context, count, target, least):
     lines = gateway_checks.list_lines(context, 'request')
@@ -47,7 +47,7 @@
     assert lines[0]['lost'] >= int(least), lines
 
 
-@then(r'its line has no digest')
+@then(r'its log line has no digest')
 def check_no_digest(context):
     found = [
         line
@@ -58,7 +58,7 @@
 
 
 @given(
-    r'(\d+) gateways in each of two zones before (\d+) shards? of (\d+) '
+    r'(\d+) gateways in each of two zones in front of (\d+) shards? of (\d+) '
     r'upstreams'
 )
 def start_zones(context, count, shards, replicas):
@@ -87,8 +87,8 @@
 
 
 @when(
-    r'copies of "([^"]+)" come to all gateways in turn, ([\d.]+) a second for '
-    r'([\d.]+) seconds'
+    r'copies of "([^"]+)" are sent to all gateways in turn, ([\d.]+) a second '
+    r'for ([\d.]+) seconds'
 )
 def send_copies(context, target, rate, seconds):
     names = list(context.fleet.members)
@@ -111,7 +111,7 @@
 
 
 @then(
-    r'it was sent in at most (\d+) retries later than ([\d.]+) seconds after '
+    r'at most (\d+) copies reach upstreams later than ([\d.]+) seconds after '
     r'the third crash'
 )
 def check_retries(context, most, seconds):
@@ -138,8 +138,8 @@
 
 
 @when(
-    r'copies of "([^"]+)" come to all gateways in turn, ([\d.]+) a second for '
-    r'([\d.]+) seconds, beside (\d+) other queries a second'
+    r'copies of "([^"]+)" are sent to all gateways in turn, ([\d.]+) a second '
+    r'for ([\d.]+) seconds, along with (\d+) other queries a second'
 )
 def send_beside(context, target, rate, seconds, others):
     async def go():
@@ -174,14 +174,14 @@
             assert next_one - one >= standins.DOWN_S, (shard, ends)
 
 
-@then(r'no other query was kept back')
+@then(r'no other query was quarantined')
 def check_others_kept(context):
     ids = {request_id for request_id, _ in context.others}
     kept = [each for each in list_kept(context) if each['request_id'] in ids]
     assert not kept, kept
 
 
-@then(r'at least ([\d.]+) of the others were answered')
+@then(r'at least a fraction of ([\d.]+) of the other queries was answered')
 def check_others(context, part):
     good = [reply for _, reply in context.others if reply.status == 200]
     assert len(good) >= float(part) * len(context.others), len(good)
@@ -193,12 +193,12 @@
     return [line for line in lines if line['outcome'] == 'quarantined']
 
 
-@then(r'no request was kept back')
+@then(r'no request was quarantined')
 def check_none_kept(context):
     assert not list_kept(context), list_kept(context)
 
 
-@then(r'no line says that a request is suspected')
+@then(r'no log line reports a suspect request')
 def check_none_suspected(context):
     lines = gateway_checks.list_lines(context, 'quarantine_changed')
     assert not lines, lines
@@ -210,12 +210,12 @@
     run(context, asyncio.sleep(3.0))
 
 
-@when(r'the gateway that reads starts again')
+@when(r'the gateway that reads the source restarts')
 def restart_reader(context):
     restart(context, [context.fleet.find_reader()])
 
 
-@when(r'all gateways of the zone of the one that reads start again')
+@when(r'all gateways in the zone of the gateway that reads the source restart')
 def restart_zone(context):
     members = context.fleet.members
     zone = members[context.fleet.find_reader()].hosts.own.zone
@@ -246,7 +246,7 @@
     run(context, go())
 
 
-@then(r'none of the copies came to an upstream')
+@then(r'none of the copies reached an upstream')
 def check_none_arrived(context):
     copies = {request_id for request_id, _ in context.copies}
     found = [each for each in list_arrivals(context) if each[1] in copies]
@@ -255,8 +255,8 @@
 
 
 @when(
-    r'one gateway hears nothing from others for ([\d.]+) seconds, meanwhile '
-    r'a copy of "([^"]+)" comes to another'
+    r'one gateway answers no request of its peers for ([\d.]+) seconds while '
+    r'a copy of "([^"]+)" is sent to another gateway'
 )
 def tell_late(context, seconds, target):
     first, *_, last = context.fleet.members
@@ -278,7 +278,7 @@
 
 @when(
     r'"([^"]+)" and "([^"]+)" crash in turn every ([\d.]+) seconds while '
-    r'(\d+) requests for "([^"]+)" come at (\d+) a second'
+    r'(\d+) requests for "([^"]+)" are sent at (\d+) a second'
 )
 def crash_in_turn(context, first, second, every_s, count, target, rate):
     bench = gateway_steps.get(context)
@@ -316,7 +316,7 @@
     context.one = _REQUEST
 
 
-@given(r'one like it with another ([\w -]+)')
+@given(r'the same request with another ([\w -]+)')
 def make_other(context, part):
     names = {
         'team': b'rudderrock-team',
@@ -354,7 +354,7 @@
 DIGEST = 'd' * 32
 
 
-@given(r'a host that has lost (\d+) trials of a request')
+@given(r'a host with (\d+) failed attempts of a request')
 def lose_trials(context, count):
     context.known = make_quarantine(context, 'h1')
     for number in range(int(count)):
@@ -362,7 +362,7 @@
         run(context, asyncio.sleep(0.0))
 
 
-@given(r'a host that has lost (\d+) trials of a request at the same time')
+@given(r'a host with (\d+) simultaneous failed attempts of a request')
 def lose_together(context, count):
     context.known = make_quarantine(context, 'h1')
     began = context.loop.time()
@@ -371,7 +371,7 @@
         context.known.record_crash(DIGEST, began, number > 0)
 
 
-@when(r'one more trial of it is lost')
+@when(r'one more attempt of it fails')
 def lose_one_more(context):
     context.known.record_crash(DIGEST, context.loop.time(), True)
 
@@ -381,13 +381,13 @@
     context.known.record_answer(DIGEST)
 
 
-@when(r'(\d+) other requests are lost once each')
+@when(r'(\d+) other requests fail once each')
 def lose_others(context, count):
     for number in range(int(count)):
         context.known.record_crash(f'{number:032}', context.loop.time(), False)
 
 
-@then(r'(\d+) requests are remembered')
+@then(r'(\d+) requests have a record')
 def check_room(context, count):
     assert len(context.known.list_since(0)) == int(count)
 
@@ -401,12 +401,12 @@
     assert round(left_s) == int(seconds), left_s
 
 
-@then(r'the request is suspected')
+@then(r'the request is suspect')
 def check_suspect(context):
     assert context.known.get_state(DIGEST) is gateway.QuarantineState.SUSPECT
 
 
-@then(r'nothing is held against the request')
+@then(r'the request is clear')
 def check_clear(context):
     assert context.known.get_state(DIGEST) is gateway.QuarantineState.CLEAR
 
@@ -421,8 +421,8 @@
 
 
 @then(
-    r'(\d+) series of trials and answers, told in any order and twice, leave '
-    r'two hosts of one mind'
+    r'(\d+) series of failed attempts and answers, sent in any order and '
+    r'twice, give two hosts the same state'
 )
 def check_merges(context, count):
     @hypothesis.settings(
@@ -451,12 +451,12 @@
     check()
 
 
-@then(r'it says to come back in (\d+) seconds')
+@then(r'the reply has a Retry-After of (\d+) seconds')
 def check_retry_after(context, seconds):
     assert round(float(context.reply.headers['retry-after'])) == int(seconds)
 
 
-@when(r'a host that has lost one trial of it tells so')
+@when(r'a host with one failed attempt of it sends its record')
 def tell_little(context):
     clock = state.Clock(context.loop)
     entry = gateway.HostEntry(
@@ -473,7 +473,7 @@
     context.teller.merge(gateway.read_records(reply.body), 'h1')
 
 
-@then(r'that one has the request in quarantine too')
+@then(r'that host has the request in quarantine too')
 def check_teller(context):
     found = context.teller.get_state(DIGEST)
     assert found is gateway.QuarantineState.QUARANTINED, found
--- a/features/steps/wide_load.py
+++ b/features/steps/wide_load.py
@@ -39,8 +39,8 @@
 
 
 @given(
-    r'(\d+) gateways with links of (\d+) bytes a second before (\d+) shards '
-    r'with parts of (\d+) bytes'
+    r'(\d+) gateways with links of (\d+) bytes a second in front of (\d+) '
+    r'shards with parts of (\d+) bytes'
 )
 def start_one_zone(context, count, link, shards, part):
     zones = ['north-1'] * int(count)
@@ -49,7 +49,8 @@
 
 @given(
     r'(\d+) gateways with links of (\d+) bytes a second in each of two zones '
-    r'before (\d+) shards with parts of (\d+) bytes, all in the other'
+    r'in front of (\d+) shards with parts of (\d+) bytes, all in the other '
+    r'zone'
 )
 def start_two_zones(context, count, link, shards, part):
     zones = ['north-1'] * int(count) + ['north-2'] * int(count)
@@ -85,7 +86,7 @@
     )
 
 
-@then(r'only (\d+) gateways sent to the shards since then')
+@then(r'only (\d+) gateways sent requests to the shards after that')
 def check_sent_since(context, count):
     sent = count_sent(context) - context.sent_before
     assert len(sent) == int(count), sent
@@ -107,7 +108,9 @@
     assert opened == int(count), opened
 
 
-@then(r'the log says whom gateways ask from then on, and by what load')
+@then(
+    r'the log reports the new coordinators and the load that led to the change'
+)
 def check_changes(context):
     lines = gateway_checks.list_lines(context, 'coordinators_changed')
     told = [line for line in lines if 'full' in line['detail']]
@@ -126,13 +129,13 @@
     context.estimator.record_end(_QUERY_CLASS, int(shards), int(size))
 
 
-@when(r'it begins (\d+) queries at once')
+@when(r'it starts (\d+) queries at once')
 def begin(context, count):
     for _ in range(int(count)):
         context.estimator.record_start(_QUERY_CLASS, 1)
 
 
-@then(r'the next is delayed by ([\d.]+) ms')
+@then(r'the estimated delay of the next query is ([\d.]+) ms')
 def check_delay(context, delay_ms):
     found = round(1000 * context.estimator.get_delay_s(), 1)
     assert found == float(delay_ms), found
@@ -143,7 +146,7 @@
     assert context.estimator.has_room(float(goal_s)) is (answer == 'room')
 
 
-@when(r'one gateway with a wide link sends queries back with nonsense')
+@when(r'one gateway with a fast link refuses queries with a malformed reason')
 def send_nonsense(context):
     async def refuse(request):
         return gateway.Reply(
@@ -153,7 +156,7 @@
     context.fleet.members[context.wide[0]].process.peers.handle = refuse
 
 
-@then(r'lines say that it gave no reason that is known')
+@then(r'the log reports that the reason is unknown')
 def check_no_nonsense(context):
     lines = gateway_checks.list_lines(context, 'peer_skipped')
     told = [line['detail'] for line in lines if 'query' in line['detail']]
--- a/features/steps/zones.py
+++ b/features/steps/zones.py
@@ -47,13 +47,13 @@
     narrow(context, prefix, region)
 
 
-@when(r'the route "([^"]+)" is narrowed to "([^"]+)"')
+@when(r'the route "([^"]+)" is restricted to "([^"]+)"')
 def publish_narrowed(context, prefix, region):
     narrow(context, prefix, region)
     gateway_steps.get(context).publish()
 
 
-@given(r'the route "([^"]+)" is narrowed to "([^"]+)" in the whole fleet')
+@given(r'the route "([^"]+)" is restricted to "([^"]+)" on all gateways')
 def publish_to_fleet(context, prefix, region):
     publish_narrowed(context, prefix, region)
     run(context, asyncio.sleep(2.0))
@@ -87,7 +87,7 @@
             check_untouched(context, name)
 
 
-@then(r'no gateway was sent a query by another')
+@then(r'no gateway delegated a query to another')
 def check_not_handed_over(context):
     assert not context.handed_over, context.handed_over
 
@@ -97,12 +97,12 @@
     gateway_steps.get(context).source.evacuate(core.ZoneId(zone))
 
 
-@when(r'"([^"]+)" is given back')
+@when(r'the evacuation of "([^"]+)" ends')
 def give_back(context, zone):
     gateway_steps.get(context).source.give_back(core.ZoneId(zone))
 
 
-@then(r'the log names "([^"]+)" as unknown')
+@then(r'the log reports "([^"]+)" as unknown')
 def check_unknown(context, zone):
     lines = map(json.loads, gateway_steps.get(context).log.lines)
     found = [each.get('unknown') for each in lines]
@@ -115,7 +115,7 @@
 
 
 @when(
-    r'"([^"]+)" is evacuated while (\d+) requests for "([^"]+)" are under way'
+    r'"([^"]+)" is evacuated while (\d+) requests for "([^"]+)" are in flight'
 )
 def evacuate_under_way(context, zone, count, path):
     bench = gateway_steps.get(context)
@@ -159,7 +159,7 @@
     source.set_endpoint(dataclasses.replace(entry, **fields))
 
 
-@when(r'"([^"]+)" starts again at another address')
+@when(r'"([^"]+)" restarts at another address')
 def start_again(context, upstream):
     bench = gateway_steps.get(context)
     model = bench.upstreams[upstream]
@@ -182,7 +182,7 @@
     )
 
 
-@when(r'"([^"]+)" (drains|is ready) as its sequence (\d+)')
+@when(r'"([^"]+)" (drains|is ready) with sequence (\d+)')
 def say(context, upstream, what, sequence):
     bench = gateway_steps.get(context)
     source = bench.source
@@ -198,8 +198,8 @@
 
 
 @given(
-    r'an upstream of "([^"]+)" is cold for (\d+) seconds and stands (\d+) a '
-    r'second'
+    r'a cold upstream of "([^"]+)" warms up in (\d+) seconds and accepts '
+    r'(\d+) requests a second'
 )
 def set_warmup(context, service, seconds, rate):
     bench = gateway_steps.get(context)
@@ -212,14 +212,14 @@
     bench.publish()
 
 
-@when(r'"([^"]+)" has become cold for (\d+) seconds')
+@when(r'"([^"]+)" becomes cold for (\d+) seconds')
 def become_cold(context, upstream, seconds):
     change_entry(context, upstream, warmup_left_s=float(seconds), sequence=2)
 
 
 @when(
-    r'every gateway is asked (\d+) times a second for "([^"]+)" for '
-    r'(\d+) seconds?'
+    r'every gateway is sent (\d+) requests a second for "([^"]+)" for (\d+) '
+    r'seconds?'
 )
 def ask_at_rate(context, rate, path, seconds):
     context.asked_at = context.loop.time()
@@ -257,7 +257,7 @@
 
 @then(
     r'"([^"]+)" got at most (\d+) requests in any second of the first '
-    r'([\d.]+)'
+    r'([\d.]+) seconds'
 )
 def check_cold_rate(context, upstream, most, seconds):
     times = [at for at in list_since(context, upstream) if at < float(seconds)]
@@ -296,8 +296,8 @@
 
 
 @then(
-    r'(\d+) runs of entries, in any order and with repeats, end in the same '
-    r'upstreams'
+    r'(\d+) random sequences of entries, applied in any order and with '
+    r'repeats, give the same upstreams'
 )
 def check_entries(context, runs):
     for seed in range(int(runs)):
@@ -334,8 +334,8 @@
 
 
 @then(
-    r'(\d+) runs of snapshots of evacuations, in any order and with repeats, '
-    r'end in the same zones'
+    r'(\d+) random sequences of snapshots of evacuations, applied in any '
+    r'order and with repeats, give the same zones'
 )
 def check_snapshots(context, runs):
     zones = [core.ZoneId(f'z{number}') for number in range(3)]
--- a/features/wide_load.feature
+++ b/features/wide_load.feature
@@ -1,64 +1,65 @@
-Feature: Who runs wide queries follows the load, not the number of hosts
+Feature: The number of coordinators depends on the load, not on the number of hosts
 
-  Scenario: more hosts than the load needs do not share it
-    Given 20 gateways before 60 shards, of which 2 have a wide link
+  Scenario: only as many hosts as the load needs run wide queries
+    Given 20 gateways in front of 60 shards, 2 of the gateways with a fast link
     When every gateway is asked for all shards
-    Then every answer is whole
-    And only the 2 gateways with a wide link sent to the shards
+    Then every answer is complete
+    And only the 2 gateways with a fast link sent requests to the shards
 
-  Scenario: a burst that two links can't carry is spread over more, and two are left after it
-    Given 8 gateways with links of 1250000 bytes a second before 60 shards with parts of 960 bytes
+  Scenario: a burst that exceeds two links is spread over more hosts, and two remain after it
+    Given 8 gateways with links of 1250000 bytes a second in front of 60 shards with parts of 960 bytes
     When the gateways are asked for all shards 60 times a second for 2 seconds
-    Then every answer is whole
+    Then every answer is complete
     And no gateway ran more than 0.33 of the queries
-    And the log says whom gateways ask from then on, and by what load
+    And the log reports the new coordinators and the load that led to the change
     When 1 second passes
     And each gateway in turn is asked for all shards, 0.1 seconds apart
-    Then only 2 gateways sent to the shards since then
+    Then only 2 gateways sent requests to the shards after that
 
-  # With one host in five, 8 of 40, it took 540 connections; with two 120.
-  Scenario: connections to shards do not grow with the number of hosts
-    Given 40 gateways before 60 shards, of which 2 have a wide link
+  # One coordinator for every five hosts, 8 of 40, would need 540 connections,
+  # and two coordinators need 120.
+  Scenario: the number of connections to shards does not grow with the number of hosts
+    Given 40 gateways in front of 60 shards, 2 of the gateways with a fast link
     When the gateways are asked for all shards 8 times a second for 20 seconds
-    Then every answer is whole
+    Then every answer is complete
     And 120 connections to shards were opened
 
-  Scenario: where all are full the query is run all the same
-    Given 2 gateways with links of 100000 bytes a second before 60 shards with parts of 960 bytes
+  Scenario: a query is run even if all hosts are full
+    Given 2 gateways with links of 100000 bytes a second in front of 60 shards with parts of 960 bytes
     When the gateways are asked for all shards 10 times a second for 2 seconds
-    Then every answer is whole
+    Then every answer is complete
 
-  Scenario: hosts of another zone that are full pass a part on
-    Given 3 gateways with links of 100000 bytes a second in each of two zones before 60 shards with parts of 960 bytes, all in the other
+  Scenario: full hosts of another zone refuse parts, which other hosts run
+    Given 3 gateways with links of 100000 bytes a second in each of two zones in front of 60 shards with parts of 960 bytes, all in the other zone
     When the gateways of the first zone are asked for all shards 6 times a second for 2 seconds
-    Then every answer is whole
+    Then every answer is complete
     And no gateway ran more than 0.6 of the queries
 
-  Scenario: a query has room while what is begun delays it by a tenth of its goal
+  Scenario: a host has room for a query if the delay is at most a tenth of the query's goal
     Given a host of 2 cores with a link of 12500000 bytes a second
     And its queries ask 87 shards and receive 87000 bytes
-    When it begins 3 queries at once
-    Then the next is delayed by 26.1 ms
+    When it starts 3 queries at once
+    Then the estimated delay of the next query is 26.1 ms
     And a query with a goal of 0.3 seconds has room
     And a query with a goal of 0.1 seconds has none
     When 0.03 seconds pass
     Then a query with a goal of 0.1 seconds has room
 
-  Scenario: the processor counts where the link does not bind
+  Scenario: the CPU determines the delay if the link is not the bottleneck
     Given a host of 0.1 cores with a link of 125000000 bytes a second
     And its queries ask 87 shards and receive 8700 bytes
-    When it begins 1 queries at once
-    Then the next is delayed by 52.2 ms
+    When it starts 1 queries at once
+    Then the estimated delay of the next query is 52.2 ms
 
-  Scenario: a link of unknown speed does not count
+  Scenario: a link of unknown speed adds no delay
     Given a host of 2 cores with a link of 0 bytes a second
     And its queries ask 87 shards and receive 87000 bytes
-    When it begins 1 queries at once
-    Then the next is delayed by 2.6 ms
+    When it starts 1 queries at once
+    Then the estimated delay of the next query is 2.6 ms
 
-  Scenario: what a host says that is no reason is not repeated in the log
-    Given 6 gateways before 60 shards, of which 2 have a wide link
-    When one gateway with a wide link sends queries back with nonsense
+  Scenario: an unknown reason for a refusal is not copied to the log
+    Given 6 gateways in front of 60 shards, 2 of the gateways with a fast link
+    When one gateway with a fast link refuses queries with a malformed reason
     And every gateway is asked for all shards 2 times
-    Then every answer is whole
-    And lines say that it gave no reason that is known
+    Then every answer is complete
+    And the log reports that the reason is unknown
--- a/features/zones.feature
+++ b/features/zones.feature
@@ -1,6 +1,6 @@
-Feature: Requests stay in their regions, and evacuated zones and cold upstreams are spared
+Feature: Requests stay in their regions, and avoid evacuated zones and cold upstreams
 
-  Scenario Outline: a request goes only where its route allows it: near is <near>, far is <far>
+  Scenario Outline: a request is sent only to regions of its route: near is <near>, far is <far>
     Given an upstream "near" of "notes" in "north-1"
     And an upstream "far" of "notes" in "south-1"
     And the route "/notes/" to "notes" within "south"
@@ -19,7 +19,7 @@
       | good | resetting |
       | good | misdirected |
 
-  Scenario: a request that may be handled in its own region is answered there
+  Scenario: a request restricted to another region is answered there
     Given an upstream "near" of "notes" in "north-1"
     And an upstream "far" of "notes" in "south-1"
     And the route "/notes/" to "notes" within "south"
@@ -43,7 +43,7 @@
       | south   |
       | nowhere |
 
-  Scenario: a region that does not exist is named in the log, and the table holds
+  Scenario: an unknown region is logged, and the table is applied
     Given an upstream "near" of "notes" in "north-1"
     And the route "/notes/" to "notes" within "nowhere"
     And the route "/other/" to "notes"
@@ -62,30 +62,30 @@
     And 0 shards are missing and 6 are signed
     And nothing has reached an upstream of "north-1"
 
-  Scenario: a route is narrowed while a request waits for its retry
+  Scenario: a restriction of a route takes effect within 0.1 seconds
     Given an upstream "near" of "notes" in "north-1"
     And an upstream "far" of "notes" in "south-1"
     And the route "/notes/" to "notes"
     And a gateway
-    When the route "/notes/" is narrowed to "south"
+    When the route "/notes/" is restricted to "south"
     And 0.1 seconds pass
     And a caller sends GET "/notes/1"
     Then "far" ran it and nobody else
 
-  Scenario: a host outside of a query's regions does not hand it over
-    Given 6 gateways before 60 shards, of which 2 have a wide link
-    And the route "/all/" is narrowed to "south" in the whole fleet
+  Scenario: a host outside of a query's regions does not delegate it
+    Given 6 gateways in front of 60 shards, 2 of the gateways with a fast link
+    And the route "/all/" is restricted to "south" on all gateways
     When every gateway is asked for all shards
-    Then no gateway was sent a query by another
+    Then no gateway delegated a query to another
     And nothing has reached an upstream of "north-1"
 
-  Scenario: the parts of a query are asked only of hosts in its regions
-    Given 3 gateways in each of two zones of a region before 60 shards, half in each
-    And the route "/all/" is narrowed to "south" in the whole fleet
+  Scenario: the parts of a query are delegated only to hosts in its regions
+    Given 3 gateways in each of two zones of a region in front of 60 shards, half of them in each zone
+    And the route "/all/" is restricted to "south" on all gateways
     When every gateway is asked for all shards
-    Then no gateway was sent a query by another
+    Then no gateway delegated a query to another
 
-  Scenario Outline: an evacuated zone gets nothing: near is <near>, far is <far>
+  Scenario Outline: an evacuated zone gets no requests: near is <near>, far is <far>
     Given an upstream "near" of "notes" in "north-1"
     And an upstream "far" of "notes" in "south-1"
     And the route "/notes/" to "notes"
@@ -105,19 +105,19 @@
       | good | shedding |
       | good | silent   |
 
-  Scenario: a zone that is given back gets work again
+  Scenario: a zone gets requests again after its evacuation
     Given an upstream "near" of "notes" in "north-1"
     And an upstream "far" of "notes" in "south-1"
     And the route "/notes/" to "notes"
     And a gateway
     When "north-1" is evacuated
     And 2 seconds pass
-    And "north-1" is given back
+    And the evacuation of "north-1" ends
     And 0.1 seconds pass
     And a caller sends GET "/notes/1"
     Then "near" ran it and nobody else
 
-  Scenario: with all zones evacuated nothing is sent, and callers are told at once
+  Scenario: with all zones evacuated requests are refused at once
     Given an upstream "near" of "notes" in "north-1"
     And an upstream "far" of "notes" in "south-1"
     And the route "/notes/" to "notes"
@@ -131,7 +131,7 @@
     And it took less than 0.05 seconds
     And no upstream ran anything
 
-  Scenario: a zone that does not exist moves nothing
+  Scenario: the evacuation of an unknown zone has no effect
     Given an upstream "near" of "notes" in "north-1"
     And the route "/notes/" to "notes"
     And a gateway
@@ -139,20 +139,20 @@
     And 0.1 seconds pass
     And a caller sends GET "/notes/1"
     Then "near" ran it and nobody else
-    And the log names "no-such-zone" as unknown
+    And the log reports "no-such-zone" as unknown
 
-  Scenario: what waits for a connection to an evacuated zone goes elsewhere
+  Scenario: requests that wait for a connection to an evacuated zone are sent elsewhere
     Given an upstream "near" of "notes" in "north-1"
     And an upstream "far" of "notes" in "south-1"
     And an upstream of "notes" accepts 1 connection
     And the route "/notes/" to "notes" with a timeout of 6 seconds that runs once
     And "near" is silent
     And a gateway
-    When "north-1" is evacuated while 6 requests for "/notes/1" are under way
+    When "north-1" is evacuated while 6 requests for "/notes/1" are in flight
     Then nothing reached "near" after the evacuation
     And "far" ran at least 1 of them
 
-  Scenario: an evacuation outlasts an outage of the source
+  Scenario: an evacuation holds during an outage of the source
     Given an upstream "near" of "notes" in "north-1"
     And an upstream "far" of "notes" in "south-1"
     And the route "/notes/" to "notes"
@@ -164,7 +164,7 @@
     And a caller sends GET "/notes/1"
     Then "far" ran it and nobody else
 
-  Scenario: an evacuation that was taken back during an outage ends with it
+  Scenario: an evacuation that is cancelled during an outage ends after it
     Given an upstream "near" of "notes" in "north-1"
     And an upstream "far" of "notes" in "south-1"
     And the route "/notes/" to "notes"
@@ -173,29 +173,29 @@
     And 0.5 seconds pass
     And the source is down
     And 5 seconds pass
-    And "north-1" is given back
+    And the evacuation of "north-1" ends
     And the source is back
     And 3 seconds pass
     And a caller sends GET "/notes/1"
     Then "near" ran it and nobody else
 
-  Scenario: all hosts leave an evacuated zone at once
+  Scenario: all hosts stop sending to an evacuated zone at once
     Given 3 gateways in "north-1" and 3 in "south-1" with an upstream "u1" of "notes"
     And an upstream "u2" of "notes" in "south-1"
     When 10 seconds pass
     And "north-1" is evacuated
     And 0.2 seconds pass
     Then every gateway sends "/notes/1" to "u2"
-    When "north-1" is given back
+    When the evacuation of "north-1" ends
     And "south-1" is evacuated
     And 0.2 seconds pass
     Then every gateway sends "/notes/1" to "u1"
 
-  Scenario Outline: hosts that the source turns away learn of an evacuation from others: <how>
+  Scenario Outline: hosts that cannot use the source get evacuations from others: <how>
     Given 3 gateways in "north-1" and 3 in "south-1" with an upstream "u1" of "notes"
     And an upstream "u2" of "notes" in "south-1"
     When 10 seconds pass
-    And the source is <how> for the gateway that reads and 2 more
+    And the source is <how> for the gateway that reads it and 2 more
     And 1 second passes
     And "north-1" is evacuated
     And 2.8 seconds pass
@@ -206,72 +206,72 @@
       | refused |
       | silent  |
 
-  Scenario: a host that starts while the source is away knows of an evacuation before it serves
+  Scenario: a host that starts during an outage has the evacuations before it serves
     Given 6 gateways in one zone with an upstream "u1" of "notes"
     And an upstream "u2" of "notes" in "south-1"
     When 10 seconds pass
     And "north-1" is evacuated
     And 1 second passes
-    And the source is away for everybody and a seventh gateway starts that is told 2 others
+    And the source refuses all gateways and a seventh gateway starts with 2 reachable seeds
     And 3 seconds pass
     Then every gateway sends "/notes/1" to "u2"
 
-  Scenario: an upstream that starts again under its id is taken as a new one
+  Scenario: an upstream that restarts under its id is a new incarnation
     Given an upstream "u1" of "notes"
     And the route "/notes/" to "notes"
     And a gateway
-    When "u1" starts again at another address
+    When "u1" restarts at another address
     And 1.5 seconds pass
     And a caller sends GET "/notes/1"
     Then the reply is 200
     And "u1" ran it and nobody else
 
-  Scenario: an upstream that drained and starts again takes work
+  Scenario: an upstream that drained and restarted gets requests
     Given an upstream "u1" of "notes"
     And the route "/notes/" to "notes"
     And a gateway
     When "u1" says that it drains
     And 1.5 seconds pass
-    And "u1" starts again at another address
+    And "u1" restarts at another address
     And 1.5 seconds pass
     And a caller sends GET "/notes/1"
     Then the reply is 200
 
-  Scenario: what an upstream said before it drained does not bring it back
+  Scenario: an entry from before an upstream drained does not make it ready again
     Given an upstream "u1" of "notes"
     And an upstream "u2" of "notes"
     And the route "/notes/" to "notes"
     And a gateway
-    When "u1" drains as its sequence 9
+    When "u1" drains with sequence 9
     And 1.5 seconds pass
-    And "u1" is ready as its sequence 8
+    And "u1" is ready with sequence 8
     And 1.5 seconds pass
     And 6 requests for "/notes/1" are sent at 20 a second
     Then "u1" ran 0 of them and "u2" 6
 
-  Scenario: an entry from before an upstream left does not bring it back
+  Scenario: an entry from before an upstream left does not register it again
     Given an upstream "u1" of "notes"
     And an upstream "u2" of "notes"
     And the route "/notes/" to "notes"
     And a gateway
-    When "u1" drains as its sequence 9
+    When "u1" drains with sequence 9
     And 1.5 seconds pass
     And the entry of "u1" lapses
     And 1.5 seconds pass
-    And "u1" is ready as its sequence 8
+    And "u1" is ready with sequence 8
     And 1.5 seconds pass
     And 6 requests for "/notes/1" are sent at 20 a second
     Then "u1" ran 0 of them and "u2" 6
 
-  Scenario Outline: a cold upstream gets what it stands, from all hosts together: <hosts> hosts
+  Scenario Outline: a cold upstream gets the requests it accepts from all hosts together: <hosts> hosts
     Given <hosts> gateways in one zone with an upstream "u1" of "notes"
     And an upstream "u2" of "notes" in "south-1"
-    And an upstream of "notes" is cold for 3 seconds and stands 4 a second
+    And a cold upstream of "notes" warms up in 3 seconds and accepts 4 requests a second
     When 10 seconds pass
-    And "u1" has become cold for 3 seconds
+    And "u1" becomes cold for 3 seconds
     And 1.5 seconds pass
-    And every gateway is asked 10 times a second for "/notes/1" for 3 seconds
-    Then "u1" got at most 4 requests in any second of the first 1.4
+    And every gateway is sent 10 requests a second for "/notes/1" for 3 seconds
+    Then "u1" got at most 4 requests in any second of the first 1.4 seconds
     And "u1" got at least 1 request in the first 1.4 seconds
     And "u1" got most requests of the last 0.5 seconds
     And every answer was 200
@@ -281,29 +281,29 @@
       | 2     |
       | 12    |
 
-  Scenario: a zone that is given back is taken to be cold
+  Scenario: upstreams of a zone are cold after its evacuation
     Given 6 gateways in one zone with an upstream "u1" of "notes"
     And an upstream "u2" of "notes" in "south-1"
-    And an upstream of "notes" is cold for 3 seconds and stands 4 a second
+    And a cold upstream of "notes" warms up in 3 seconds and accepts 4 requests a second
     When 10 seconds pass
     And "north-1" is evacuated
     And 2 seconds pass
-    And "north-1" is given back
+    And the evacuation of "north-1" ends
     And 0.2 seconds pass
-    And every gateway is asked 10 times a second for "/notes/1" for 2 seconds
-    Then "u1" got at most 4 requests in any second of the first 2
+    And every gateway is sent 10 requests a second for "/notes/1" for 2 seconds
+    Then "u1" got at most 4 requests in any second of the first 2 seconds
     And every answer was 200
 
-  Scenario: without a figure for cold upstreams they are sent to as others are
+  Scenario: without a configured rate cold upstreams get requests as others do
     Given 2 gateways in one zone with an upstream "u1" of "notes"
     And an upstream "u2" of "notes" in "south-1"
-    And an upstream of "notes" is cold for 3 seconds and stands 0 a second
+    And a cold upstream of "notes" warms up in 3 seconds and accepts 0 requests a second
     When 10 seconds pass
-    And "u1" has become cold for 3 seconds
+    And "u1" becomes cold for 3 seconds
     And 1.5 seconds pass
-    And every gateway is asked 10 times a second for "/notes/1" for 1 second
+    And every gateway is sent 10 requests a second for "/notes/1" for 1 second
     Then "u1" got at least 20 requests in the first 1.0 seconds
 
   Scenario: the merge of readings does not depend on their order
-    Then 300 runs of entries, in any order and with repeats, end in the same upstreams
-    And 300 runs of snapshots of evacuations, in any order and with repeats, end in the same zones
+    Then 300 random sequences of entries, applied in any order and with repeats, give the same upstreams
+    And 300 random sequences of snapshots of evacuations, applied in any order and with repeats, give the same zones
