--- a/rudderrock/gateway/decisions/_admission.py
+++ b/rudderrock/gateway/decisions/_admission.py
@@ -12,9 +12,9 @@
 
 from rudderrock import core
 
-# A query is congested if more than this fraction of its shards was late, so
-# that a single slow shard does not count, and it took at least this fraction
-# of its latency goal.
+# A query counts as congested if more than CONGESTED_SHARD_FRACTION of its
+# shards were late and it took at least CONGESTED_GOAL_FRACTION of its latency
+# goal. The first condition ignores a single slow shard of a wide query.
 CONGESTED_SHARD_FRACTION = 0.3
 CONGESTED_GOAL_FRACTION = 0.8
 # Weight of one query in the moving average of the fraction of congested
@@ -32,9 +32,10 @@
 _INCREASE_INTERVAL_S = 0.3
 _MIN_UTILIZATION = 0.7
 MIN_LIMIT = 1
-INITIAL_LIMIT = 256
+# Initial and maximum limit.
+MAX_LIMIT = 256
 # If queries are still congested after _MAX_TIME_AT_MIN_S at the minimum limit,
-# refusing queries does not help. The limit is then reset to INITIAL_LIMIT and
+# refusing queries does not help. The limit is then reset to MAX_LIMIT and
 # not decreased for _SUSPENSION_S.
 _MAX_TIME_AT_MIN_S = 2.0
 _SUSPENSION_S = 15.0
@@ -47,10 +48,10 @@
 
 
 @dataclasses.dataclass(slots=True)
-class ConcurrencyLimit:
+class LimitState:
     """State of the concurrency limit for one set of shards."""
 
-    limit: float = INITIAL_LIMIT
+    limit: float = MAX_LIMIT
     in_flight: int = 0
     congested_fraction: float = 0.0
     decreased_at: float = 0.0
@@ -65,81 +66,70 @@
     def __init__(self, clock: core.Clock):
         self.refused = 0
         self._clock = clock
-        self._limits: collections.defaultdict[
-            tuple[str, ...], ConcurrencyLimit
-        ] = collections.defaultdict(ConcurrencyLimit)
+        self._limits: collections.defaultdict[tuple[str, ...], LimitState] = (
+            collections.defaultdict(LimitState)
+        )
 
-    def get_limit(self, shards: tuple[str, ...]) -> ConcurrencyLimit:
-        """Return the concurrency limit of a set of shards."""
+    def get_limit(self, shards: tuple[str, ...]) -> LimitState:
+        """Return the state of the concurrency limit of a set of shards."""
         return self._limits[shards]
 
-    def try_acquire(self, concurrency: ConcurrencyLimit, rank: int) -> bool:
+    def try_acquire(self, state: LimitState, rank: int) -> bool:
         """Admit a query if the limit allows; return whether it was admitted.
 
         Rank 0 has the highest priority.
         """
-        if concurrency.in_flight >= max(
-            MIN_LIMIT, concurrency.limit * RANK_FRACTION**rank
+        if state.in_flight >= max(
+            MIN_LIMIT, state.limit * RANK_FRACTION**rank
         ):
             self.refused += 1
             return False
-        concurrency.in_flight += 1
+        state.in_flight += 1
         return True
 
-    def release(
-        self, concurrency: ConcurrencyLimit, congested: bool | None
-    ) -> None:
+    def release(self, state: LimitState, congested: bool | None) -> None:
         """Release the slot of a query and adapt the limit.
 
         `congested` is None if the query was cancelled, which is no evidence
         for or against congestion.
         """
-        busy = concurrency.in_flight
-        concurrency.in_flight -= 1
+        in_flight = state.in_flight
+        state.in_flight -= 1
         if congested is None:
             return
-        concurrency.congested_fraction += _QUERY_WEIGHT * (
-            congested - concurrency.congested_fraction
+        state.congested_fraction += _QUERY_WEIGHT * (
+            congested - state.congested_fraction
         )
         now = self._clock.now()
-        if concurrency.congested_fraction > _DECREASE_ABOVE:
-            self._decrease(concurrency, busy, now)
-        elif concurrency.congested_fraction < _INCREASE_BELOW:
-            concurrency.at_min_since = None
-            self._increase(concurrency, busy, now)
-
-    def _decrease(
-        self, concurrency: ConcurrencyLimit, busy: int, now: float
-    ) -> None:
+        if state.congested_fraction > _DECREASE_ABOVE:
+            self._decrease(state, in_flight, now)
+        elif state.congested_fraction < _INCREASE_BELOW:
+            state.at_min_since = None
+            self._increase(state, in_flight, now)
+
+    def _decrease(self, state: LimitState, in_flight: int, now: float) -> None:
         if (
-            now < concurrency.suspended_until
-            or now - concurrency.decreased_at < _DECREASE_INTERVAL_S
+            now < state.suspended_until
+            or now - state.decreased_at < _DECREASE_INTERVAL_S
         ):
             return
-        concurrency.decreased_at = now
-        decreased = min(concurrency.limit, busy) * _DECREASE_FACTOR
-        concurrency.limit = max(float(MIN_LIMIT), decreased)
-        if concurrency.limit > MIN_LIMIT:
-            concurrency.at_min_since = None
-        elif concurrency.at_min_since is None:
-            concurrency.at_min_since = now
-        elif now - concurrency.at_min_since >= _MAX_TIME_AT_MIN_S:
-            concurrency.at_min_since = None
-            concurrency.limit = float(INITIAL_LIMIT)
-            concurrency.suspended_until = now + _SUSPENSION_S
-
-    def _increase(
-        self, concurrency: ConcurrencyLimit, busy: int, now: float
-    ) -> None:
-        is_utilized = busy >= _MIN_UTILIZATION * concurrency.limit
-        if (
-            is_utilized
-            and now - concurrency.increased_at >= _INCREASE_INTERVAL_S
-        ):
-            concurrency.increased_at = now
-            concurrency.limit = min(
-                concurrency.limit + 1.0, float(INITIAL_LIMIT)
-            )
+        state.decreased_at = now
+        decreased = min(state.limit, in_flight) * _DECREASE_FACTOR
+        state.limit = max(float(MIN_LIMIT), decreased)
+        if state.limit > MIN_LIMIT:
+            state.at_min_since = None
+        elif state.at_min_since is None:
+            state.at_min_since = now
+        elif now - state.at_min_since >= _MAX_TIME_AT_MIN_S:
+            state.at_min_since = None
+            state.limit = float(MAX_LIMIT)
+            state.suspended_until = now + _SUSPENSION_S
+
+    def _increase(self, state: LimitState, in_flight: int, now: float) -> None:
+        is_utilized = in_flight >= _MIN_UTILIZATION * state.limit
+        if is_utilized and now - state.increased_at >= _INCREASE_INTERVAL_S:
+            state.increased_at = now
+            state.limit = min(state.limit + 1.0, float(MAX_LIMIT))
 
 
 def is_congested(
--- a/rudderrock/gateway/decisions/_canary.py
+++ b/rudderrock/gateway/decisions/_canary.py
@@ -5,16 +5,16 @@
 upstreams have crashed and none has answered, a single attempt is sent, a
 canary request (Dean and Barroso, "The Tail at Scale", 2013), and the others
 follow when it has been answered. Attempts that are in flight together form a
-round. With 20 shards of two upstreams each, a crashing request therefore ends
-20 upstreams in the first round and one with the canary, instead of 40.
+round. With 20 shards of two upstreams each, a crashing request therefore
+crashes the 20 upstreams of the first round, and not all 40.
 
 A canary is sent to the service with the most live upstreams. Once more than
 one upstream has crashed, it is never sent to the last live upstream of a
-service. The first round leaves one of two upstreams in each of 20 shards. If
-canaries crash the remaining ones of two or three shards, no query can be
-answered until these upstreams have restarted, about three seconds later. If no
-service has more than one live upstream, the request fails at once with a time
-after which the caller may retry.
+service. In the example the first round leaves one upstream in each of the 20
+shards. Canaries would otherwise crash the last upstream of two or three
+shards, and no query could be answered until these upstreams had restarted,
+about three seconds later. If no service has more than one live upstream, the
+request fails at once with a time after which the caller may retry.
 """
 
 from collections.abc import Callable
@@ -25,15 +25,15 @@
 from rudderrock import core
 from rudderrock.gateway.discovery import _quarantine as quarantine
 
-# Hosts wait for a random fraction of this time, in seconds, before they send a
-# canary to upstreams that may have restarted. A canary and the message about
-# its outcome take about 0.1 s. Two hosts that receive copies of a request at
-# the same time therefore rarely both send a canary, and four almost never do.
+# Each host treats crashed upstreams as down for a further random fraction of
+# this time, in seconds. A canary and the message about its outcome take about
+# 0.1 s. Two hosts that receive copies of a request at the same time therefore
+# rarely both send a canary, and four almost never do.
 CANARY_SPREAD_S = 2.0
 # Time in seconds after a crash before another copy of the request sends its
-# canary. Until then attempts of the first copy may still be in flight, and may
-# crash one of the two upstreams that a service seems to have. They finish
-# within the latency goal, about 0.1 to 0.5 s.
+# canary. Until then attempts of an earlier copy may still be in flight; they
+# may crash one of two upstreams that this host still counts as live. They
+# finish within the latency goal, about 0.1 to 0.5 s.
 CANARY_DELAY_S = 0.5
 
 
@@ -63,10 +63,10 @@
 
     Parameters: `get_digest` returns the digest of the request and is called
     only if some request is suspect or in quarantine. `is_part` is set if
-    another host coordinates the call; only that host sends canaries. When
-    each host that queried some of the shards sent its own canaries, the last
-    upstreams of 4 of 20 shards crashed instead of 2, and no query was
-    answered while they were down.
+    another host coordinates the call; only that host sends canaries. If each
+    host that queries some of the shards sent its own, more shards would lose
+    their last upstream (4 of 20 instead of 2), and no query could be
+    answered while these are down.
     """
 
     def __init__(
@@ -87,18 +87,19 @@
         self._in_flight = 0
         # Lost connections whose upstreams are being checked.
         self._pending_checks = 0
-        # Upstreams that crashed in the current round, not reported yet.
+        # Upstreams that crashed in the current round and that are not recorded
+        # in the quarantine yet.
         self._crashed: set[core.UpstreamLife] = set()
         self._round_started_at = 0.0
         self._was_suspect = False
-        # Crashes of the current round have been reported before its end.
+        # Crashes of the current round were recorded before its end.
         self._is_reported = False
         # This call has sent an attempt, so attempts in flight may be its own.
         self._has_sent = False
         # A canary of this call is in flight.
         self._is_canary_in_flight = False
-        # No service had an upstream to which a canary could be sent.
-        self._has_no_spare = False
+        # No waiting attempt could be sent as a canary.
+        self._is_canary_refused = False
         self._waiting: list[WaitingAttempt] = []
 
     @property
@@ -117,7 +118,10 @@
 
     @property
     def is_suspect(self) -> bool:
-        """Return whether attempts are sent one at a time."""
+        """Return whether this or another host suspects the request.
+
+        False if the request is in quarantine.
+        """
         state = self.state
         return state is quarantine.QuarantineState.SUSPECT or (
             state is quarantine.QuarantineState.CLEAR
@@ -126,7 +130,11 @@
 
     @property
     def is_held(self) -> bool:
-        """Return whether attempts are held back until one is answered."""
+        """Return whether attempts are restricted and none is answered yet.
+
+        They are if this or another host suspects the request, and in
+        quarantine.
+        """
         return not self.is_answered and (
             self._is_suspect_elsewhere
             or self.state is not quarantine.QuarantineState.CLEAR
@@ -138,18 +146,18 @@
             return SendDecision.SEND
         if self.state is quarantine.QuarantineState.QUARANTINED:
             return SendDecision.STOP
-        if not (self.is_suspect or self._has_crashes()):
+        if not (self.is_suspect or self._may_have_crashes()):
             return SendDecision.SEND
         if self._is_round_open():
             return SendDecision.WAIT
-        if self._is_part or self._has_no_spare:
+        if self._is_part or self._is_canary_refused:
             return SendDecision.STOP
         return SendDecision.WAIT
 
     def wait(self, attempt: WaitingAttempt) -> None:
         """Hold an attempt back until it may be sent or is abandoned.
 
-        If no attempt is in flight, this is decided at once.
+        If no attempt is in flight, `decide` is applied at once.
         """
         self._waiting.append(attempt)
         self._advance()
@@ -162,9 +170,15 @@
 
     @property
     def is_stopped(self) -> bool:
-        """Return whether no attempt may be sent to any upstream."""
+        """Return whether a quarantine or a refused canary ends the call.
+
+        It is false for a part that `decide` stops because only the
+        coordinating host may send a canary.
+        """
         is_quarantined = self.state is quarantine.QuarantineState.QUARANTINED
-        return not self.is_answered and (self._has_no_spare or is_quarantined)
+        return not self.is_answered and (
+            self._is_canary_refused or is_quarantined
+        )
 
     def get_retry_after_s(self) -> float:
         """Return the time until an attempt may be sent again, in seconds.
@@ -198,7 +212,11 @@
         self.record_survival()
 
     def record_survival(self) -> None:
-        """Record that an upstream has answered this or another host."""
+        """Record that some upstream has answered, here or to another host.
+
+        The request is therefore harmless. Unlike `record_answer`, this ends
+        no attempt in flight.
+        """
         if not self.is_answered:
             self.is_answered = True
             if not self._quarantine.is_empty:
@@ -222,7 +240,8 @@
     def mark_suspected(self, crashed: Iterable[core.UpstreamLife]) -> None:
         """Record that another host suspects the request.
 
-        Upstreams that crashed there count as part of the first round.
+        Upstreams that crashed there are recorded as crashed in the initial
+        failed round, whose id all hosts share.
         """
         self._is_suspect_elsewhere = True
         incarnations = tuple(crashed)
@@ -240,7 +259,7 @@
     def _is_round_open(self) -> bool:
         return self._in_flight > 0 or self._pending_checks > 0
 
-    def _has_crashes(self) -> bool:
+    def _may_have_crashes(self) -> bool:
         return self._pending_checks > 0 or bool(self._crashed)
 
     def _advance(self) -> None:
@@ -255,13 +274,13 @@
             self._resume_all()
 
     def _report_crashes(self) -> None:
-        """Report the upstreams that crashed under the request.
+        """Record the upstreams that crashed under the request.
 
-        They are reported when the round is over, or as soon as three have
-        crashed and none has answered. The last attempt may end 0.15 s later,
-        or much later if a host that runs part of the query is frozen. A copy
-        that reached another host in that time crashed one more upstream of
-        each shard (14 in one run).
+        They are recorded when the round is over, or as soon as
+        `QUARANTINE_THRESHOLD` have crashed and none has answered. Waiting for
+        the end of the round would take 0.15 s more, or much longer if a host
+        that runs part of the query is frozen. Meanwhile a copy at another host
+        could crash one more upstream of each shard (14 in one run).
         """
         if not self._crashed or self.is_answered:
             return
@@ -284,11 +303,14 @@
             self._quarantine.end_canary(self.digest)
 
     def _send_canary(self) -> None:
-        """Send the attempt whose service has the most live upstreams."""
+        """Send one waiting attempt as a canary, or resume all if none may be.
+
+        The attempt is the one whose service has the most live upstreams.
+        """
         while self._waiting and not self._is_round_open():
             best = max(self._waiting, key=lambda each: each.count_live())
             if not self._may_send_canary(best.count_live()):
-                self._has_no_spare = True
+                self._is_canary_refused = True
                 self._resume_all()
                 return
             self._waiting.remove(best)
@@ -299,7 +321,11 @@
             self._end_finished_canary()
 
     def _may_send_canary(self, live: int) -> bool:
-        """Return whether a service with `live` upstreams may get a canary."""
+        """Return whether a canary may be sent now.
+
+        `live` is the number of live upstreams of the service that would get
+        it.
+        """
         if not self._quarantine.has_multiple_crashes(self.digest):
             return True
         if self._quarantine.has_canary(self.digest):
--- a/rudderrock/gateway/decisions/_cold.py
+++ b/rudderrock/gateway/decisions/_cold.py
@@ -2,12 +2,13 @@
 
 An upstream that has just started can serve only a few requests a second from
 all hosts together, and fails above that rate. Hosts do not coordinate before
-each request. Instead, a single host may use the whole rate of a cold upstream,
-and the other hosts send nothing to it. This is the host with the greatest hash
-of host and upstream (rendezvous hashing, Thaler and Ravishankar 1998), which
-every host computes from the same names. A share for each host would not work:
-60 hosts with one sixtieth each of 11 requests a second would either send
-nothing or one request each in the same second.
+each request. Instead, a single host, the sender, may use the whole rate of a
+cold upstream, and the other hosts send nothing to it. The sender is the host
+with the greatest hash of host and upstream (rendezvous hashing, Thaler and
+Ravishankar 1998), which every host computes from the same names. The rate
+cannot be divided among the hosts: with 60 hosts and 11 requests a second, the
+share of a host is less than one request, so all would send nothing or one
+request each in the same second.
 """
 
 import collections
@@ -20,7 +21,8 @@
 from rudderrock.gateway.discovery import _routing as routing
 
 # Fraction of the allowed rate that the sender uses. While hosts join and
-# leave, two hosts that know different hosts may both act as the sender.
+# leave, two hosts may have different lists of hosts and both act as the
+# sender.
 SENDER_FRACTION = 0.5
 # Requests sent within one second may arrive within a shorter time. This
 # margin, in seconds, covers the longest round trip between regions and delays
@@ -35,7 +37,9 @@
     Parameters: in any second all hosts together may send `overage` times the
     warm-up rate of the service, plus `slack` requests. `list_senders` returns
     the hosts that may send to an upstream, and `get_service` returns the
-    settings of a service, or None if the service is unknown.
+    settings of a service, or None if the service is unknown. `sent` counts
+    the requests sent to cold upstreams, and `held_back` how often `admits`
+    returned False.
     """
 
     def __init__(
@@ -60,7 +64,10 @@
         self._sent_at: dict[core.UpstreamId, collections.deque[float]] = {}
 
     def admits(self, endpoint: directory.Endpoint) -> bool:
-        """Return whether another request may be sent to an upstream now."""
+        """Return whether another request may be sent to an upstream now.
+
+        Counts the calls that return False.
+        """
         if self._directory.get_cold_s(endpoint.upstream) <= 0.0:
             self._sent_at.pop(endpoint.upstream, None)
             return True
--- a/rudderrock/gateway/decisions/_coordinators.py
+++ b/rudderrock/gateway/decisions/_coordinators.py
@@ -11,19 +11,20 @@
 from rudderrock.gateway.discovery import _fleet as fleet
 
 # Number of hosts in a zone that coordinate its wide queries while they have
-# capacity. With two, one is left if the other fails. With more, connections
-# are used less, and each host sends too few requests to detect pauses of
+# capacity. With two, one is left if the other fails. With more, each sends too
+# few requests to keep its connections in use and to detect pauses of
 # upstreams. With one host in five of a zone of 32, the connections opened rose
 # from 14,480 to 22,111 (36 s of 24 queries a second over 87 shards), and 17
 # instead of 2 in 100 urgent queries were late (single runs). Queries for which
 # the two have no capacity go to the hosts ranked next.
 COORDINATORS_PER_ZONE = 2
-# Maximum number of coordinators that a query is offered to, in this zone and
-# in another one. The last one must accept it even if it is full. Each offer in
-# this zone costs one round trip, and five of them cost less than the queue of
-# one full host. A round trip to another region takes a seventh of the goal of
-# an urgent query (16 of 112 ms), so only two hosts are tried there.
+# Maximum number of coordinators in this zone that a query is offered to; the
+# last one tried must accept it even if it is full. Each offer costs one round
+# trip, and five of them cost less than the queue of one full host.
 MAX_ATTEMPTS = 5
+# The same for coordinators in another zone. A round trip to another region
+# takes a seventh of the goal of an urgent query (16 of 112 ms), so only two
+# hosts are tried there.
 MAX_REMOTE_ATTEMPTS = 2
 # Time in seconds for which a host is skipped after it has rejected or lost a
 # query. Each consecutive failure doubles it, up to MAX_SKIP_S.
@@ -37,7 +38,8 @@
     Every host ranks the hosts that it knows by the same rule, so that no
     election is needed. Queries go to the first hosts in this order that are
     not skipped. A host without capacity is skipped for a short time, so that
-    the number of coordinators follows the load.
+    the number of coordinators follows the load. The regular coordinators of a
+    zone are its first COORDINATORS_PER_ZONE hosts by rank, skipped or not.
     """
 
     def __init__(
--- a/rudderrock/gateway/decisions/_host_load.py
+++ b/rudderrock/gateway/decisions/_host_load.py
@@ -12,13 +12,13 @@
 from rudderrock import core
 from rudderrock.gateway.discovery import _routing as routing
 
-# Processor time of one shard request, in seconds of one whole core: 45 us on
-# an open connection, 139 us on a new one (benchmarks.gateway_request). With
-# two coordinators in each zone, one request in ten needed a new connection
-# (12,853 of 127,121).
+# Mean processor time of one shard request, in seconds of one whole core, with
+# a margin. A request takes 45 us on an open connection and 139 us on a new one
+# (benchmarks.gateway_request). With two coordinators in each zone, one request
+# in ten needed a new connection (12,853 of 127,121).
 REQUEST_CPU_S = 60e-6
-# Bytes of a partial answer in addition to its records: 20 answers with records
-# of 1,000 B took 25 KB on the wire.
+# Bytes of one shard's answer in addition to its records: 20 answers with
+# records of 1,000 B took 25 KB on the wire.
 ANSWER_OVERHEAD_BYTES = 250
 # Fraction of the processor and of the link that wide queries may use over long
 # periods. At this utilization the mean wait is 0.75 times the service time of
@@ -35,7 +35,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueryClass:
-    """Class of queries with about the same load."""
+    """Class of queries with about the same load.
+
+    `is_part` is set for parts of queries that another host coordinates.
+    """
 
     route: routing.RouteName
     is_part: bool
@@ -76,7 +79,10 @@
         self._averages: dict[QueryClass, tuple[float, float]] = {}
 
     def get_delay_s(self) -> float:
-        """Return the delay of a new query by work in progress, in seconds."""
+        """Return the estimated work in progress that delays a new query.
+
+        It is the processor or link time in seconds, whichever is longer.
+        """
         now = self._clock.now()
         return max(self._processor.get(now), self._link.get(now))
 
--- a/rudderrock/gateway/decisions/_replicas.py
+++ b/rudderrock/gateway/decisions/_replicas.py
@@ -17,9 +17,9 @@
 
 # Time in seconds during which an upstream is avoided after a late or failed
 # answer. Each consecutive one doubles it, up to MAX_AVOID_S. A pause of an
-# upstream lasts about 150 to 250 ms. Fewer requests were served when upstreams
-# were avoided only from the second late answer on (docs/benchmarks.md, figures
-# of thresholds).
+# upstream lasts about 150 to 250 ms. An upstream is avoided from the first
+# late answer on; if only from the second one on, fewer requests were served
+# (docs/benchmarks.md, figures of thresholds).
 INITIAL_AVOID_S = 0.25
 MAX_AVOID_S = 6.0
 # Initial avoidance time of an upstream that cannot be reached, in seconds.
@@ -27,9 +27,10 @@
 # Initial avoidance time after a rejection, in seconds: the upstream is only
 # full for the moment.
 SHED_AVOID_S = 0.1
-# An upstream has ended if another upstream answers at its address. It gets no
-# requests for this time, in seconds, during which its registration expires.
-# Each request would reach, and load, a service that it is not meant for.
+# Time in seconds for which an upstream gets no requests after another upstream
+# has answered at its address, which shows that it has ended. Its registration
+# expires within this time. Requests would reach, and load, a service that
+# they are not meant for.
 MISDIRECTED_EXCLUSION_S = 10.0
 _MAX_BACKOFF_EXPONENT = 6
 
@@ -79,7 +80,7 @@
         """Record a late, failed, lost or rejected request.
 
         Each consecutive one doubles the avoidance time, which starts at
-        `base_s` seconds.
+        `base_s` seconds. Failures while the replica is avoided do not count.
         """
         now = self._clock.now()
         if now < self._avoid_until:
@@ -102,7 +103,7 @@
     def list_required_services(
         self, selector: 'ReplicaSelector'
     ) -> set[routing.ServiceName]:
-        """Return the services that this host sends requests to itself."""
+        """Return the services whose upstreams this host calls directly."""
 
 
 class ReplicaSelector:
@@ -165,7 +166,7 @@
     def has_ready(
         self, service: routing.ServiceName, residency: topology.Residency
     ) -> bool:
-        """Return whether a service has an upstream in the allowed zones."""
+        """Return whether a service has a ready upstream in allowed zones."""
         return any(
             self._topology.allows(residency, endpoint.zone)
             for endpoint in self._directory.list_ready(service)
@@ -181,12 +182,13 @@
         """Return the replica to send a request to, or None if none is left.
 
         Replicas are compared by these criteria, in this order: whether the
-        replica is suspect, whether its pool is full, its distance, whether it
-        lacks an idle connection (in other zones only), and the number of
-        requests of this host in flight per slot. Ties are broken at random.
+        replica is suspect, the consecutive failures of a suspect replica,
+        whether its pool is full, its distance, whether it lacks an idle
+        connection (in other zones only), and the number of requests of this
+        host in flight per slot. Ties are broken at random.
 
-        Idle connections are preferred because opening one into another region
-        takes two thirds as long as the exchange itself. The median time of
+        Idle connections are preferred because opening one to another region
+        takes about two thirds as long as the request. The median time of
         answered hedges was 28 ms on an open connection and 51 ms on a new
         one, and 41 in 100 had to open one (24 queries a second over 90 shards
         for 12 s, three replicas in three regions).
@@ -262,13 +264,13 @@
     def warm_hedge(self, service: routing.ServiceName) -> None:
         """Keep a connection open to one replica that is not among the nearest.
 
-        A single connection is kept because each one must be opened again
-        after it has been idle for too long. Each host chooses the replica by
-        a hash of its own name and the upstream, which spreads the hosts over
-        the replicas. With this connection, the answers that left shards out
-        fell from 791 to 582 of 935 queries over 135 shards, no more
-        connections were opened, and the fraction of requests in time rose
-        from 0.89 to 0.91 (one day under heavy load, 60 hosts).
+        Only one is kept because idle connections expire and have to be opened
+        again. Each host chooses the replica by a hash of its own name and the
+        upstream, which spreads the hosts over the replicas. With this
+        connection, 582 instead of 791 of 935 queries over 135 shards left
+        shards out, no more connections were opened, and the fraction of
+        requests in time rose from 0.89 to 0.91 (one day under heavy load, 60
+        hosts).
         """
         found = self.list_ready(service, topology.Anywhere())
         nearest = min((each.distance for each in found), default=0)
@@ -330,7 +332,7 @@
         return replica
 
     def _apply_shares(self, upstream: core.UpstreamId) -> None:
-        """Recompute the connection limits of all replicas of a service."""
+        """Recompute the connection limits of an upstream's whole service."""
         endpoint = self._directory.get_endpoint(upstream)
         if endpoint is None:
             return
--- a/rudderrock/gateway/decisions/_shares.py
+++ b/rudderrock/gateway/decisions/_shares.py
@@ -7,11 +7,12 @@
 from rudderrock.gateway.discovery import _directory as directory
 from rudderrock.gateway.discovery import _topology as topology_module
 
-# Fraction of an upstream's connections for the hosts that have it among the
-# nearest of its service, and fraction for all other hosts, which need it for
-# hedges. With 0.12 each of the others had less than one connection and opened
-# a new one for each hedge, which costs a round trip. The remaining connections
-# cover those that are closed but not yet seen as closed by the upstream.
+# Fraction of an upstream's connections shared by the hosts for which it is one
+# of the nearest of its service, and fraction shared by all other hosts, which
+# need it for hedges. With 0.12 for the others, each had less than one
+# connection and opened a new one for each hedge, which costs a round trip. The
+# remaining connections cover those that are closed but not yet seen as closed
+# by the upstream.
 NEAR_FRACTION = 0.6
 FAR_FRACTION = 0.32
 # Maximum number of connections of one host to an upstream. Further requests
@@ -65,7 +66,8 @@
     siblings: tuple[directory.Endpoint, ...],
     topology: topology_module.Topology,
 ) -> bool:
-    own = topology.compare_zones(zone, endpoint.zone)
+    endpoint_distance = topology.compare_zones(zone, endpoint.zone)
     return all(
-        own <= topology.compare_zones(zone, each.zone) for each in siblings
+        endpoint_distance <= topology.compare_zones(zone, each.zone)
+        for each in siblings
     )
--- a/rudderrock/gateway/discovery/_broadcast.py
+++ b/rudderrock/gateway/discovery/_broadcast.py
@@ -35,10 +35,11 @@
 # a new connection for each, sending to all hosts takes a calculated 0.7 s.
 MAX_CONCURRENT_CALLS = 32
 # Interval, in seconds, at which a host that reads the source pulls missed
-# records from another host. It may have just started, or been frozen or cut
-# off until the sender stopped retrying. Each pull goes to a different host,
-# since one host may lack the records too, for example in a zone that has lost
-# power. A new process has no records and pulls more often for two seconds.
+# records from another host. It lacks records that were sent before it
+# started, or that the sender stopped retrying while it was frozen or cut off.
+# Each pull goes to a different host, since one host may lack the records too,
+# for example in a zone that has lost power. A new process has no records and
+# pulls more often for two seconds.
 PULL_INTERVAL_S = 2.0
 STARTUP_PULL_INTERVAL_S = 0.2
 _STARTUP_PULLS = 10
@@ -180,11 +181,11 @@
             received = read_records(request.body)
         except msgspec.DecodeError as error:
             return messages.Reply(400, [], str(error).encode())
-        # A new process may send records that are already known here, so the
-        # reply contains what this host knows of the same requests.
+        # The sender may have started recently and lack parts of these records,
+        # so the reply contains this host's records of the same requests.
         digests = {each.digest for each in received}
         matching = [each for each in records if each.digest in digests]
-        self._quarantine.merge(received, 'told by a host')
+        self._quarantine.merge(received, 'broadcast')
         return messages.Reply(200, [], render_records(matching))
 
 
--- a/rudderrock/gateway/discovery/_directory.py
+++ b/rudderrock/gateway/discovery/_directory.py
@@ -10,13 +10,14 @@
 from rudderrock.gateway.discovery import _restore as restore
 from rudderrock.gateway.discovery import _routing as routing
 
-# After an outage of the registry, upstreams whose registration lapsed register
-# again within about two seconds, as the contract of the registry states. The
-# rest is the time to read their entries.
+# After an outage of the source, upstreams whose registration lapsed register
+# again within about two seconds, by the contract of the source. The other
+# 0.3 s are for reading their entries.
 REREGISTRATION_GRACE_S = 2.3
 # A registration lapses after three missed heartbeats of about 1.2 s each. If
-# this host or a peer has read the registry within this time before it answers
-# again, the outage was too short for a live upstream to lose its registration.
+# the last reading, by this host or a peer, is at most this old when the source
+# answers again, the outage was too short for a live upstream to lose its
+# registration; in seconds.
 MAX_HARMLESS_OUTAGE_S = 2.2
 # Number of departed ids whose last entry is remembered, more than enough for
 # 2,400 upstreams that are all replaced once.
@@ -34,11 +35,11 @@
 class Endpoint:
     """One registered upstream.
 
-    `address` is an IP address and a port. `born` identifies the incarnation of
-    the upstream by its start as a Unix time in milliseconds, or is 0 if
-    unknown: an upstream may restart under its id and then has no state from
-    before. `sequence` counts the entries that an incarnation has written, so
-    of two entries the one with the greater `incarnation_order` was written
+    `address` is an IP address and a port. `born` is the Unix time in
+    milliseconds at which the upstream started, 0 if unknown. A restarted
+    upstream keeps its id, gets a new `born` and has no state from before.
+    `sequence` counts the entries that an incarnation has written. Of two
+    entries of one id, the one with the greater `incarnation_order` was written
     later, whatever the order in which they arrive. A different `sequence`
     alone is not a change. The upstream is cold for `warmup_left_s` seconds
     from the reading on.
@@ -75,7 +76,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DirectoryChange:
-    """The upstream ids that one reading changed.
+    """The upstreams affected by a reading or a change of evacuated zones.
 
     `added` take new work from now on, `left` no longer do, `held` are missing
     from the reading but kept, and `changed` are all whose entries differ. An
@@ -91,10 +92,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadingStamp:
-    """Identifies the reading of the registry that data comes from.
+    """Identifies the reading of the source that data comes from.
 
     `origin` is the process that made the reading and `number` counts its
-    readings. `read_at` is the loop time of the reading by the clock of this
+    readings. `read_at` is when the reading was made, as a loop time of this
     process, and `hops` counts the hosts that have relayed it. Ages alone are
     not enough: each relay adds a small error, so hosts that ask one another in
     a circle would treat an old reading as fresh.
@@ -109,7 +110,7 @@
 class Directory:
     """The registered upstreams as of the last reading.
 
-    A reading that follows an outage of the registry may lack live upstreams;
+    A reading that follows an outage of the source may lack live upstreams;
     they are kept for the time given to `hold_for`. Upstreams in evacuated
     zones are known but get no new work.
     """
@@ -128,6 +129,8 @@
         self._ready: dict[routing.ServiceName, tuple[Endpoint, ...]] = {}
         self._hold_until = 0.0
         self._held: frozenset[core.UpstreamId] = frozenset()
+        # Listed upstreams that had left; their entries may come from a backup
+        # and are left out.
         self._unconfirmed: frozenset[core.UpstreamId] = frozenset()
         self._listeners: list[Callable[[DirectoryChange], None]] = []
         self._last_numbers: dict[str, int] = {}
@@ -135,11 +138,11 @@
 
     @property
     def differs_from_reading(self) -> bool:
-        """Return whether this directory differs from the last reading.
+        """Return whether upstreams are kept or left out despite the reading.
 
-        It does while it keeps upstreams that the reading lacked, or leaves out
-        unconfirmed ones that the reading listed. A peer that sends only
-        changes would not mention either of them again.
+        Kept are upstreams that the last reading lacked, left out are
+        unconfirmed ones that it listed. A peer that sends only changes does
+        not list either of them again.
         """
         return bool(self._held or self._unconfirmed)
 
@@ -156,7 +159,7 @@
         return self._clock.now() - self.stamp.read_at
 
     def add_listener(self, call: Callable[[DirectoryChange], None]) -> None:
-        """Register a callback for each reading that changed something."""
+        """Register a callback for each change of the directory."""
         self._listeners.append(call)
 
     def add_reading_listener(self, call: Callable[[], None]) -> None:
@@ -202,7 +205,7 @@
         if zones == self._evacuated:
             return None
         self._evacuated = zones
-        change = self._compare(self._endpoints, self._held, regroup=True)
+        change = self._update_ready(self._endpoints, self._held, regroup=True)
         self._notify(change)
         return change
 
@@ -214,7 +217,7 @@
     def apply_reading(
         self,
         endpoints: Iterable[Endpoint],
-        read: position.Position,
+        reading_position: position.Position,
         stamp: ReadingStamp,
     ) -> DirectoryChange | None:
         """Apply a complete reading; return what changed, if anything.
@@ -223,15 +226,15 @@
         restore of the source is newer even if its revision is smaller, since
         its era is greater.
         """
-        if read < self.position:
+        if reading_position < self.position:
             return None
-        if read.era != self.position.era:
+        if reading_position.era != self.position.era:
             self._begin_era()
         found = {each.upstream: each for each in endpoints}
         self._unconfirmed = self._list_unconfirmed(found, stamp.origin)
         for upstream in self._unconfirmed:
             del found[upstream]
-        change = self._replace(found, read, stamp)
+        change = self._replace(found, reading_position, stamp)
         if self._restore.is_settling and stamp.hops <= 1:
             # A host that relays a reading leaves out the entries that it
             # treats as unconfirmed, so only a reading made here or received
@@ -244,24 +247,26 @@
         self,
         endpoints: Iterable[Endpoint],
         left: Iterable[core.UpstreamId],
-        read: position.Position,
+        reading_position: position.Position,
         stamp: ReadingStamp,
     ) -> DirectoryChange | None:
         """Apply changes that a peer sent; return what changed, if anything.
 
-        A peer computes changes within one era, and they would omit what a
-        restored source has lost; changes from another era are therefore
-        ignored. The entries are new at the peer, so none of them is treated as
-        unconfirmed.
+        Changes from another era are ignored, since they do not list the
+        entries that a restored source has lost. Entries in changes are new at
+        the peer, so all of them are applied, none as unconfirmed.
         """
-        if read < self.position or read.era != self.position.era:
+        if (
+            reading_position < self.position
+            or reading_position.era != self.position.era
+        ):
             return None
         found = dict(self._endpoints)
         for upstream in left:
             found.pop(upstream, None)
         for each in endpoints:
             found[each.upstream] = each
-        return self._replace(found, read, stamp)
+        return self._replace(found, reading_position, stamp)
 
     def _begin_era(self) -> None:
         """Keep missing upstreams for a while after a restore of the source.
@@ -306,7 +311,7 @@
     ) -> dict[core.UpstreamId, Endpoint]:
         """Return the entries with outdated ones replaced or removed.
 
-        A delayed write may put an old entry into the registry after a newer
+        A delayed write may put an old entry into the source after a newer
         one. It would make a draining upstream take new work again.
         """
         newest = {}
@@ -353,7 +358,7 @@
         before = self._endpoints
         kept = {upstream: before[upstream] for upstream in held}
         self._endpoints = {**found, **kept}
-        change = self._compare(before, held)
+        change = self._update_ready(before, held)
         self._notify(change)
         return change
 
@@ -362,13 +367,13 @@
             for call in self._listeners:
                 call(change)
 
-    def _compare(
+    def _update_ready(
         self,
         before: dict[core.UpstreamId, Endpoint],
         held: frozenset[core.UpstreamId],
         regroup: bool = False,
     ) -> DirectoryChange | None:
-        """Return what changed, after regrouping the ready upstreams."""
+        """Regroup ready upstreams and update cold ones; return the changes."""
         now = self._endpoints
         changed = [
             upstream
--- a/rudderrock/gateway/discovery/_era.py
+++ b/rudderrock/gateway/discovery/_era.py
@@ -5,16 +5,18 @@
 from rudderrock.gateway.discovery import _position as position
 
 # For this long after a restore, in seconds, the source may list entries that
-# have left and lack entries that exist. In that time operators and upstreams
-# write again, leases of upstreams that have stopped expire after three missed
-# heartbeats of about 1.2 s each, and there is a reading every second.
+# have left and lack entries that exist. Within this time operators and
+# upstreams repeat lost writes, and the leases of stopped upstreams expire
+# (three missed heartbeats of about 1.2 s each, and up to a second until the
+# next reading).
 RESTORE_SETTLING_S = 5.0
 
 
 class SourceEra:
     """The latest known era of the source.
 
-    `restore_count` counts the restores of the source that this host has
+    An era is the number of times that the source has been restored, see
+    `Position`. `restore_count` counts the changes of era that this host has
     observed.
     """
 
@@ -28,8 +30,9 @@
     ) -> bool:
         """Record the position of a reading, made here or by a peer.
 
-        `known` is the position of the upstreams in force here. Return whether
-        the source has been restored from a backup since then.
+        `known`, the position of the upstreams in force here, is logged. Return
+        whether the era is later than the latest recorded one, which means that
+        the source was restored from a backup. It is false for the first one.
         """
         if read.era <= self.current:
             return False
--- a/rudderrock/gateway/discovery/_evacuations.py
+++ b/rudderrock/gateway/discovery/_evacuations.py
@@ -26,18 +26,18 @@
 class Evacuations:
     """The evacuated zones at a position of the source.
 
-    `written` maps each zone to the revision at which an operator evacuated it,
-    or to `UNKNOWN_REVISION` if a peer of the previous version sent no
+    `revisions` maps each zone to the revision at which an operator evacuated
+    it, or to `UNKNOWN_REVISION` if a peer of the previous version sent no
     revision.
     """
 
     position: position.Position
-    written: Mapping[core.ZoneId, int]
+    revisions: Mapping[core.ZoneId, int]
 
     @property
     def zones(self) -> frozenset[core.ZoneId]:
         """Return the ids of the evacuated zones."""
-        return frozenset(self.written)
+        return frozenset(self.revisions)
 
 
 class EvacuationHolder:
@@ -81,7 +81,11 @@
         return self.current.position != position.NEVER_READ
 
     def add_listener(self, call: Callable[[Evacuations], None]) -> None:
-        """Register a callback for the first and each changed set of zones."""
+        """Register a callback for the evacuations in force.
+
+        It is called for the first snapshot and after each change of the zones
+        in force.
+        """
         self._listeners.append(call)
 
     def apply(self, found: Evacuations, origin: str) -> None:
@@ -90,7 +94,7 @@
             return
         is_first = not self.is_known
         before, self.current = self.current, found
-        if is_first or found.written != before.written:
+        if is_first or found.revisions != before.revisions:
             self.changed_at = found.position
         if is_first or found.position.era == before.position.era:
             self._record_ended(before, found)
@@ -108,12 +112,12 @@
         """Apply the last snapshot in full after the settling period."""
         if self._unconfirmed and self._clock.now() >= self._unconfirmed_until:
             self._unconfirmed = frozenset()
-            self._update_zones('not written again')
+            self._update_zones('end of settling period')
 
     def _record_ended(self, before: Evacuations, found: Evacuations) -> None:
         for zone in before.zones - found.zones - self._unconfirmed:
             self._ended.pop(zone, None)
-            self._ended[zone] = before.written[zone]
+            self._ended[zone] = before.revisions[zone]
         while len(self._ended) > MAX_ENDED_EVACUATIONS:
             del self._ended[next(iter(self._ended))]
 
@@ -126,7 +130,7 @@
         restored = {
             zone
             for zone in found.zones - self.zones
-            if self._ended.get(zone) == found.written[zone]
+            if self._ended.get(zone) == found.revisions[zone]
         }
         return (self.zones - found.zones) | restored
 
@@ -137,11 +141,11 @@
         if self.zones != before:
             self._log_change(before, origin)
         if is_first or self.zones != before:
-            written = self.current.written
+            revisions = self.current.revisions
             in_force = Evacuations(
                 self.current.position,
                 {
-                    zone: written.get(zone, UNKNOWN_REVISION)
+                    zone: revisions.get(zone, UNKNOWN_REVISION)
                     for zone in self.zones
                 },
             )
--- a/rudderrock/gateway/discovery/_fleet.py
+++ b/rudderrock/gateway/discovery/_fleet.py
@@ -12,7 +12,8 @@
 
 # How long a host that has left the registry is still counted, in seconds. A
 # registration may lapse while its host is alive. If too few hosts were
-# counted, each would use too large a share of the common limits.
+# counted, each would use too large a share of the limits that are divided
+# among the hosts, such as the connections to an upstream.
 LEFT_RETENTION_S = 30.0
 
 
@@ -31,7 +32,7 @@
 
 
 class Fleet:
-    """All known hosts, and the number that share the common limits.
+    """All known hosts, and the number among which limits are divided.
 
     Parameters: `own` is this host, `assumed` the number of hosts assumed
     until the first listing has been read. `generation` is incremented with
@@ -46,7 +47,8 @@
         self._hosts: dict[core.HostId, HostEntry] = {own.host: own}
         self._last_seen: dict[HostEntry, float] = {}
         self._has_listing = False
-        # Cached until the next listing. With hundreds of hosts and upstreams,
+        # Cached until the next listing, and the counts at most until a
+        # departed host expires. With hundreds of hosts and upstreams,
         # computing these on each use takes most of the start-up time.
         self._counts: collections.Counter[core.ZoneId] = collections.Counter()
         self._counts_valid_until = -math.inf
@@ -61,7 +63,7 @@
         """Return the hosts of the latest listing."""
         return list(self._hosts.values())
 
-    def has_own(self) -> bool:
+    def lists_this_host(self) -> bool:
         """Return whether the latest listing contains this host's entry."""
         return self._hosts.get(self.own.host) == self.own
 
@@ -69,9 +71,9 @@
     def is_listed(self) -> bool:
         """Return whether a listing has been read and contains this host.
 
-        When all hosts start together, the first listings are incomplete.
+        When all hosts start together, the first listings may lack this host.
         """
-        return self._has_listing and self.has_own()
+        return self._has_listing and self.lists_this_host()
 
     def apply_listing(self, hosts: Iterable[HostEntry]) -> bool:
         """Replace the known hosts; return whether anything changed."""
@@ -127,7 +129,7 @@
         return self._hosts.get(entry.host) == entry
 
     def count(self) -> int:
-        """Return the number of hosts that share the common limits."""
+        """Return the number of hosts among which limits are divided."""
         return max(1, self.count_by_zone().total())
 
     def rank_readers(self) -> list[HostEntry]:
@@ -157,10 +159,10 @@
         return ranked
 
     def list_earlier_readers(self) -> list[HostEntry]:
-        """Return first readers of the zones that rank before this one.
+        """Return the first host of each zone that ranks before this zone.
 
-        Zones are ranked by the hash of their first reader, so all hosts with
-        the same listing agree on the order.
+        Zones are ranked by the hash of their first host, so all hosts with the
+        same listing agree on the order.
         """
         firsts = [
             self.rank_zone(zone)[0]
@@ -173,7 +175,7 @@
             key=lambda each: _rank(each.host),
         )
 
-    def list_others(self) -> list[HostEntry]:
+    def list_hosts_of_other_zones(self) -> list[HostEntry]:
         """Return hosts of other zones in an order specific to this host."""
         return sorted(
             (
--- a/rudderrock/gateway/discovery/_initial_sync.py
+++ b/rudderrock/gateway/discovery/_initial_sync.py
@@ -1,4 +1,4 @@
-"""Whether a host knows enough to serve, and how long requests wait for it.
+"""Tracks whether a host can serve, and lets requests wait for missing data.
 
 A host serves once it knows the routes, the upstreams and the evacuated zones.
 """
@@ -10,14 +10,13 @@
 from rudderrock.gateway.discovery import _evacuations as evacuations
 from rudderrock.gateway.discovery import _sources as sources
 
-# Only requests that arrive within this time after the start of the process
-# wait for missing data, in seconds: a rejection would delay them for longer.
-# Data that is missing later indicates a fault, and waiting does not help.
-STARTUP_PERIOD_S = 1.0
+# For this long after the start of the process, in seconds, requests wait for
+# missing data, since a rejection would delay them for longer. Data that is
+# missing later indicates a fault, and waiting does not help.
+STARTUP_WAIT_PERIOD_S = 1.0
 # How long a request waits during startup, in seconds. Reading 600 upstreams,
-# 195 hosts and the routes takes 0.25 to 0.36 s over a link of 10 Mbit/s; with
-# a wait of 0.2 s, all requests that arrived together were rejected when it
-# ended.
+# 195 hosts and the routes takes 0.25 to 0.36 s over a link of 10 Mbit/s. After
+# a wait of 0.2 s, all requests that arrived together were rejected.
 STARTUP_WAIT_S = 0.5
 
 
@@ -50,18 +49,18 @@
     async def wait(self) -> None:
         """Wait until all is known, but only during startup.
 
-        It also signals `wait_for_waiter` that a caller waits.
+        Also ends `wait_for_first_request`.
         """
         self._has_waiter.set()
-        if self._clock.now() - self._started_at < STARTUP_PERIOD_S:
-            await self.wait_for(STARTUP_WAIT_S)
+        if self._clock.now() - self._started_at < STARTUP_WAIT_PERIOD_S:
+            await self.wait_at_most(STARTUP_WAIT_S)
 
-    async def wait_for(self, seconds: float) -> None:
+    async def wait_at_most(self, seconds: float) -> None:
         """Wait until all is known, for at most this many seconds."""
         await core.wait_for_event(self._complete, seconds)
 
-    async def wait_for_waiter(self) -> None:
-        """Wait until a caller waits for data that is still missing."""
+    async def wait_for_first_request(self) -> None:
+        """Wait until a request has waited for the data."""
         await self._has_waiter.wait()
 
     def _update(self) -> None:
--- a/rudderrock/gateway/discovery/_operators.py
+++ b/rudderrock/gateway/discovery/_operator_data.py
@@ -10,13 +10,13 @@
 from rudderrock.gateway.discovery import _position as position
 from rudderrock.gateway.discovery import _sources as sources
 
-# How long one watch request waits at the source, in seconds. It bounds how
-# long a watch on a silently broken connection goes unnoticed, so that the loss
-# is found before a new table must be in force on all hosts.
+# How long one watch request waits at the source, in seconds. A watch whose
+# connection failed without an error is detected after this time, and so before
+# a new table must be in force on all hosts.
 WATCH_S = 2.0
 
 
-class OperatorWatch:
+class OperatorDataWatch:
     """Keeps the table and the evacuations up to date with the source.
 
     One watch runs at a time, in its own task.
@@ -41,7 +41,8 @@
         if self._task is not None:
             if not self._task.done():
                 return result.Ok(None)
-            # A watch that has ended has already read what it may have missed.
+            # An ended watch returns the position of its last full read, or
+            # None if that failed.
             read = self._task.result()
         if read is None:
             match await self._read():
--- a/rudderrock/gateway/discovery/_peers.py
+++ b/rudderrock/gateway/discovery/_peers.py
@@ -37,20 +37,22 @@
 MAX_AGE_S = 2.0
 # Maximum time since the source last confirmed a table that is used; seconds.
 MAX_TABLE_AGE_S = 4.0
-# Maximum number of hops of a peer's reading that a host accepts while it can
-# read the source itself: the reading host passes it to the first host of each
-# other zone, and that host to the others of its zone. With more hops, hosts
-# that poll one another in a cycle could treat an old reading as fresh.
+# A host that can read the source itself accepts a peer's reading only if at
+# most this many hosts have relayed it. The host that reads the source passes a
+# reading to the first host of each other zone, and that host relays it to the
+# others of its zone. With more hops, hosts that poll one another in a cycle
+# could treat an old reading as fresh.
 MAX_HOPS = 1
-# How long a host that has just started holds a poll until its own first data
-# is complete, in seconds. That takes 0.1 s from when it starts to listen.
+# Maximum time in seconds for which a starting host holds a poll until it has
+# its first data, which takes 0.1 s from when it starts to listen.
 STARTUP_HOLD_S = 0.5
-# How long a full reply is cached and sent to other peers too, in seconds.
-# Hundreds of hosts that start together request it at the same time. Encoding
-# 450 upstreams and 195 hosts takes 0.9 ms on a whole core (the mean of 50) and
-# twice that on half a core. `CACHE_AGE_HEADER` is sent with the time that the
-# reply has been cached, in milliseconds.
+# How long a full reply is reused for other peers, in seconds. Hundreds of
+# hosts that start together request it at the same time. Encoding 450 upstreams
+# and 195 hosts takes 0.9 ms on a whole core (the mean of 50) and twice that on
+# half a core.
 FULL_REPLY_TTL_S = 0.1
+# Header of a full reply with the time for which it has been cached, in
+# milliseconds.
 CACHE_AGE_HEADER = b'rudderrock-kept-ms'
 # Replies of at least this size are compressed, in bytes. Listings and tables
 # of hundreds of entries shrink to a fifth, and they are sent across regions.
@@ -69,17 +71,18 @@
     `upstreams`, `hosts` and `quarantine` are the peer's generations that the
     polling host has applied.
 
-    `table_version` is the version of the last table that the peer sent, even
-    if the polling host rejected it; otherwise the peer would send it again at
-    once. Hosts of the previous release send and expect `table` instead, the
-    revision of the source at which the table was read. Therefore both fields
-    are sent.
-
-    `is_lost` is true if the source refuses the polling host, which then also
-    accepts data that the peer has from other hosts. `evacuations` is the
-    revision of the evacuations that the polling host has, in the era
-    `evacuations_era`, and `era` is the era of its upstreams. Hosts of the
-    previous release do not send these two eras.
+    `table_version` is the greater of the versions of the table in force and of
+    the last table that the peer sent. It includes a table that the polling
+    host rejected, so that the peer does not send it again at once. `table` is
+    the greater of the revisions of the source at which these two tables were
+    read; it is sent too because hosts of the previous version know only this
+    field.
+
+    `is_lost` is true if the polling host also accepts data that the peer has
+    from other hosts, because it cannot read the source or is starting.
+    `evacuations` is the revision of the evacuations that the polling host has,
+    in the era `evacuations_era`, and `era` is the era of its upstreams. Hosts
+    of the previous version do not send these two eras.
     """
 
     process: str = ''
@@ -172,7 +175,7 @@
         )
 
     @property
-    def evacuations_written(self) -> dict[core.ZoneId, int]:
+    def evacuation_revisions(self) -> dict[core.ZoneId, int]:
         """Return the evacuated zones with the revision of each evacuation."""
         revisions = itertools.chain(
             self.evacuated_at, itertools.repeat(evacuations.UNKNOWN_REVISION)
@@ -222,9 +225,10 @@
         self._changes: collections.deque[
             tuple[int, directory.DirectoryChange]
         ] = collections.deque(maxlen=MAX_CHANGES)
-        # When 62 hosts start together, the list changes some 60 times. Sending
-        # all of its 7 KB each time to the first hosts of 5 zones would take a
-        # calculated 2 MB.
+        # Generation and ids of recent changes of the hosts, so that peers get
+        # only the changed entries. When 62 hosts start together, the list
+        # changes some 60 times. Sending all of its 7 KB each time to the first
+        # hosts of 5 zones would take a calculated 2 MB.
         self._host_changes: collections.deque[tuple[int, set[core.HostId]]] = (
             collections.deque(maxlen=MAX_CHANGES)
         )
@@ -238,9 +242,12 @@
         known_quarantine.add_listener(self.wake)
 
     async def answer(self, request: messages.Request) -> messages.Reply:
-        """Return the reply to a poll, held until there is a change.
+        """Return the reply to a poll after the next change or POLL_HOLD_S.
 
-        The status is 404 for an unknown path, 400 for invalid parameters.
+        It is sent at once if the peer lacks changes or cannot accept this
+        host's data. A starting host first waits for data, for at most
+        STARTUP_HOLD_S. The status is 404 for an unknown path, 400 for invalid
+        parameters.
         """
         path, _, query = request.target.decode('latin-1').partition('?')
         if path != PATH:
@@ -253,7 +260,7 @@
             return messages.Reply(400, [], str(error).encode())
         if not self._initial_sync.is_complete:
             # This host has just started and has no data to send yet.
-            await self._initial_sync.wait_for(STARTUP_HOLD_S)
+            await self._initial_sync.wait_at_most(STARTUP_HOLD_S)
         elif not self._has_changes(known) and self._is_acceptable(known):
             await self._wait_for_change()
         if known.process != self.process:
@@ -279,7 +286,10 @@
         return messages.Reply(200, headers, cached.reply.body)
 
     def list_changes(self, known: Known) -> Changes:
-        """Return the changes that a peer lacks."""
+        """Return the changes since a peer's poll.
+
+        Returns the full state if `known` is not from this process or too old.
+        """
         has_baseline = known.process == self.process
         upstreams, left, whole = self._list_upstreams(known, has_baseline)
         upstream_directory = self._directory
@@ -299,7 +309,7 @@
             number=stamp.number if stamp is not None else 0,
             hops=stamp.hops if stamp is not None else 0,
             age_ms=_to_ms(upstream_directory.age_s),
-            table_age_ms=_to_ms(tables.confirmed_s),
+            table_age_ms=_to_ms(tables.confirmed_age_s),
             hold_ms=_to_ms(upstream_directory.hold_s),
             hosts_generation=self._hosts.generation,
             hosts=hosts,
@@ -309,8 +319,8 @@
             table_version=tables.version,
             table_revision=tables.position.revision,
             table_era=tables.position.era,
-            evacuated=list(evacuated.written),
-            evacuated_at=list(evacuated.written.values()),
+            evacuated=list(evacuated.revisions),
+            evacuated_at=list(evacuated.revisions.values()),
             evacuations_revision=evacuated.position.revision,
             evacuations_era=evacuated.position.era,
             suspects=self._quarantine.list_since(
@@ -373,7 +383,7 @@
         Compares versions, which operators only increase. Revisions of the
         source decrease when it is restored from a backup, so a newer table
         could have a revision that the peer has already passed. Hosts of the
-        previous release send only the revision.
+        previous version send only the revision.
         """
         if known.table_version is None:
             return known.table < self._tables.position.revision
@@ -393,7 +403,9 @@
         If it isn't, the poll is not held, so that the peer can switch to
         another host.
         """
-        if not _are_recent(self._directory.age_s, self._tables.confirmed_s):
+        if not _are_recent(
+            self._directory.age_s, self._tables.confirmed_age_s
+        ):
             return False
         return known.is_lost or self._directory.stamp.hops <= MAX_HOPS
 
--- a/rudderrock/gateway/discovery/_quarantine.py
+++ b/rudderrock/gateway/discovery/_quarantine.py
@@ -3,12 +3,13 @@
 A request that crashes each upstream that runs it, a query of death, arrives
 repeatedly under other ids and at other hosts. Hosts therefore identify it by
 its digest, exchange records of it, and stop sending it after a few failed
-attempts. See "Site Reliability Engineering" (Beyer et al., 2016), chapter 22.
+rounds. See "Site Reliability Engineering" (Beyer et al., 2016), chapter 22.
 
-The record of a request contains the set of its failed attempts (`trials`), in
+The record of a request contains the set of its failed rounds (`trials`), in
 which every upstream that received it crashed, the crashed upstreams (`ended`),
-and whether any upstream has answered it. Records of two hosts are merged by
-set union, so their order and repetition don't matter.
+and whether any upstream has answered it. A round is a set of attempts that are
+in flight together. Records of two hosts are merged by set union, so their
+order and repetition don't matter.
 """
 
 import collections
@@ -24,17 +25,18 @@
 from rudderrock.gateway import _events as events
 from rudderrock.gateway import _log as log
 
-# Number of failed attempts, without any answer, after which a request is
-# quarantined. One can be an ordinary crash, which also affects unrelated
-# requests. Two can be the crash of a shard's last replicas. Users count the
-# upstreams that a request crashes from the third on.
+# Number of failed rounds, without any answer, after which a request is
+# quarantined. One may be a crash with another cause, which also affects
+# unrelated requests, and so may two if they are the crashes of a shard's last
+# replicas. Users count the upstreams that a request crashes only from the
+# third on.
 QUARANTINE_THRESHOLD = 3
-# The same for a request that has crashed `QUARANTINE_THRESHOLD` upstreams or
-# more, of one or several services. So many crashes in a first attempt are not
-# an ordinary crash, so one further failed attempt suffices. Of the later
-# crashes, users again count from the third upstream on, so two canaries that
-# two hosts send at the same moment are still within the limit.
-_SPREAD_QUARANTINE_THRESHOLD = 2
+# Threshold for a request that has crashed at least `QUARANTINE_THRESHOLD`
+# upstreams, of one or several services. So many crashes in a first round are
+# unlikely to have another cause, so one further failed round suffices. Of the
+# later crashes, users again count only those from the third upstream on, so
+# two canaries that two hosts send at the same moment do not count.
+_REDUCED_QUARANTINE_THRESHOLD = 2
 # How long a request is suspect after its last crash, in seconds. A suspect
 # request is sent to a single upstream first, as a canary, so a copy crashes
 # one upstream and not one of each shard. A request that is suspected wrongly
@@ -54,22 +56,23 @@
 # earlier crashes.
 CLEARED_RETENTION_S = 30.0
 # Maximum number of requests with a record. Each has crashed at least one
-# upstream, so a team that fills the table does more harm by the crashes than
+# upstream, so a team that fills the records does more harm by the crashes than
 # by the eviction of other records. 256 records take some 100 KB.
 MAX_RECORDS = 256
 # How long a crashed upstream is assumed to be down, in seconds. Its
-# registration lapses after three missed heartbeats of 1.2 s, and hosts read
-# that a little later. An upstream that is registered after that is alive.
+# registration lapses after three missed heartbeats of 1.2 s, and hosts learn
+# of it with their next reading. An upstream that is registered after that is
+# alive.
 CRASH_EXCLUSION_S = 4.0
 # Maximum number of crashed upstreams recorded for one request. Suffices for
 # all replicas of 170 shards.
 _MAX_ENDED_UPSTREAMS = 512
-# Maximum number of failed attempts recorded for one request. At one in 16
+# Maximum number of failed rounds recorded for one request. At one in 16
 # hours they suffice for a month.
 _MAX_TRIAL_IDS = 64
-# Common id of the failed attempts of all hosts that did not suspect the
-# request before. Copies in flight at the same time count as one failed
-# attempt, and so do all that are lost when a shard, a zone or a link fails.
+# Common id of the failed rounds of all hosts that did not suspect the request
+# before. Copies that are in flight at the same time at several hosts therefore
+# count as one failed round, also if a failed shard, zone or link is the cause.
 _INITIAL_TRIAL = 'first'
 
 
@@ -84,7 +87,7 @@
 class Record(msgspec.Struct, frozen=True):
     """Record of one request, as hosts exchange it.
 
-    `trials` are the ids of the failed attempts, `answered` is true if an
+    `trials` are the ids of the failed rounds, `answered` is true if an
     upstream has answered the request, `age_ms` is the time since the last
     crash, and `ended` maps each crashed upstream to the time since its crash;
     both in milliseconds.
@@ -122,12 +125,12 @@
         return QuarantineState.SUSPECT
 
     def has_reached_threshold(self) -> bool:
-        """Return whether it has the failed attempts for a quarantine."""
+        """Return whether it has the failed rounds for a quarantine."""
         return len(self.trials) >= self.get_threshold()
 
     def get_threshold(self) -> int:
         if len(self.ended) >= QUARANTINE_THRESHOLD:
-            return _SPREAD_QUARANTINE_THRESHOLD
+            return _REDUCED_QUARANTINE_THRESHOLD
         return QUARANTINE_THRESHOLD
 
     def get_quarantine_duration_s(self) -> float:
@@ -146,7 +149,7 @@
     """Records of requests that have crashed upstreams.
 
     Parameters: `process` identifies this incarnation of the process, so that
-    ids of its failed attempts are unique. `generation` is incremented with
+    ids of its failed rounds are unique. `generation` is incremented with
     each change.
     """
 
@@ -223,7 +226,8 @@
     ) -> bool:
         """Return whether an upstream has crashed under any request recently.
 
-        That is within the last `CRASH_EXCLUSION_S + lag_s` seconds.
+        That is within the last `CRASH_EXCLUSION_S + lag_s` seconds. Each host
+        uses a random `lag_s`, so that canaries are not sent at the same time.
         """
         oldest = self._clock.now() - CRASH_EXCLUSION_S - lag_s
         return any(
@@ -252,8 +256,9 @@
     def begin_canary(self, digest: str) -> None:
         """Record that a canary is being sent.
 
-        Otherwise copies that arrive at one host together would each be sent as
-        a canary and each be counted. This happened with two within 10 ms.
+        `has_canary` then prevents that another copy is sent as a canary at the
+        same time and counted as another failed round, as happened with two
+        copies that arrived at one host within 10 ms.
         """
         self._canary_counts[digest] += 1
 
@@ -270,11 +275,12 @@
         was_suspect: bool,
         ended: Iterable[core.UpstreamLife] = (),
     ) -> None:
-        """Record a failed attempt: every upstream with the request crashed.
+        """Record a failed round: every upstream that got the request crashed.
 
-        `began` is the loop time at which the attempt began, and `was_suspect`
-        is true if the request was suspect then. Of attempts that overlap at
-        this host only one is counted, since they may have had the same cause.
+        `began` is the loop time at which the round began, and `was_suspect` is
+        true if the request was suspect then. Rounds that overlap at this host
+        count as one, since they may have had the same cause; all crashed
+        upstreams are recorded.
         """
         now = self._clock.now()
         history = self._histories.get(digest)
--- a/rudderrock/gateway/discovery/_registration.py
+++ b/rudderrock/gateway/discovery/_registration.py
@@ -75,7 +75,7 @@
     async def _renew_or_register(self) -> None:
         """Renew, or register again if the registry lost the entry."""
         self._missing_count = (
-            0 if self._hosts.has_own() else self._missing_count + 1
+            0 if self._hosts.lists_this_host() else self._missing_count + 1
         )
         if self._missing_count >= 2:
             await self._register()
--- a/rudderrock/gateway/discovery/_restore.py
+++ b/rudderrock/gateway/discovery/_restore.py
@@ -1,4 +1,4 @@
-"""Tells entries restored from a backup from new registrations."""
+"""Distinguishes entries from a restored backup from new registrations."""
 
 import collections
 from collections.abc import Iterable
@@ -13,8 +13,10 @@
     A restored entry equals the last entry of its upstream, and so does the
     entry of a live upstream that registers again. A restored entry is present
     from the first reading of the era on, whereas a new registration is missing
-    from an earlier reading. Readings are tracked per origin because hosts
-    differ in which entries they leave out as unconfirmed.
+    from an earlier reading. So an entry that an earlier reading of this era
+    lacked is a new registration; any other may come from the backup. Readings
+    are tracked per origin because hosts differ in which entries they leave out
+    as unconfirmed.
     """
 
     def __init__(self, clock: core.Clock):
@@ -41,5 +43,5 @@
         self._missing[origin].update(upstreams)
 
     def was_missing(self, origin: str, upstream: core.UpstreamId) -> bool:
-        """Return whether a reading of this era lacked the upstream."""
+        """Return whether a reading of this era from an origin lacked it."""
         return upstream in self._missing[origin]
--- a/rudderrock/gateway/discovery/_routing.py
+++ b/rudderrock/gateway/discovery/_routing.py
@@ -68,12 +68,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Route:
-    """Mapping of a host name and a path prefix to a target.
+    """Mapping of an HTTP host name and a path prefix to a target.
 
-    `timeout_s` is the timeout of a request and `goal_s` the latency objective,
-    both in seconds. Priority 0 is the most urgent. `max_attempts` is the
-    maximum number of upstreams that one request is sent to, per shard.
-    `residency` restricts the regions in which requests may be handled.
+    `host` is compared with the Host header of a request. `timeout_s` is the
+    timeout of a request and `goal_s` the latency objective, both in seconds.
+    Priority 0 is the most urgent. `max_attempts` is the maximum number of
+    upstreams that one request is sent to, per shard. `residency` restricts the
+    regions in which requests may be handled.
     """
 
     name: RouteName
@@ -172,23 +173,24 @@
         return None
 
     def get_rank(self, route: Route) -> int:
-        """Return the number of more urgent priorities with the same shards.
+        """Return the rank of a route in admission.
 
-        The target of `route` must be a `Scatter`.
+        This is the number of more urgent priorities among the routes to the
+        same shards. The target of `route` must be a `Scatter`.
         """
         priorities = self._priorities_by_shards[route.target.shards]
         return sum(priority < route.priority for priority in priorities)
 
-    def list_wide_services(self, least: int) -> frozenset[ServiceName]:
-        """Return the services of routes to at least `least` services.
+    def list_wide_services(self, min_services: int) -> frozenset[ServiceName]:
+        """Return the services that only wide routes use.
 
-        Services that a narrower route uses too are left out.
+        A wide route is one to at least `min_services` services.
         """
         wide: set[ServiceName] = set()
         others: set[ServiceName] = set()
         for route in self.routes.values():
             services = self.list_services(route)
-            is_wide = len(services) >= least
+            is_wide = len(services) >= min_services
             (wide if is_wide else others).update(services)
         return frozenset(wide - others)
 
--- a/rudderrock/gateway/discovery/_sources.py
+++ b/rudderrock/gateway/discovery/_sources.py
@@ -1,4 +1,4 @@
-"""The port through which a gateway reads routes, upstreams and hosts."""
+"""Interface to the source, the store of configuration and registrations."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -79,7 +79,7 @@
 
 
 class SourcePort(Protocol):
-    """The service that stores the configuration and the registrations."""
+    """The source, which stores the configuration and the registrations."""
 
     async def read_table(self) -> result.Result[TableReading, Unavailable]:
         """Return the newest table and the evacuated zones."""
@@ -155,7 +155,7 @@
         return self._clock.now() - self._applied_at
 
     @property
-    def confirmed_s(self) -> float:
+    def confirmed_age_s(self) -> float:
         """Return the seconds since the source confirmed the table, or -1."""
         if self._confirmed_at is None:
             return -1.0
--- a/rudderrock/gateway/discovery/_synchronizer.py
+++ b/rudderrock/gateway/discovery/_synchronizer.py
@@ -24,7 +24,7 @@
 from rudderrock.gateway.discovery import _evacuations as evacuations
 from rudderrock.gateway.discovery import _fleet as fleet
 from rudderrock.gateway.discovery import _initial_sync as initial_sync_module
-from rudderrock.gateway.discovery import _operators as operators
+from rudderrock.gateway.discovery import _operator_data as operator_data
 from rudderrock.gateway.discovery import _peers as peers
 from rudderrock.gateway.discovery import _quarantine as quarantine
 from rudderrock.gateway.discovery import _sources as sources
@@ -45,9 +45,9 @@
 # random by the fraction `_JITTER`, so that hosts do not ask simultaneously.
 RETRY_INTERVAL_S = 0.5
 FALLBACK_RETRY_INTERVAL_S = 2.0
-# Combined limit on the attempts per second of all hosts that ask peers first:
-# the first one that reaches the source passes its data on. With one attempt
-# every 2 s, 195 hosts would make 98 per second while the source recovers.
+# Combined limit on the attempts per second of all hosts that ask peers first.
+# One success is enough, since its data is relayed. With one attempt every 2 s,
+# 195 hosts would make 98 per second while the source recovers.
 MAX_FALLBACK_TRIES_PER_S = 5.0
 _JITTER = 0.15
 # How long a peer is skipped, in seconds, after it failed or sent fresh data
@@ -58,21 +58,22 @@
 # For this long after its start, in seconds, a host accepts data that was
 # relayed several times. When hosts start together, each skips the peers that
 # were not up yet for `PEER_SKIP_S`, so the data takes more hops.
-SETTLING_PERIOD_S = PEER_SKIP_S + 2.0
+STARTUP_RELAY_PERIOD_S = PEER_SKIP_S + 2.0
 # Peers asked in turn before the source is tried.
 MAX_PEERS_ASKED = 3
-# How long a starting host asks its seeds while no caller waits, the time-out
-# of one request to a seed, and the pause before all seeds are asked again, in
-# seconds. Hosts that start together begin to listen within about 0.3 s of each
-# other. Each host that reads the source at its start makes four calls, so 195
-# hosts that start together would make about 780 calls in the second in which
-# all callers wait.
+# How long a starting host asks its seeds while no caller waits, in seconds.
+# Hosts that start together begin to listen within about 0.3 s of each other.
+# Each host that reads the source at its start makes four calls, so 195 hosts
+# that start together would make about 780 calls in the one second in which
+# callers wait for data.
 SEED_SYNC_TIMEOUT_S = 1.5
+# Timeout of one request to a seed, in seconds.
 SEED_REQUEST_TIMEOUT_S = 0.8
+# Pause before all seeds are asked again, in seconds.
 SEED_RETRY_PAUSE_S = 0.1
-# Pause after an answer from a peer, in seconds, too short to matter. Without
-# it, two peers that each had newer data than the other were asked alternately
-# in an endless loop.
+# Pause after an answer from a peer, in seconds. It prevents a busy loop if two
+# peers that each have newer data of some kind are asked alternately, and is
+# too short to matter otherwise.
 AFTER_ANSWER_PAUSE_S = 0.02
 
 
@@ -123,7 +124,7 @@
         self._retry_factor = 1.0
         self._reading_count = 0
         self._problems: frozenset[str] = frozenset()
-        self._operators = operators.OperatorWatch(
+        self._operators = operator_data.OperatorDataWatch(
             source, tables, evacuated, events
         )
 
@@ -143,7 +144,9 @@
         if self._is_seed or not self._seeds:
             return False
         asking = asyncio.create_task(self._ask_seeds())
-        waiter = asyncio.create_task(self._initial_sync.wait_for_waiter())
+        waiter = asyncio.create_task(
+            self._initial_sync.wait_for_first_request()
+        )
         async with contextlib.AsyncExitStack() as stack:
             stack.push_async_callback(core.end_task, asking)
             stack.push_async_callback(core.end_task, waiter)
@@ -167,7 +170,7 @@
 
     async def _ask_seed(self, entry: fleet.HostEntry) -> bool:
         """Apply the data of a seed; return whether it suffices to serve."""
-        client = self._get_client(entry)
+        client = self._switch_to_peer(entry)
         answer = await client.ask(
             self._get_in_force(),
             is_lost=True,
@@ -180,7 +183,12 @@
         return changes.is_fresh and self._initial_sync.is_complete
 
     async def _synchronize_once(self) -> None:
-        """Update once from peers or from the source."""
+        """Update once from peers or from the source.
+
+        Asks peers first, then reads the source. While the source does not
+        answer, the first reader tries it without asking peers when a retry is
+        due.
+        """
         self._evacuated.expire_unconfirmed()
         is_first = self._is_first_reader()
         if not (is_first and self._is_due(FALLBACK_RETRY_INTERVAL_S)):
@@ -225,9 +233,9 @@
         """
         now = self._clock.now()
         if self._hosts.is_listed:
-            # Drop the seed permanently: the list of the next peer may be older
-            # and lack this host, and the host would switch back and forth
-            # without a pause.
+            # Drop the seed permanently. A later list, from another peer, may
+            # be older and lack this host, which would then keep switching
+            # between the seed and its peers without a pause.
             self._seed_peer = None
         ranked = self._hosts.rank_readers()
         own = self._hosts.own.host
@@ -239,12 +247,13 @@
             # order of hosts differs.
             candidates = [self._seed_peer, *candidates]
         if not (candidates or self._directory.differs_from_reading):
-            # While upstreams are kept, only full listings show when to drop
-            # them, and those are too large to send between zones.
+            # While upstreams are kept or left out, only full listings show
+            # when that ends. They are too large to send between zones, so this
+            # host then reads the source itself.
             candidates = self._hosts.list_earlier_readers()
         if self.lost_at is not None:
             candidates = ranked[:rank] + ranked[rank + 1 :]
-            candidates += self._hosts.list_others()
+            candidates += self._hosts.list_hosts_of_other_zones()
             candidates = candidates or self._seeds
             if self.peer is not None:
                 # Keep asking the peer that had fresh data for as long as it
@@ -261,7 +270,7 @@
     async def _ask_peers(self) -> bool:
         """Ask peers in turn until one has fresh data; return success."""
         for entry in self._list_peers():
-            client = self._get_client(entry)
+            client = self._switch_to_peer(entry)
             answer = await client.ask(
                 self._get_in_force(), self._accepts_relayed()
             )
@@ -276,11 +285,17 @@
                             else RETRY_INTERVAL_S
                         )
                         return True
-                    ages = f'{changes.age_ms}, {changes.table_age_ms} ms'
+                    ages = (
+                        f'{changes.age_ms} ms, table {changes.table_age_ms} ms'
+                    )
                     skip_s = (
                         PEER_SKIP_S if changes.is_fresh else STALE_PEER_SKIP_S
                     )
-                    self._skip_peer(entry, f'ages {ages}', skip_s)
+                    self._skip_peer(
+                        entry,
+                        f'data not sufficient; ages: upstreams {ages}',
+                        skip_s,
+                    )
                 case result.Err(problem):
                     self._skip_peer(entry, problem.detail, PEER_SKIP_S)
                     if self.lost_at is None:
@@ -320,21 +335,22 @@
         hosts that start together determine their order only then, and
         otherwise each would read the source.
         """
-        return self.lost_at is not None or self._is_settling()
+        return self.lost_at is not None or self._has_just_started()
 
-    def _is_settling(self) -> bool:
-        return self._clock.now() - self._started_at < SETTLING_PERIOD_S
+    def _has_just_started(self) -> bool:
+        return self._clock.now() - self._started_at < STARTUP_RELAY_PERIOD_S
 
     def _is_outdated_host_list(self, found: list[fleet.HostEntry]) -> bool:
-        """Return whether to ignore the host list of a peer that just started.
+        """Return whether to ignore a peer's host list that lacks this host.
 
-        Such a list may lack this host and others. With it, this host would
-        have no peer to ask and would read the source.
+        Shortly after the start, the list of a peer that has just started too
+        may lack this host and others. With it, this host would have no peer to
+        ask and would read the source.
         """
         named = any(each.host == self._hosts.own.host for each in found)
-        return self._is_settling() and self._hosts.is_listed and not named
+        return self._has_just_started() and self._hosts.is_listed and not named
 
-    def _get_client(self, entry: fleet.HostEntry) -> peers.PeerClient:
+    def _switch_to_peer(self, entry: fleet.HostEntry) -> peers.PeerClient:
         if self.peer is None or self.peer.entry != entry:
             self._drop_peer()
             self.peer = peers.PeerClient(entry)
@@ -368,7 +384,7 @@
             self._tables.apply_reading(reading, origin)
         self._evacuated.apply(
             evacuations.Evacuations(
-                changes.evacuations_position, changes.evacuations_written
+                changes.evacuations_position, changes.evacuation_revisions
             ),
             origin,
         )
@@ -406,16 +422,20 @@
             )
         self._log_change(change, origin)
         if self._directory.differs_from_reading or is_older:
-            # Request a full listing next time. Only a full listing shows when
-            # to drop these upstreams, and what the peer knew when its data was
-            # ignored: it may have a newer entry for an upstream than the
+            # Request a full listing next time, to learn when to drop kept
+            # upstreams, and to get the entries of data that was ignored as
+            # older. The peer may have a newer entry for an upstream than the
             # restored source.
             client.acknowledge(None)
         else:
             client.acknowledge(changes)
 
     async def _read_source(self) -> bool:
-        """Read what is due from the source; return whether it answered."""
+        """Read what is due from the source.
+
+        Return whether it returned the upstreams; the hosts or the table may
+        have failed.
+        """
         self._last_try_at = self._clock.now()
         self._retry_factor = self._random.uniform(0.5, 1.5)
         match await self._source.list_upstreams():
