--- a/rudderrock/gateway/_events.py
+++ b/rudderrock/gateway/_events.py
@@ -3,8 +3,8 @@
 import dataclasses
 import enum
 
-# Rate limits for lines about answered requests, about all other requests, and
-# about the state of the process.
+# Maximum number of lines per second for each class: requests with a complete
+# answer, all other requests, and all other events.
 SUCCESS_LINES_PER_S = 50.0
 FAILURE_LINES_PER_S = 100.0
 STATE_LINES_PER_S = 50.0
@@ -48,7 +48,10 @@
 
 
 KIND_INFO: dict[LogKind, KindInfo] = {
-    LogKind.STARTED: KindInfo('The process is listening.', ('place',)),
+    LogKind.STARTED: KindInfo(
+        'The process is listening. `place` is the zone of this host.',
+        ('place',),
+    ),
     LogKind.STOPPING: KindInfo(
         'A graceful shutdown has started with `busy` requests in flight.',
         ('busy',),
@@ -77,7 +80,10 @@
         ('dependency', 'away_s'),
     ),
     LogKind.SOURCE_FAILED: KindInfo(
-        'One call to the source failed.', ('call', 'detail')
+        'A call to the source for the registration of this host, or for the '
+        'data that operators write, failed. Each such failure is logged, '
+        'whereas `dependency_lost` is logged once for a whole outage.',
+        ('call', 'detail'),
     ),
     LogKind.SOURCE_RETURNED: KindInfo(
         'The source has been restored from an older copy. It is now in this '
@@ -94,14 +100,14 @@
     ),
     LogKind.PEER_SKIPPED: KindInfo(
         'Another host is skipped for a time, because it did not answer, had '
-        'no recent data (the ages are those of its upstreams and of its '
-        'table, -1 for none), or rejected a query.',
+        'no recent data (`detail` then gives the ages of its upstreams and '
+        'of its table, -1 if it has none), or rejected a query.',
         ('peer', 'detail'),
     ),
     LogKind.COORDINATORS_CHANGED: KindInfo(
-        'This host now sends wide queries for a zone to `hosts`, and sent '
-        'them to those in `before`; `detail` gives the reason for each host '
-        'that is no longer used.',
+        'This host now sends wide queries, which are queries over many '
+        'shards, for a zone to `hosts`, and sent them to those in `before`; '
+        '`detail` gives the reason for each host that is no longer used.',
         ('zone', 'before', 'hosts', 'detail'),
     ),
     LogKind.TABLE_IN_FORCE: KindInfo(
@@ -155,10 +161,10 @@
         'they had been sent. `digest` is the same for all requests of a team '
         'with the same content; it is given if the request lost attempts or '
         'is in quarantine. `detail` lists what is missing and the reasons. If '
-        'too much was missing for an answer at the latency goal, '
-        '`waited_for` lists the missing shards and the upstreams that had '
-        'been asked. Lines of complete answers are dropped first when there '
-        'are too many lines.',
+        'too many shards were missing when the latency goal was reached, '
+        '`waited_for` lists them with the upstreams that had been asked. '
+        'Lines about complete answers have a lower rate limit than lines '
+        'about other requests.',
         (
             'request_id',
             'route',
--- a/rudderrock/gateway/_log.py
+++ b/rudderrock/gateway/_log.py
@@ -1,7 +1,8 @@
 """Structured log lines on standard output, with a bounded buffer.
 
-Each line is one JSON object. Logging never blocks a request: if the reader is
-too slow, lines are dropped and counted.
+Each line is one JSON object. Logging never blocks a request. Lines that exceed
+a rate limit are dropped and counted in `EventLog.dropped`, and lines for which
+the reader is too slow in `PipeHandler.dropped`.
 """
 
 import asyncio
@@ -44,13 +45,16 @@
 
 
 class EventLog:
-    """Write typed log lines for one host; `dropped` counts omitted lines."""
+    """Write typed log lines for one host.
+
+    `dropped` counts the lines that exceeded a rate limit.
+    """
 
     def __init__(self, host: str, clock: core.Clock):
         self.dropped = 0
         self._host = host
         self._clock = clock
-        self._reported = 0
+        self._reported_drops = 0
         self._success = _TokenBucket(clock, events.SUCCESS_LINES_PER_S)
         self._failure = _TokenBucket(clock, events.FAILURE_LINES_PER_S)
         self._state = _TokenBucket(clock, events.STATE_LINES_PER_S)
@@ -59,9 +63,12 @@
         """Write a line about an action or a state change of the process."""
         self._write(self._state, kind, fields)
 
-    def record_request(self, good: bool, **fields: Any) -> None:
-        """Write the line of one request; `good` selects the rate limit."""
-        bucket = self._success if good else self._failure
+    def record_request(self, is_complete: bool, **fields: Any) -> None:
+        """Write the line of one request.
+
+        Requests with a complete answer have a rate limit of their own.
+        """
+        bucket = self._success if is_complete else self._failure
         self._write(bucket, events.LogKind.REQUEST, fields)
 
     def _write(
@@ -73,12 +80,12 @@
         if not bucket.try_take():
             self.dropped += 1
             return
-        if self.dropped > self._reported:
+        if self.dropped > self._reported_drops:
             self._emit(
                 events.LogKind.LINES_DROPPED,
-                {'count': self.dropped - self._reported},
+                {'count': self.dropped - self._reported_drops},
             )
-            self._reported = self.dropped
+            self._reported_drops = self.dropped
         self._emit(kind, fields)
 
     def _emit(self, kind: events.LogKind, fields: dict[str, Any]) -> None:
@@ -113,7 +120,10 @@
         self._flush()
 
     def flush_waiting(self) -> bool:
-        """Write what the reader accepts now; return whether any was taken."""
+        """Write as much of the buffer as the reader accepts.
+
+        Return whether anything was written.
+        """
         before = self._buffered_bytes
         self._flush()
         return self._buffered_bytes < before
--- a/rudderrock/gateway/_metrics.py
+++ b/rudderrock/gateway/_metrics.py
@@ -41,8 +41,12 @@
         """Count one request that could not be read."""
         self._counts[(_OTHER_ROUTES, f'unreadable_{problem}')] += 1
 
-    def format_lines(self, gauges: dict[str, float]) -> list[str]:
-        """Return all metrics in the Prometheus text format 0.0.4."""
+    def format_lines(self, values: dict[str, float]) -> list[str]:
+        """Return all metrics in the Prometheus text format 0.0.4.
+
+        `values` holds the gauges by name, and further counters, whose names
+        end in `_total`.
+        """
         lines = ['# TYPE rudderrock_requests_total counter']
         lines += [
             f'rudderrock_requests_total{{route="{route}",'
@@ -52,7 +56,7 @@
         lines.append('# TYPE rudderrock_request_seconds summary')
         for route, latency in sorted(self._latency.items()):
             lines += _format_quantiles(route, latency)
-        for name, value in sorted(gauges.items()):
+        for name, value in sorted(values.items()):
             kind = 'counter' if name.endswith('_total') else 'gauge'
             lines.append(f'# TYPE rudderrock_{name} {kind}')
             lines.append(f'rudderrock_{name} {value:g}')
--- a/rudderrock/gateway/_process.py
+++ b/rudderrock/gateway/_process.py
@@ -23,11 +23,12 @@
 from rudderrock.gateway.http import _listener as listener
 from rudderrock.gateway.http import _messages as messages
 
-# Fraction of the shutdown time during which new connections are still
-# accepted. The load balancer probes once a second and acts on two results, so
-# it takes about 2 to 3 seconds to stop sending requests.
+# Fraction of `stop_s` during which new connections are still accepted. The
+# load balancer probes once a second and acts on two results, so it takes about
+# 2 to 3 seconds to stop sending requests.
 ACCEPT_FRACTION = 0.55
-# Fraction of the shutdown time after which requests in flight are cancelled.
+# Fraction of `stop_s` after which the requests still in flight are cancelled,
+# so that the process ends before it is killed.
 DRAIN_FRACTION = 0.93
 _POLL_INTERVAL_S = 0.05
 # Delay in seconds before a background task that has failed is restarted.
@@ -52,7 +53,7 @@
         served: gateway.Gateway,
         synchronizer: synchronizer_module.Synchronizer,
         registration: registration_module.Registration,
-        changes: peers.ChangeFeed,
+        change_feed: peers.ChangeFeed,
         broadcaster: broadcast.QuarantineBroadcaster,
         dependencies: gateway.GatewayDependencies,
     ):
@@ -74,7 +75,7 @@
             max_body_bytes=delegate.PEER_BODY_BYTES,
             idle_timeout_s=delegate.PEER_IDLE_S,
         )
-        self._changes = changes
+        self._changes = change_feed
         self._broadcaster = broadcaster
         self._was_ready = False
         self._stop_started_at = 0.0
@@ -103,13 +104,13 @@
             stack.callback(self.gateway.selector.close)
             stack.callback(self.gateway.delegation.close)
             stack.push_async_callback(self.gateway.checker.close)
-            for served, address in (
+            for each_listener, address in (
                 (self._caller_listener, config.callers),
                 (self._readiness_listener, config.readiness),
                 (self._metrics_listener, config.metrics),
                 (self.peers, config.peers),
             ):
-                await stack.enter_async_context(served.listen(*address))
+                await stack.enter_async_context(each_listener.listen(*address))
             for background_task in (
                 self._synchronizer.run,
                 self._broadcaster.run,
@@ -138,10 +139,11 @@
         self._stop.set()
 
     async def _drain(self) -> None:
-        """Accept connections until the balancer sends none, then drain.
+        """Keep accepting connections for a time, then wait for requests.
 
-        Returns when no request is in flight, or when the rest must be
-        cancelled.
+        Connections are accepted until `ACCEPT_FRACTION` of the shutdown is
+        over. Returns when no request is in flight any more, or after
+        `DRAIN_FRACTION`; the remaining requests are then cancelled.
         """
         loop = asyncio.get_running_loop()
         started_at = self._stop_started_at
--- a/rudderrock/gateway/_settings.py
+++ b/rudderrock/gateway/_settings.py
@@ -7,8 +7,10 @@
 
 Address = tuple[str, int]
 
-# Number of hosts assumed until they have been counted. A high value is safe:
-# each host then uses a smaller share of the common limits.
+# Number of hosts assumed until they have been counted. A value above the real
+# number is safe, because each host then uses a smaller share of the common
+# limits. With a value below it, the hosts together may exceed the limits until
+# they have been counted.
 ASSUMED_HOSTS = 9
 
 
@@ -22,12 +24,14 @@
     the number of first requests, plus `extra_slack`.
 
     `warmup_overage` and `warmup_slack` limit the requests to a cold upstream.
-    In any second all hosts together may send `warmup_overage` times the
-    warm-up rate of its service, plus `warmup_slack`.
-
-    `stop_s` is the duration of a graceful shutdown after which the process is
-    killed. `cores` is the speed of this host's processor in whole cores, and
-    `link_bytes_s` the bandwidth of its link in bytes per second, 0 if unknown.
+    In any second all hosts together may send it `warmup_overage` times the
+    warm-up rate of its service, plus `warmup_slack`. An overage of 1
+    without slack allows exactly that rate.
+
+    The process is killed from outside `stop_s` seconds after a graceful
+    shutdown has started. `cores` is the speed of this host's processor in
+    units of one whole core, and may be a fraction. `link_bytes_s` is the
+    bandwidth of its link in bytes per second, 0 if unknown.
     `capacity` is used to compare hosts: cores times link bandwidth in Mbit/s.
     `seeds` are addresses at which some hosts serve their peers, for a host
     that starts while the source does not answer; they may be outdated.
--- a/rudderrock/gateway/forwarding/_calls.py
+++ b/rudderrock/gateway/forwarding/_calls.py
@@ -41,14 +41,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Call:
-    """One request of a caller, as seen by its service calls.
+    """A request of a caller, with the data that its service calls share.
 
     `expires_at` is the loop time at which the request is abandoned, and
     `goal_at` the loop time by which its answer should be sent. An attempt
     counts as late after `late_after_s` seconds. Up to `max_missing` services
-    may be missing from the answer. With `may_have_run_elsewhere`, the request
-    has been sent to another host, which may have started it, so each attempt
-    counts as an extra one. `canary` decides which attempts may be sent.
+    may be missing from the answer. If `may_have_run_elsewhere` is true,
+    another host may have started the request, so each attempt of this host
+    counts against the budget of extra requests. `canary` decides which
+    attempts may be sent.
     """
 
     request: messages.Request
@@ -57,7 +58,7 @@
     expires_at: float
     goal_at: float
     late_after_s: float
-    head: messages.Headers
+    forwarded_headers: messages.Headers
     canary: canary.Canary
     max_missing: int = 0
     may_have_run_elsewhere: bool = False
@@ -74,7 +75,7 @@
     ) -> bytes:
         """Return the request to one upstream, with the remaining time."""
         headers = [
-            *self.head,
+            *self.forwarded_headers,
             (names.deadline_ms, self.format_remaining_ms(now)),
             (names.expected_upstream, upstream.encode('ascii')),
         ]
--- a/rudderrock/gateway/forwarding/_connections.py
+++ b/rudderrock/gateway/forwarding/_connections.py
@@ -10,18 +10,23 @@
 from rudderrock.gateway.discovery import _topology as topology
 from rudderrock.gateway.forwarding import _delegate as delegate
 
-# How the slack of extra requests is divided for services that only wide
-# queries use: one fraction for the coordinators, one for all other hosts,
-# which send a query themselves when a coordinator has not started it. The rest
-# is reserved for hosts that become coordinators within the budget's window.
-# When the slack was divided evenly over all 62 hosts, hedges were denied in
-# seconds of heavy load (docs/benchmarks.md, figures of thresholds).
+# Division of the slack for services that only wide queries use. The slack is
+# the number of extra requests that all hosts together may send in addition to
+# a fraction of their first requests. One part is for the coordinators and one
+# for all other hosts, which run a query themselves if no coordinator has
+# started it. The rest is reserved for hosts that become coordinators within
+# the budget's window. When the slack was divided evenly over all 62 hosts,
+# hedges were denied in seconds of heavy load (docs/benchmarks.md, figures of
+# thresholds).
 COORDINATOR_SLACK_FRACTION = 0.6
 OTHER_HOST_SLACK_FRACTION = 0.25
 
 
-class Connections:
-    """Opens connections in advance, within this host's limits."""
+class ConnectionPlanner:
+    """Computes which connections this host needs, and its shares of limits.
+
+    It has them opened in advance.
+    """
 
     def __init__(
         self,
@@ -63,7 +68,7 @@
                     return
 
     def is_wide(self, shards: tuple[routing.ServiceName, ...]) -> bool:
-        """Return whether only coordinators run queries over these shards."""
+        """Return whether a query over these shards is a wide query."""
         return len(shards) >= delegate.WIDE_SHARDS
 
     def runs_locally(self, shards: tuple[routing.ServiceName, ...]) -> bool:
@@ -73,11 +78,12 @@
         )
 
     def share_slack(self, service: routing.ServiceName, slack: float) -> float:
-        """Return this host's share of the extra requests to a service.
+        """Return how much of `slack` this host may use for a service.
 
         `slack` is the number of extra requests that all hosts together may
-        send in addition to what their own requests allow. Few hosts send to
-        services that only wide queries use, so those hosts share most of it.
+        send to the service in addition to a fraction of their first requests.
+        For services that only wide queries use, coordinators get most of it,
+        because few other hosts send to these services.
         """
         if service not in self._wide_services:
             return slack / self._hosts.count()
@@ -91,7 +97,12 @@
     def list_required_services(
         self, selector: replicas.ReplicaSelector
     ) -> set[routing.ServiceName]:
-        """Return the services to which this host itself sends requests."""
+        """Return the services to which this host keeps connections open.
+
+        These are the services to which it sends requests itself; of the
+        shards of wide queries, only those with an upstream in its zone. The
+        set is empty if there is no table or this host is not registered.
+        """
         table = self._tables.current
         if table is None or not self._hosts.is_listed:
             return set()
--- a/rudderrock/gateway/forwarding/_delegate.py
+++ b/rudderrock/gateway/forwarding/_delegate.py
@@ -31,20 +31,23 @@
 
 # Minimum number of shards of a wide query.
 WIDE_SHARDS = 48
-# How long a host is initially skipped if it sent no interim reply. It may just
-# have been busy.
+# Skip time after the first call without an interim reply; each consecutive
+# failure doubles it. It starts short, because the host may only have been
+# busy.
 UNRESPONSIVE_SKIP_S = 1.0
 # How long a host is skipped after it refused a query, usually because its
 # routing table differs. The tables converge within this time.
 REFUSAL_SKIP_S = 0.3
 # How long a full host is skipped. Its queued work takes a tenth of a latency
-# goal, about 10 to 30 ms. It is asked again soon afterwards, so that the load
-# on other hosts ends with the burst.
+# goal, about 10 to 30 ms. It is asked again soon afterwards, so that other
+# hosts carry its load only for a short time after a burst.
 FULL_SKIP_S = 0.1
-# A host is skipped if its answer is this much later than the latency goal.
-SUSPECT_AFTER_S = 0.1
+# A host is skipped if it has not answered this long after the latency goal,
+# both counted from the time at which it was asked.
+LATE_MARGIN_S = 0.1
 # Headers of a delegated query: the table version of the delegating host, and
-# the time in ms since that host received the query.
+# the time in ms since that host received the query, with an estimate of the
+# round trip and the overhead of the other host added.
 VERSION = b'rudderrock-table-version'
 ELAPSED = b'rudderrock-elapsed-ms'
 # Comma-separated shards to query, if not all shards of the query.
@@ -63,7 +66,7 @@
 # Reason why a host has not started the query.
 REFUSAL_REASON = b'rudderrock-not-taken'
 # Headers that are never forwarded to upstreams.
-OWN_HEADERS = frozenset(
+DELEGATION_HEADERS = frozenset(
     {VERSION, ELAPSED, SHARDS, MIN_ANSWERS, MUST_RUN, ROUTE}
 )
 _MAX_CONNECTIONS = 16
@@ -82,14 +85,15 @@
 HOP_OVERHEAD_S = 0.006
 # Round-trip time that is assumed until it has been measured.
 DEFAULT_ROUND_TRIP_S = 0.006
-# Time for a part of a query without round trips, as a multiple of the route's
-# hedge threshold.
+# Time that a host needs to answer a part of a query, as a multiple of the
+# route's hedge threshold. Round trips to the host are added separately.
 PART_TIME_FACTOR = 1.1
 # How long a host may take, in addition to the round trip, to send the interim
 # reply that shows it has read a query. A frozen or disconnected host sends
-# none; a busy one reads between two tasks. Without an interim reply, the
-# shards are queried across zones: with 20 ms instead of 50 ms, traffic between
-# zones cost 1.65 times as much (docs/benchmarks.md, figures of thresholds).
+# none; a busy one sends it when its current task is done. If none arrives in
+# time, the shards are queried across zones, which costs more traffic: with 20
+# ms instead of 50 ms, traffic between zones cost 1.65 times as much
+# (docs/benchmarks.md, figures of thresholds).
 INTERIM_REPLY_TIMEOUT_S = 0.05
 # Outcomes by the status of another host's reply; any other failure is `LOST`.
 _OUTCOME_BY_STATUS = {
@@ -100,9 +104,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidate:
-    """The host to ask next for a query or a part.
+    """The host to ask next for a query, or for a part of one.
 
-    The last candidate must not refuse because it is full.
+    If `is_last` is true, no other host is asked after it, so it must run the
+    query even if it is full.
     """
 
     entry: fleet.HostEntry
@@ -127,10 +132,11 @@
 class PartAnswer:
     """Answer of a host in another zone for some shards.
 
-    `stamps` are the signatures of the answers whose records are merged in
-    `body`, `missing` the shards without an answer. If `crashed_upstreams` is
-    not None, shards are missing because these upstreams crashed while
-    handling the query, and the delegating host has to query the shards itself.
+    `stamps` are the upstreams' signatures of the answers whose records are
+    merged in `body`. `missing` are the shards without an answer.
+    `crashed_upstreams` are the upstreams that crashed while handling the
+    query, or None if no shard is missing for that reason. If it is not None,
+    the delegating host has to query the missing shards itself.
     """
 
     stamps: list[bytes]
@@ -140,10 +146,10 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NotStarted:
-    """Result for a host that is not known to have started a query.
+class NotConfirmed:
+    """Result for a host that gave no sign of having started a query.
 
-    If the query was `sent`, the host may still start it later.
+    If `sent` is true, the host may have received the query and still start it.
     """
 
     sent: bool
@@ -210,7 +216,11 @@
         tried: tuple[core.HostId, ...],
         max_candidates: int,
     ) -> Candidate | None:
-        """Return the next candidate; number `max_candidates` is the last."""
+        """Return the next candidate, or None if no host is left.
+
+        It is marked as the last one if at least `max_candidates` - 1 hosts
+        have been tried.
+        """
         entry = self.coordinators.pick(zone, request_id, tried)
         if entry is None:
             return None
@@ -226,10 +236,12 @@
                 self._get_client(entry).warm(_WARM_CONNECTIONS)
 
     def has_time_to_hedge(self, zone: core.ZoneId, call: calls.Call) -> bool:
-        """Return whether every host of a zone can hedge and meet the goal.
+        """Return whether the hosts of a zone can meet the goal with a hedge.
 
-        A hedge, sent after a late first attempt, may need another round trip
-        of the same length. Round trips that are too long are measured again.
+        This must hold for each available host, and the zone must have one.
+        The time left must cover two round trips of the same length: the one
+        to the host, and one for a hedge that follows a late first attempt.
+        Each round trip that is too long is measured again.
         """
         available = self.coordinators.list_available(zone)
         if not available:
@@ -311,7 +323,7 @@
 
     async def run(
         self, candidate: Candidate, call: calls.Call
-    ) -> results.Result | NotStarted:
+    ) -> results.Result | NotConfirmed:
         """Return the result of a query that another host runs."""
         answer = await self._ask(candidate, call, [])
         match answer:
@@ -320,9 +332,9 @@
             case result.Err(
                 http_client.NoReply(had_interim_reply=False) as problem
             ):
-                return NotStarted(problem.sent)
+                return NotConfirmed(problem.sent)
             case result.Err(problem):
-                return results.fail(
+                return results.make_lost_result(
                     self._names,
                     call.request_id,
                     problem.timed_out,
@@ -353,7 +365,7 @@
                 now - call.request.arrived + round_trip_s + HOP_OVERHEAD_S
             )
             return [
-                *call.head,
+                *call.forwarded_headers,
                 (self._names.deadline_ms, call.format_remaining_ms(now)),
                 (VERSION, b'%d' % version),
                 (ROUTE, call.route.digest),
@@ -361,8 +373,8 @@
                 *extra_headers,
             ]
 
-        suspect = loop.call_later(
-            call.route.goal_s + SUSPECT_AFTER_S,
+        late_timer = loop.call_later(
+            call.route.goal_s + LATE_MARGIN_S,
             self.coordinators.skip,
             entry,
             'no answer in time',
@@ -378,7 +390,7 @@
                 interim_timeout_s=round_trip_s + INTERIM_REPLY_TIMEOUT_S,
             )
         finally:
-            suspect.cancel()
+            late_timer.cancel()
         match answer:
             case result.Ok(reply) if reply.get_header(REFUSAL_REASON) is None:
                 self.coordinators.record_success(entry)
@@ -467,26 +479,33 @@
     reply: messages.Reply,
 ) -> tuple[core.UpstreamLife, ...] | None:
     """Return upstreams that crashed in a query, or None if not given."""
-    listed = reply.get_header(CRASHED_UPSTREAMS)
-    if listed is None:
+    header_value = reply.get_header(CRASHED_UPSTREAMS)
+    if header_value is None:
         return None
     return tuple(
-        core.UpstreamLife(incarnation) for incarnation in _split_list(listed)
+        core.UpstreamLife(incarnation)
+        for incarnation in _split_list(header_value)
     )
 
 
-def parse_service_names(listed: bytes) -> tuple[routing.ServiceName, ...]:
+def parse_service_names(
+    header_value: bytes,
+) -> tuple[routing.ServiceName, ...]:
     """Return the services listed in a header."""
-    return tuple(routing.ServiceName(name) for name in _split_list(listed))
+    return tuple(
+        routing.ServiceName(name) for name in _split_list(header_value)
+    )
 
 
-def _split_list(listed: bytes) -> list[str]:
-    return [each for each in listed.decode('latin-1').split(',') if each]
+def _split_list(header_value: bytes) -> list[str]:
+    return [each for each in header_value.decode('latin-1').split(',') if each]
 
 
 def make_refusal(
     names: header_names.HeaderNames, reason: RefusalReason, detail: str = ''
 ) -> messages.Reply:
     """Return the reply that refuses a delegated query."""
-    said = f'{reason.value} {detail}'.strip().encode('latin-1')
-    return messages.Reply(503, [(REFUSAL_REASON, said), (names.not_run, b'1')])
+    reason_text = f'{reason.value} {detail}'.strip().encode('latin-1')
+    return messages.Reply(
+        503, [(REFUSAL_REASON, reason_text), (names.not_run, b'1')]
+    )
--- a/rudderrock/gateway/forwarding/_forward.py
+++ b/rudderrock/gateway/forwarding/_forward.py
@@ -30,9 +30,9 @@
 HEDGE_CUTOFF_FRACTION = 0.6
 # An answer is sent this long before the goal or the deadline. The margin
 # covers the network time in both directions, which the caller's clock
-# includes, and a busy core. With 12 ms a third more answers were late. With
-# 23 ms the loss from abandoned shards outweighed the additional answers in
-# time (docs/benchmarks.md, figures of thresholds).
+# includes, and delays on a busy core. With 12 ms a third more answers were
+# late. With 23 ms the loss from abandoned shards outweighed the additional
+# answers in time (docs/benchmarks.md, figures of thresholds).
 REPLY_MARGIN_S = 0.018
 
 
@@ -65,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WholeQuery:
-    """All `total` services of a query.
+    """Scope of a call to all services of a query; `total` is their number.
 
     Once the latency goal is reached, `min_answers` answers are enough.
     """
@@ -76,11 +76,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueryPart:
-    """Some services of a query that another host runs.
+    """Scope of a call to some services of a query that another host runs.
 
     `total` counts all services of the query. Once the latency goal is
-    reached, `min_answers` answers are enough. Fewer answers are still useful
-    to the other host.
+    reached, `min_answers` answers are enough. A part with fewer answers is
+    sent later, because they are still useful to the other host.
     """
 
     total: int
@@ -179,8 +179,9 @@
     def _order_first_attempts(self) -> list[service_call.ServiceCall]:
         """Return the service calls that this host sends itself, in order.
 
-        The first one sends the canary of a suspect request, so services with
-        the most live upstreams come first in that case.
+        If the request is suspect, because it may crash upstreams, the first
+        call is sent alone as a test (canary). Services with the most live
+        upstreams come first in that case.
         """
         local_calls = [
             each for each in self.service_calls if not each.is_delegated
@@ -192,8 +193,9 @@
     def _skip_if_unsatisfiable(self) -> bool:
         """Skip all services and return True if too few have upstreams.
 
-        Shortly after an outage of the registry, upstreams may still be
-        missing. Sending requests that must be cancelled would waste work.
+        Shortly after an outage of the source, upstreams may not have
+        registered again. Sending requests that must be cancelled would waste
+        work.
         """
         selector = self._context.selector
         without_upstream = [
@@ -242,8 +244,8 @@
                 if not each.has_answer
             )
 
-    def _list_unanswered(self) -> list[service_call.ServiceCall]:
-        """Return the unsettled service calls that this host sent itself."""
+    def _list_local_unsettled(self) -> list[service_call.ServiceCall]:
+        """Return the unsettled service calls that no other host processes."""
         return [
             each
             for each in self.service_calls
@@ -251,11 +253,14 @@
         ]
 
     def _has_common_cause(self, late: int) -> bool:
-        """Return whether so many are late that the cause must be common."""
+        """Return whether too many service calls are late at once.
+
+        The cause is then common to them, and not one of the upstreams.
+        """
         return late > max(1, COMMON_CAUSE_FRACTION * self._scope.total)
 
     def _on_late(self) -> None:
-        late = self._list_unanswered()
+        late = self._list_local_unsettled()
         if not self._late_recorded:
             self._late_recorded = True
             for each in late:
@@ -267,31 +272,32 @@
         if self._has_no_answer_yet() and self._schedule_late_check():
             return
         # Every late shard is worth an extra request, even to another region.
-        # When wide queries sent one hedge less, 1,101 of 1,531 answers lacked
+        # With one hedge less per wide query, 1,101 of 1,531 answers lacked
         # shards instead of about 500 of 1,540 (single runs with 62 hosts).
         for each in late:
             each.hedge()
 
     def _has_no_answer_yet(self) -> bool:
-        """Return whether no upstream has answered a call of many services.
-
-        If the call crashes upstreams, hedging all shards at once also crashes
-        the last upstream of each shard: 36 of 56 upstreams instead of 28, in a
-        scenario of 28 shards with 8 of them in a part. Hedges therefore wait
-        for a first answer, at most until `HEDGE_CUTOFF_FRACTION` of the goal.
-        The cost: if the first upstreams of the part are all unreachable, its
-        query takes 0.28 s instead of 0.16 s, of a goal of 0.5 s. Sending a
-        single hedge beforehand crashed 29 upstreams and took 0.2 s.
+        """Return whether a call to several services has no answer yet.
+
+        Hedges then wait for a first answer, at most until
+        `HEDGE_CUTOFF_FRACTION` of the goal. If the call crashes upstreams,
+        hedging all shards at once also crashes the last upstream of each
+        shard: 36 of 56 upstreams instead of 28, in a scenario of 28 shards
+        with 8 of them in a part. The wait costs time if the first upstreams
+        of the part are all unreachable: its query takes 0.28 s instead of
+        0.16 s, of a goal of 0.5 s. Sending a single hedge beforehand crashed
+        29 upstreams and took 0.2 s.
         """
         return (
             len(self.service_calls) > 1 and not self._call.canary.is_answered
         )
 
     def _schedule_late_check(self) -> bool:
-        """Schedule another check for late attempts.
+        """Schedule another check for late attempts, unless it is too late.
 
-        Return whether a check was scheduled; past `HEDGE_CUTOFF_FRACTION` of
-        the goal, none is.
+        Return whether it was scheduled, which requires that it is due before
+        `HEDGE_CUTOFF_FRACTION` of the goal.
         """
         loop = self._context.loop
         call = self._call
@@ -317,7 +323,10 @@
     service: routing.ServiceName,
     threshold: core.LatePoint,
 ) -> results.Result:
-    """Forward a call to one service and return its answer unchanged."""
+    """Forward a call to one service and return its answer.
+
+    Without an answer, the reply states the failure.
+    """
     forwarder = Forwarder(
         context, call, (service,), threshold, WholeQuery(1, 1)
     )
@@ -343,7 +352,7 @@
             late=late,
             lost=settled_call.lost,
         )
-    failed = results.explain_failure(
+    failed = results.make_failure_result(
         context.names,
         call.request_id,
         may_have_run([settled_call]),
@@ -355,7 +364,7 @@
 
 
 def may_have_run(service_calls: list[service_call.ServiceCall]) -> bool:
-    """Return whether any upstream may have run a part of a call."""
+    """Return whether any upstream may have run any of the service calls."""
     return any(
         each.has_answer or each.may_have_run or each.was_cancelled
         for each in service_calls
--- a/rudderrock/gateway/forwarding/_gateway.py
+++ b/rudderrock/gateway/forwarding/_gateway.py
@@ -42,7 +42,8 @@
 # Interval between searches for connections that are no longer needed.
 SWEEP_INTERVAL_S = 0.25
 # Interval at which connections for hedges are renewed. An idle connection is
-# closed after 7.5 s, so one is missing for at most a seventh of the time.
+# closed after 7.5 s and renewed at most 1 s later, so one is missing for at
+# most a seventh of the time.
 WARM_INTERVAL_S = 1.0
 
 
@@ -78,7 +79,7 @@
             dependencies.events,
             lambda: dependencies.tables.version,
         )
-        self._connections = connections.Connections(
+        self._connections = connections.ConnectionPlanner(
             dependencies.tables,
             dependencies.upstream_directory,
             dependencies.hosts,
@@ -181,9 +182,9 @@
         """Answer a wide query that another host has delegated.
 
         The query is refused if this host is stopping or full, has no table,
-        or has an older table that defines the route differently. A query with
-        a list of shards is also refused if a newer table defines the route
-        differently.
+        or has a table that defines the route differently than the delegating
+        host's table. A query without a list of shards is accepted in spite of
+        that if this host's table is newer.
         """
         version = request.get_header(delegate.VERSION) or b''
         names = self._config.names
@@ -227,14 +228,15 @@
         request: messages.Request,
         version: int,
     ) -> bool:
-        """Return whether both hosts' tables define the query's route equally.
-
-        Most table versions leave a given route unchanged. With a comparison
-        of versions only and three new versions per second, 49 queries and
-        parts were refused within 4 s, and their shards were queried from
-        another region. With the comparison of routes, the fraction of
-        requests answered in time rose from 0.91 to 0.92 (60 hosts, one run
-        each).
+        """Return whether two tables define the query's route in the same way.
+
+        These are the tables of this host and of the delegating host. Most
+        table versions leave a given route unchanged, so a comparison of
+        versions only would refuse many queries needlessly: with three new
+        versions per second, 49 queries and parts were refused within 4 s, and
+        their shards were queried from another region. With the comparison of
+        routes, the fraction of requests answered in time rose from 0.91 to
+        0.92 (60 hosts, one run each).
         """
         if table.version == version:
             return True
@@ -259,12 +261,15 @@
     ) -> messages.Reply:
         """Answer one request, and log and count its outcome.
 
-        If `shards` is not empty, only these shards are queried.
+        During startup it first waits for the initial data, for a limited
+        time. If `shards` is not empty, only these shards are queried.
         """
         if not self.is_ready:
             await self._dependencies.initial_sync.wait()
         table = self._dependencies.tables.current
         route = self._find_route(table, request)
+        # Recorded if `_answer` does not return, usually because the caller has
+        # left and this task is cancelled.
         result = results.Result(
             messages.Reply(503, []),
             results.Outcome.CALLER_LEFT,
@@ -291,7 +296,7 @@
         if request_id is None:
             return _reject(400, results.Outcome.INVALID, 'no request id')
         if table is None or not self.is_ready:
-            return results.refuse(
+            return results.make_refusal_result(
                 names,
                 request_id,
                 NOT_READY_RETRY_AFTER_S,
@@ -302,10 +307,12 @@
         deadline_s = _read_deadline(request.get_header(names.deadline_ms))
         if deadline_s is None:
             deadline_s = route.timeout_s
-        probe = self._make_canary(request, is_part=bool(shards))
-        if probe.state is quarantine.QuarantineState.QUARANTINED:
-            return self._refuse_quarantined(request_id, probe, shards)
-        call = self._make_call(request, request_id, route, deadline_s, probe)
+        call_canary = self._make_canary(request, is_part=bool(shards))
+        if call_canary.state is quarantine.QuarantineState.QUARANTINED:
+            return self._refuse_quarantined(request_id, call_canary, shards)
+        call = self._make_call(
+            request, request_id, route, deadline_s, call_canary
+        )
         threshold = self._thresholds.get(route)
         match route.target:
             case routing.Single(service=service):
@@ -372,12 +379,12 @@
             if candidate is None:
                 break
             match await self.delegation.run(candidate, call):
-                case delegate.NotStarted(sent=True):
+                case delegate.NotConfirmed(sent=True):
                     call = dataclasses.replace(
                         call, may_have_run_elsewhere=True
                     )
                     break
-                case delegate.NotStarted():
+                case delegate.NotConfirmed():
                     tried = (*tried, candidate.entry.host)
                 case result:
                     return result
@@ -394,13 +401,13 @@
         """Run a query over shards if admission control allows it."""
         concurrency = self.admission.get_limit(scatter.shards)
         if not self.admission.try_acquire(concurrency, rank):
-            return results.refuse(
+            return results.make_refusal_result(
                 self._config.names,
                 call.request_id,
                 admission.RETRY_AFTER_S,
                 results.Outcome.OVERLOADED,
                 f'{concurrency.in_flight} in flight, limit '
-                f'{concurrency.limit:.1f}, rank {rank}',
+                f'{concurrency.limit:.1f}, priority rank {rank}',
             )
         congested = None
         query_class = host_load.QueryClass(call.route.name, is_part=False)
@@ -426,14 +433,14 @@
         request_id: bytes,
         route: routing.Route,
         deadline_s: float,
-        probe: canary.Canary,
+        call_canary: canary.Canary,
     ) -> calls.Call:
         names = self._config.names
         time_limit_s = (
             min(deadline_s, route.timeout_s) - forward.REPLY_MARGIN_S
         )
         excluded_headers = {names.deadline_ms, names.expected_upstream}
-        excluded_headers |= delegate.OWN_HEADERS
+        excluded_headers |= delegate.DELEGATION_HEADERS
         return calls.Call(
             request=request,
             request_id=request_id,
@@ -441,12 +448,12 @@
             expires_at=request.arrived + time_limit_s,
             goal_at=request.arrived + route.goal_s - forward.REPLY_MARGIN_S,
             late_after_s=self._thresholds.get(route).get(),
-            head=[
+            forwarded_headers=[
                 pair
                 for pair in messages.remove_hop_by_hop_headers(request.headers)
                 if pair[0] not in excluded_headers
             ],
-            canary=probe,
+            canary=call_canary,
         )
 
     def _make_canary(
@@ -462,30 +469,30 @@
     def _refuse_quarantined(
         self,
         request_id: bytes,
-        probe: canary.Canary,
+        call_canary: canary.Canary,
         shards: tuple[routing.ServiceName, ...],
     ) -> results.Result:
         """Refuse a request that is quarantined for crashing upstreams."""
         names = self._config.names
         if shards:
-            return gather.refuse_part(
-                names, request_id, shards, probe.list_crashed()
+            return gather.make_empty_part(
+                names, request_id, shards, call_canary.list_crashed()
             )
-        return results.refuse(
+        return results.make_refusal_result(
             names,
             request_id,
-            probe.get_retry_after_s(),
+            call_canary.get_retry_after_s(),
             results.Outcome.QUARANTINED,
             service_call.QUARANTINED,
         )
 
-    def _digest_if_suspect(
+    def _get_logged_digest(
         self, request: messages.Request, result: results.Result
     ) -> str:
-        """Return the digest of a request with lost attempts, else ''.
+        """Return the digest of a request for its log line, or ''.
 
-        Copies of the request have the same digest. It is also returned for a
-        quarantined request.
+        It is logged if the request lost attempts or is quarantined. Copies of
+        the request have the same digest.
         """
         is_quarantined = result.outcome is results.Outcome.QUARANTINED
         if not (result.lost or is_quarantined):
@@ -523,7 +530,11 @@
         self._connections.warm(self.selector)
 
     def get_extra_slack(self, service: routing.ServiceName) -> float:
-        """Return how many extra requests a window always allows."""
+        """Return this host's share of the extra slack for a service.
+
+        It is the number of extra requests that this host may send within
+        `extra_window_s` regardless of the number of its first requests.
+        """
         return self._connections.share_slack(service, self._config.extra_slack)
 
     def _get_budget(
@@ -568,7 +579,7 @@
             extras=result.extras,
             denied=result.denied,
             lost=result.lost,
-            digest=self._digest_if_suspect(request, result),
+            digest=self._get_logged_digest(request, result),
             waited_for=result.waited_for,
             upstreams_age_ms=round(upstream_directory.age_s * 1000),
             elapsed_ms=round(elapsed_s * 1000, 1),
--- a/rudderrock/gateway/forwarding/_gather.py
+++ b/rudderrock/gateway/forwarding/_gather.py
@@ -17,6 +17,7 @@
 
 def count_min_answers(shards: int, min_coverage: float) -> int:
     """Return how many of `shards` shards an answer must contain."""
+    # The subtraction tolerates rounding errors: 100 * 0.55 is above 55.
     return max(1, math.ceil(shards * min_coverage - 1e-9))
 
 
@@ -43,7 +44,7 @@
     merged = _merge(context, call, scatter, forwarder)
     if merged.answered >= min_answers:
         return merged
-    failed = results.explain_failure(
+    failed = results.make_failure_result(
         context.names,
         call.request_id,
         forward.may_have_run(forwarder.service_calls),
@@ -64,9 +65,10 @@
     shards: tuple[routing.ServiceName, ...],
     min_answers: int,
 ) -> results.Result:
-    """Query some shards for another host, and list the missing ones.
+    """Return the merged answer of some shards for another host.
 
-    Once the latency goal is reached, `min_answers` answers are enough.
+    A header of the reply lists the missing shards. Once the latency goal is
+    reached, `min_answers` answers are enough.
     """
     scope = forward.QueryPart(len(scatter.shards), min_answers)
     forwarder = forward.Forwarder(context, call, shards, threshold, scope)
@@ -83,15 +85,16 @@
     return merged
 
 
-def refuse_part(
+def make_empty_part(
     names: header_names.HeaderNames,
     request_id: bytes,
     shards: tuple[routing.ServiceName, ...],
     crashed: list[core.UpstreamLife],
 ) -> results.Result:
-    """Return an answer without any shard for a quarantined request.
+    """Return a part without any answer, for a quarantined request.
 
-    `crashed` are the upstreams that crashed while handling the request.
+    Its status is 200, and all `shards` are listed as missing. `crashed` are
+    the upstreams that crashed while handling the request.
     """
     headers = [
         *_make_part_headers(names, request_id, [], len(shards)),
--- a/rudderrock/gateway/forwarding/_parts.py
+++ b/rudderrock/gateway/forwarding/_parts.py
@@ -34,22 +34,22 @@
 class Part:
     """Some shards of one query, to be queried by a host of another zone.
 
-    `members` holds for each service call a replica of that zone, to which
-    this host would otherwise have sent the call.
+    `replicas_by_call` maps each service call of the part to one of its nearest
+    replicas, which is in that zone.
     """
 
     def __init__(
         self,
         zone: core.ZoneId,
-        members: dict[service_call.ServiceCall, replicas.Replica],
+        replicas_by_call: dict[service_call.ServiceCall, replicas.Replica],
     ):
         self.zone = zone
         self.answer: delegate.PartAnswer | None = None
-        self._members = members
+        self._replicas_by_call = replicas_by_call
 
     def mark_delegated(self) -> None:
         """Mark all service calls of the part as delegated."""
-        for each, replica in self._members.items():
+        for each, replica in self._replicas_by_call.items():
             each.start_delegated(replica)
 
     async def fetch(
@@ -77,8 +77,12 @@
     async def _ask_hosts(
         self, delegation: delegate.Delegation, call: calls.Call
     ) -> _PartOutcome | None:
-        """Ask hosts of the zone until one accepts, None if none does."""
-        shards = tuple(each.service for each in self._members)
+        """Ask hosts of the zone in turn until one has been sent the query.
+
+        Return that host and its answer, or None if every host refused the
+        query or could not be sent it.
+        """
+        shards = tuple(each.service for each in self._replicas_by_call)
         min_answers = max(1, len(shards) - call.max_missing)
         tried: tuple[core.HostId, ...] = ()
         while candidate := delegation.choose_in_zone(
@@ -97,7 +101,7 @@
 
     def _start_locally(self) -> None:
         """Send the service calls from this host, as no other host did."""
-        for each in self._members:
+        for each in self._replicas_by_call:
             each.start_locally()
 
     def _accept(
@@ -107,18 +111,18 @@
         call: calls.Call,
     ) -> None:
         """Settle the service calls according to the answer of the part."""
-        if len(part_answer.missing) < len(self._members):
+        if len(part_answer.missing) < len(self._replicas_by_call):
             self.answer = part_answer
         part_failure = service_call.PartFailure.NO_ANSWER
-        for each in self._members:
+        for each in self._replicas_by_call:
             if each.service not in part_answer.missing:
                 each.settle_from_part()
         if part_answer.crashed_upstreams is not None:
             part_failure = service_call.PartFailure.HELD_BACK
             call.canary.mark_suspected(part_answer.crashed_upstreams)
-        # Missing shards come last: an answer clears the request of suspicion,
-        # so their retries may be sent at once.
-        for each in self._members:
+        # Missing shards are handled last: once a shard has answered, the
+        # request no longer counts as suspect, and retries need not wait.
+        for each in self._replicas_by_call:
             if each.service in part_answer.missing:
                 each.handle_part_failure(
                     f'no answer in the part from {host}', part_failure
@@ -127,7 +131,7 @@
     def _mark_failed(
         self, detail: str, part_failure: service_call.PartFailure
     ) -> None:
-        for each in self._members:
+        for each in self._replicas_by_call:
             each.handle_part_failure(detail, part_failure)
 
 
@@ -162,14 +166,14 @@
                 fleet.rank_name(call.request_id + each.encode()),
             ),
         )
-        members = {
+        replicas_by_call = {
             each: replicas_by_zone[zone]
             for each, replicas_by_zone in nearest.items()
             if zone in replicas_by_zone
         }
-        for each in members:
+        for each in replicas_by_call:
             del nearest[each]
-        parts.append(Part(zone, members))
+        parts.append(Part(zone, replicas_by_call))
     return parts
 
 
@@ -179,9 +183,10 @@
     service_calls: list[service_call.ServiceCall],
     delegation: delegate.Delegation,
 ) -> dict[service_call.ServiceCall, dict[core.ZoneId, replicas.Replica]]:
-    """Return the nearest replicas by zone for shards without a local one.
+    """Return the nearest replicas of each service call by zone.
 
-    Zones whose hosts can't answer in time are left out.
+    Service calls with a replica in this host's zone are left out, and so are
+    zones whose hosts can't answer in time.
     """
     nearest = {}
     has_time_by_zone: dict[core.ZoneId, bool] = {}
--- a/rudderrock/gateway/forwarding/_records.py
+++ b/rudderrock/gateway/forwarding/_records.py
@@ -3,6 +3,7 @@
 from collections.abc import Iterable
 import heapq
 
+# Size of a record. The byte order of records is their rank.
 RECORD_BYTES = 16
 
 
@@ -15,8 +16,8 @@
     ]
 
 
-def merge_records(parts: Iterable[bytes], top_k: int) -> bytes:
-    """Return the `top_k` greatest records of all parts in descending order.
+def merge_records(bodies: Iterable[bytes], top_k: int) -> bytes:
+    """Return the `top_k` greatest records of all bodies in descending order.
 
     Records are compared byte by byte. Duplicates are kept.
 
@@ -24,6 +25,6 @@
     True
     """
     records: list[bytes] = []
-    for part in parts:
-        records += split_records(part)
+    for body in bodies:
+        records += split_records(body)
     return b''.join(heapq.nlargest(top_k, records))
--- a/rudderrock/gateway/forwarding/_results.py
+++ b/rudderrock/gateway/forwarding/_results.py
@@ -16,7 +16,17 @@
 
 
 class Outcome(enum.Enum):
-    """Outcome of a request in logs and metrics."""
+    """How a request ended, as stated in logs and metrics.
+
+    ANSWERED is a complete answer, PARTIAL a merged answer without some shards,
+    and UPSTREAM_FAILED an error reply of an upstream. With LOST or TIMED_OUT
+    there is no answer, but an upstream may have run the request. With NOT_RUN
+    none has run it. The gateway refuses a request if there are too many
+    (OVERLOADED), if it has crashed upstreams (QUARANTINED), if no route
+    matches it (UNROUTED), if it has no request id (INVALID), or if routes and
+    upstreams are not known yet (NOT_READY). CALLER_LEFT is a request whose
+    caller has closed the connection before the answer.
+    """
 
     ANSWERED = 'answered'
     PARTIAL = 'partial'
@@ -36,6 +46,9 @@
 class Result:
     """The reply to a caller, and statistics of the request.
 
+    Of the `shards` of the request, `answered` have answered, and `late` had
+    not answered at the hedge threshold. `waited_for` describes the missing
+    services if there were too many of them when the latency goal was reached.
     `requests_sent` counts the requests that this host sent to upstreams and
     other hosts, `bytes_received` the bytes of records in their answers.
     `far` counts the answers from another region, `extras` the extra attempts,
@@ -67,14 +80,14 @@
     return '; '.join(named)
 
 
-def refuse(
+def make_refusal_result(
     names: header_names.HeaderNames,
     request_id: bytes,
     retry_after_s: float,
     outcome: Outcome,
     detail: str = '',
 ) -> Result:
-    """Return a 503 reply to a request that has not run, with retry-after."""
+    """Return a result with status 503 for a request that has not run."""
     headers = [
         (names.request_id, request_id),
         (b'retry-after', b'%.2f' % retry_after_s),
@@ -82,39 +95,44 @@
     return Result(messages.Reply(503, headers), outcome, detail)
 
 
-def fail(
+def make_lost_result(
     names: header_names.HeaderNames,
     request_id: bytes,
     timed_out: bool,
     detail: str,
 ) -> Result:
-    """Return a 502 or 504 reply to a request that may have run."""
+    """Return the result of a request that may have run.
+
+    The status is 504 after a timeout, else 502.
+    """
     outcome = Outcome.TIMED_OUT if timed_out else Outcome.LOST
     headers = [(names.request_id, request_id)]
     reply = messages.Reply(504 if timed_out else 502, headers)
     return Result(reply, outcome, detail)
 
 
-def explain_failure(
+def make_failure_result(
     names: header_names.HeaderNames,
     request_id: bytes,
-    reached: bool,
+    may_have_run: bool,
     timed_out: bool,
     detail: str,
-    probe: canary.Canary,
+    call_canary: canary.Canary,
 ) -> Result:
-    """Return the reply to a failed request.
+    """Return the result of a failed request.
 
     The status is 503 only if no upstream can have run the request.
     """
-    if reached:
-        return fail(names, request_id, timed_out, detail)
-    if probe.is_stopped:
-        return refuse(
+    if may_have_run:
+        return make_lost_result(names, request_id, timed_out, detail)
+    if call_canary.is_stopped:
+        return make_refusal_result(
             names,
             request_id,
-            probe.get_retry_after_s(),
+            call_canary.get_retry_after_s(),
             Outcome.QUARANTINED,
             detail,
         )
-    return refuse(names, request_id, RETRY_AFTER_S, Outcome.NOT_RUN, detail)
+    return make_refusal_result(
+        names, request_id, RETRY_AFTER_S, Outcome.NOT_RUN, detail
+    )
--- a/rudderrock/gateway/forwarding/_service_call.py
+++ b/rudderrock/gateway/forwarding/_service_call.py
@@ -21,7 +21,7 @@
 MIN_TIME_LEFT_S = 0.003
 # How long an attempt may continue after another attempt has answered. Closing
 # its connection at once would cost the upstream a new handshake.
-LOSER_TIMEOUT_S = 0.3
+ABANDONED_TIMEOUT_S = 0.3
 # Maximum number of attempts that do not reach an upstream. They do not count
 # towards the route's limit on attempts.
 MAX_UNSENT = 4
@@ -50,7 +50,8 @@
     """Why a part run by another host has no answer for a service."""
 
     NO_ANSWER = 'lacking'
-    # The other host has not tried all replicas as the request is suspect.
+    # The other host has not tried all replicas, because the request may crash
+    # them.
     HELD_BACK = 'held'
     LOST = 'lost'
 
@@ -58,10 +59,13 @@
 class ServiceCall:
     """The call to one service on behalf of a request.
 
-    After `start`, `on_settled` is called once. Then either `answer` is set,
-    or `is_in_part` is set because the answer is merged into a part that
-    another host returned, or the call has failed and `failure`,
-    `may_have_run` and `detail` describe how.
+    After `start`, `on_settled` is called once, unless the call is aborted.
+    There are then three cases:
+
+    - `answer` is set.
+    - `is_in_part` is set: another host was asked for a part of the query, and
+      the answer is merged into that part.
+    - The call has failed; `failure`, `may_have_run` and `detail` describe how.
     """
 
     def __init__(
@@ -87,6 +91,8 @@
         self.lost = 0
         self.is_late = False
         self.is_in_part = False
+        # Whether the call was delegated to another host, also after that host
+        # has returned its part. `is_delegated` ends when the part is returned.
         self.was_delegated = False
         self.settled = False
         self.winner: replicas.Replica | None = None
@@ -138,9 +144,9 @@
         self._run_when_allowed(self._send_first)
 
     def _run_when_allowed(self, send_attempt: Callable[[], None]) -> None:
-        """Send an attempt now or later, or fail, as the canary decides.
+        """Send an attempt when the canary allows it, or fail the call.
 
-        Every first attempt and every retry uses this method. Without this
+        Every first attempt and every retry must use this method. Without this
         check, copies of a single request crashed 146 upstreams within a
         minute (a query over 20 shards on seven hosts).
         """
@@ -182,7 +188,7 @@
             self._budget.count_request()
             self._context.counters.first_attempts += 1
             self._send(replica)
-        elif self._has_attempts_for_all() and self._may_send_again():
+        elif self._has_attempts_for_all() and self._try_spend_extra():
             self._context.counters.retries += 1
             self._send(replica)
         else:
@@ -221,10 +227,10 @@
 
         With `NO_ANSWER` the other host has tried all replicas, so the call
         fails. With `HELD_BACK` or `LOST` it is retried if the route allows an
-        attempt for each replica. If the part is lost, the number of attempts
-        that the other host made is unknown, but at most the number of
-        replicas. This also holds without an interim reply, which can be late
-        on a slow link.
+        attempt at each replica. The number of attempts that the other host
+        made for a lost part is unknown, but at most the number of replicas.
+        A missing interim reply does not show that it made none, because the
+        interim reply can be late on a slow link.
         """
         replica, self._delegated_replica = self._delegated_replica, None
         self.may_have_run = True
@@ -253,7 +259,12 @@
         self.settled = True
 
     def hedge(self) -> None:
-        """Send the call to a second replica because the first one is late."""
+        """Send a second attempt because the first one is late.
+
+        This requires that the call is idempotent, that a healthy replica is
+        left, and that the canary and the budget allow it. A first attempt
+        that is still queued is moved to the other replica instead.
+        """
         if self.settled or not self._attempts or not self._is_idempotent:
             return
         if self._call.canary.decide() is not canary.SendDecision.SEND:
@@ -269,7 +280,7 @@
             self.sent -= 1
             self._send(other)
             self._call.canary.record_inconclusive()
-        elif self._may_send_again():
+        elif self._try_spend_extra():
             self._context.counters.hedges += 1
             self._send(other)
 
@@ -295,7 +306,11 @@
             self._tried,
         )
 
-    def _may_send_again(self) -> bool:
+    def _try_spend_extra(self) -> bool:
+        """Spend one extra request from the budget.
+
+        Return False if the route or the budget does not allow it.
+        """
         if self.sent >= self._call.route.max_attempts:
             return False
         if self._budget.try_spend():
@@ -370,25 +385,25 @@
         outcome: link.Outcome,
     ) -> None:
         """Report to the canary whether the upstream survived the attempt."""
-        probe = self._call.canary
+        call_canary = self._call.canary
         match verdict:
-            case verdicts.Verdict.LOST if not probe.is_answered:
-                probe.record_lost()
+            case verdicts.Verdict.LOST if not call_canary.is_answered:
+                call_canary.record_lost()
                 endpoint = attempt.replica.endpoint
                 self._context.checker.check(
                     endpoint.address,
                     functools.partial(
-                        probe.record_checked, endpoint.incarnation
+                        call_canary.record_checked, endpoint.incarnation
                     ),
                 )
             case verdicts.Verdict.ANSWER:
-                probe.record_answer()
+                call_canary.record_answer()
             case verdicts.Verdict.FAILURE if _is_signed(
                 outcome, self._context.names
             ):
-                probe.record_answer()
+                call_canary.record_answer()
             case _:
-                probe.record_inconclusive()
+                call_canary.record_inconclusive()
 
     def _retry(self, verdict: verdicts.Verdict) -> None:
         now = self._context.loop.time()
@@ -412,7 +427,7 @@
             self._fail(self.detail)
 
     def _retry_any(self) -> None:
-        """Retry, also at replicas that have not run the request."""
+        """Retry at any replica, including those tried before."""
         self._timer = None
         self._run_when_allowed(self._send_to_any)
 
@@ -428,7 +443,7 @@
         if self.sent == 0:
             # No upstream has received the request, so this is no extra one.
             self._send(replica)
-        elif self._may_send_again():
+        elif self._try_spend_extra():
             self._context.counters.retries += 1
             self._send(replica)
         else:
@@ -443,7 +458,7 @@
         self._cancel_timer()
         for attempt in self._attempts:
             links = attempt.replica.links
-            links.abandon(attempt.exchange, LOSER_TIMEOUT_S)
+            links.abandon(attempt.exchange, ABANDONED_TIMEOUT_S)
         left = len(self._attempts)
         self._attempts.clear()
         for _ in range(left):
--- a/rudderrock/gateway/forwarding/_zones.py
+++ b/rudderrock/gateway/forwarding/_zones.py
@@ -30,10 +30,11 @@
         self._events = events
 
     def apply_evacuations(self, current: evacuations.Evacuations) -> None:
-        """Stop using evacuated zones, and use restored zones again.
+        """Stop using evacuated zones, and use zones again afterwards.
 
-        Upstreams of a restored zone are treated as cold: they may have become
-        cold recently, and their directory entries may not show it yet.
+        Upstreams of a zone whose evacuation has ended are treated as cold, so
+        that their rate is limited as after a start: they may have restarted
+        recently, and their directory entries may not show it yet.
         """
         change = self._directory.set_evacuated(current.zones)
         if change is None:
--- a/rudderrock/gateway/http/_header_names.py
+++ b/rudderrock/gateway/http/_header_names.py
@@ -12,14 +12,18 @@
 class HeaderNames:
     """The name of each header.
 
-    `request_id` identifies one attempt of a caller; `deadline_ms` is how
-    long the sender will wait, in milliseconds; `expected_upstream` names the
-    only upstream that may run the request; `stamp` is the upstream's
-    signature of a reply; `not_run` marks the rejection of a request that has
-    not been run; `part_stamps` lists the signatures of the shard replies in
-    a merged reply; `missing_parts` counts the shards that a merged reply
-    lacks; `team` identifies the team that sends the request, if the caller
-    states it.
+    - `request_id` identifies a request as its caller sent it. All attempts of
+      the gateway have the same id; a caller that sends a request again uses
+      another one.
+    - `deadline_ms` is how long the sender will wait, in milliseconds.
+    - `expected_upstream` names the only upstream that may run the request.
+    - `stamp` is the upstream's signature of a reply.
+    - `not_run` marks the rejection of a request that has not been run.
+    - `part_stamps` lists the signatures of the shard replies in a merged
+      reply.
+    - `missing_parts` counts the shards that a merged reply lacks.
+    - `team` identifies the team that sends the request, if the caller states
+      it.
     """
 
     request_id: bytes = b'rudderrock-request-id'
--- a/rudderrock/gateway/http/_http_client.py
+++ b/rudderrock/gateway/http/_http_client.py
@@ -1,4 +1,4 @@
-"""HTTP client for an address that is not an upstream."""
+"""HTTP client for single addresses, such as other hosts and the store."""
 
 import asyncio
 from collections.abc import Callable
@@ -32,7 +32,7 @@
 
     `sent` is whether the request may have arrived, `had_interim_reply` whether
     an interim reply has confirmed that it was read, and `timed_out` whether
-    the only failure was a timeout.
+    the reply, or a requested interim reply, did not arrive in time.
     """
 
     sent: bool
@@ -60,6 +60,8 @@
         self._next_rtt_probe_at = 0.0
         host, port = address
         self._host_header = b'%b:%d' % (host.encode('ascii'), port)
+        # The pool requires an endpoint of an upstream, but uses only its
+        # address.
         endpoint = directory.Endpoint(
             upstream=core.UpstreamId(host),
             service=routing.ServiceName(''),
@@ -166,7 +168,9 @@
 
         The first connections may have been slow to open because both sides
         were starting. The shortest time counts, so a few measurements are
-        enough: calls after the first `MAX_RTT_PROBES` do nothing.
+        enough. This does nothing after `MAX_RTT_PROBES` calls, within
+        `RTT_PROBE_INTERVAL_S` of the last one, or if no more connections are
+        allowed.
         """
         now = self._loop.time()
         if (
--- a/rudderrock/gateway/http/_link.py
+++ b/rudderrock/gateway/http/_link.py
@@ -1,4 +1,4 @@
-"""A connection to an upstream that carries one exchange at a time.
+"""A client connection that carries one exchange at a time.
 
 A reply is accepted for the current exchange only if it has the request id of
 that exchange or no request id. A reply with another request id is read to its
@@ -44,6 +44,11 @@
     `is_head_request` is true, the reply has no body. If
     `needs_recent_connection` is true, the request must not be sent on a
     connection that has been idle for long.
+
+    `sent_at` is the loop time at which the request was written. `abort_at` is
+    set when the reply is no longer needed: the loop time at which the
+    connection is closed if the reply has not arrived. `link` is the connection
+    that carries the exchange, if any.
     """
 
     __slots__ = (
@@ -153,7 +158,7 @@
     def data_received(self, data: bytes) -> None:
         """Feed the parser and deliver the reply once it is complete."""
         if self.exchange is None:
-            self._discard()
+            self._abort_unusable()
             return
         try:
             self._parser.feed_data(data)
@@ -251,7 +256,7 @@
         unsent = self._transport.get_write_buffer_size()
         reusable = self._keep_alive and not unsent
         if self._unusable or self._in_message or not reusable:
-            self._discard()
+            self._abort_unusable()
         else:
             self.idle_since = self._loop.time()
         exchange.finish(reply)
@@ -265,7 +270,7 @@
             if key.lower() == b'timeout' and value.isdigit():
                 self.keep_alive_s = float(value)
 
-    def _discard(self) -> None:
+    def _abort_unusable(self) -> None:
         self._unusable = True
         self.abort()
 
--- a/rudderrock/gateway/http/_listener.py
+++ b/rudderrock/gateway/http/_listener.py
@@ -25,7 +25,7 @@
 
 
 class CallerConnection(asyncio.Protocol):
-    """A connection of a caller, served by its own task."""
+    """A connection accepted by a listener, served by its own task."""
 
     def __init__(self, listener: 'CallerListener'):
         self._listener = listener
@@ -68,6 +68,8 @@
             self._reject('syntax')
         except httptools.HttpParserError:
             self._reject(self._problem or 'syntax')
+        # This limits the chunks before the current one. The headers that have
+        # been parsed are limited in `on_header`.
         limit = self._listener.limits.max_header_bytes
         if not self._head_done and self._head_bytes > limit + len(data):
             self._reject('head')
@@ -126,7 +128,10 @@
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Restart the timer and send an interim reply if one is expected."""
+        """Start the timeout for the body.
+
+        If the request has an `expect` header, 100 Continue is sent.
+        """
         self._head_done = True
         self._set_timer(self._listener.limits.idle_timeout_s, self._time_out)
         if messages.find_header(self._headers, b'expect') is not None:
--- a/rudderrock/gateway/http/_pool.py
+++ b/rudderrock/gateway/http/_pool.py
@@ -10,7 +10,8 @@
 from rudderrock.gateway.http import _link as link_module
 
 # Opening a connection takes about 30 ms between regions. A lost SYN packet is
-# sent again after one second.
+# sent again after one second, so a connection that takes longer depends on the
+# repeated packet.
 CONNECT_TIMEOUT_S = 1.0
 # An idle connection is closed after this fraction of the upstream's keep-alive
 # timeout, so that the two sides rarely close it at the same time.
@@ -23,9 +24,9 @@
 # A request that must not run twice can't be sent again after a reset. It is
 # sent on a new connection or on one that has been idle for at most this long.
 RECENT_USE_S = 1.0
-# If a request has had no reply for this long, its connection and the others to
-# the same upstream may have failed without either side detecting it. The idle
-# ones are then closed, because opening a new one is cheap.
+# If an exchange is aborted after it has waited for its reply for at least this
+# long, the idle connections to the upstream are closed too. They may have
+# failed without either side detecting it, and opening a new one is cheap.
 UNRESPONSIVE_AFTER_S = 0.3
 
 
@@ -58,7 +59,7 @@
         self._keep_alive_s = keep_alive_s
         self._free: list[link_module.Link] = []
         self._links: set[link_module.Link] = set()
-        self._dials: set[asyncio.Task] = set()
+        self._connecting: set[asyncio.Task] = set()
         self._waiting: collections.deque[link_module.Exchange] = (
             collections.deque()
         )
@@ -73,7 +74,7 @@
     @property
     def is_open(self) -> bool:
         """Return whether a connection is open or being opened."""
-        return bool(self._links or self._dials)
+        return bool(self._links or self._connecting)
 
     @property
     def is_idle(self) -> bool:
@@ -82,7 +83,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Return whether a new exchange would have to wait for two others."""
+        """Return whether there are two exchanges per allowed connection."""
         return self.load >= 2 * self.cap
 
     def get_oldest_age(self, now: float) -> float:
@@ -108,7 +109,7 @@
             link.start(exchange)
             return
         self._waiting.append(exchange)
-        self._dial_if_needed()
+        self._open_if_needed()
 
     def withdraw(self, exchange: link_module.Exchange) -> bool:
         """Remove a queued exchange; return False if it was not queued."""
@@ -128,7 +129,7 @@
             self._abort_unanswered(exchange)
 
     def abandon(self, exchange: link_module.Exchange, grace_s: float) -> None:
-        """Let an exchange finish whose reply is no longer needed.
+        """Ignore the reply to an exchange, but wait for it.
 
         The connection can be reused once the reply has arrived. If it has
         not arrived after `grace_s` seconds, the connection is closed.
@@ -143,15 +144,15 @@
 
     def warm(self, count: int = 1) -> None:
         """Open connections until there are `count`, before they are needed."""
-        missing = count - len(self._links) - len(self._dials)
+        missing = count - len(self._links) - len(self._connecting)
         if not self._retired:
             for _ in range(missing):
-                self._dial()
+                self._start_opening()
 
     def open_one(self) -> None:
         """Open another connection unless the limit is reached."""
-        if len(self._links) + len(self._dials) < self.cap:
-            self._dial()
+        if len(self._links) + len(self._connecting) < self.cap:
+            self._start_opening()
 
     def sweep(self) -> None:
         """Close connections that have expired.
@@ -204,8 +205,8 @@
     def close(self) -> None:
         """Close every connection at once, and stop opening new ones."""
         self.retire()
-        for dial in list(self._dials):
-            dial.cancel()
+        for task in list(self._connecting):
+            task.cancel()
         for link in list(self._links):
             link.abort()
 
@@ -226,17 +227,17 @@
             return link
         return None
 
-    def _dial_if_needed(self) -> None:
-        open_now = len(self._links) + len(self._dials)
-        needed = len(self._waiting) - len(self._dials)
+    def _open_if_needed(self) -> None:
+        open_now = len(self._links) + len(self._connecting)
+        needed = len(self._waiting) - len(self._connecting)
         if needed > 0 and open_now < self.cap and not self._retired:
-            self._dial()
+            self._start_opening()
 
-    def _dial(self) -> None:
+    def _start_opening(self) -> None:
         self._count_opened()
         task = self._loop.create_task(self._connect())
-        self._dials.add(task)
-        task.add_done_callback(self._dials.discard)
+        self._connecting.add(task)
+        task.add_done_callback(self._connecting.discard)
 
     async def _connect(self) -> None:
         host, port = self.endpoint.address
@@ -251,9 +252,9 @@
             return
         self.record_round_trip(self._loop.time() - began)
         self._links.add(link)
-        # The task is in `_dials` until it ends, but its connection is counted
-        # in `_links` from here on.
-        self._dials.discard(asyncio.current_task())
+        # The task is in `_connecting` until it ends, but its connection is
+        # counted in `_links` from here on.
+        self._connecting.discard(asyncio.current_task())
         self._on_free(link)
 
     def _make_link(self) -> link_module.Link:
@@ -283,4 +284,4 @@
         self._links.discard(link)
         if link in self._free:
             self._free.remove(link)
-        self._dial_if_needed()
+        self._open_if_needed()
--- a/rudderrock/gateway/http/_reach.py
+++ b/rudderrock/gateway/http/_reach.py
@@ -28,7 +28,10 @@
     def check(
         self, address: tuple[str, int], on_result: Callable[[bool], None]
     ) -> None:
-        """Call `on_result` with whether the address refuses connections.
+        """Call `on_result` with True if the address refuses connections.
+
+        This shows that the process has ended. In all other cases, also if
+        the result is unknown, the argument is False.
 
         Calls for the same address during a check share its result.
         """
@@ -59,7 +62,7 @@
         except ConnectionRefusedError:
             return True
         except (OSError, TimeoutError):
-            # The result is unknown, so no request is blamed for it.
+            # Unknown, so the upstream does not count as crashed.
             return False
         transport.abort()
         return False
--- a/rudderrock/gateway/http/_verdicts.py
+++ b/rudderrock/gateway/http/_verdicts.py
@@ -31,11 +31,12 @@
 def classify_outcome(
     outcome: link.Outcome, names: header_names.HeaderNames
 ) -> Verdict:
-    """Return the verdict on an outcome.
+    """Return the class of an outcome.
 
     A reply guarantees that the request has not been run only if its status
-    is 421 or if it has the header `not_run`. Other replies are invalid if
-    they have a content encoding, or a status below 300 and no signature.
+    is 421 or if it has the header `not_run`. Any other reply is invalid if it
+    has a content encoding, and also if its status is below 300 and it has no
+    `stamp`, the upstream's signature.
     """
     match outcome:
         case link.ConnectionLost(sent=False):
--- a/rudderrock/gateway_root.py
+++ b/rudderrock/gateway_root.py
@@ -49,7 +49,7 @@
         clock=clock,
         chance=make_rng('replicas'),
     )
-    changes = gateway.ChangeFeed(
+    change_feed = gateway.ChangeFeed(
         process_id,
         upstream_directory,
         hosts,
@@ -66,7 +66,7 @@
         upstream_directory,
         hosts,
         initial_sync,
-        changes,
+        change_feed,
         quarantine,
         source_era,
         clock,
@@ -83,7 +83,7 @@
         served,
         synchronizer,
         registration,
-        changes,
+        change_feed,
         gateway.QuarantineBroadcaster(
             quarantine, hosts, lambda: synchronizer.peer is None
         ),
--- a/rudderrock/platform/_headers.py
+++ b/rudderrock/platform/_headers.py
@@ -12,6 +12,6 @@
     not_run=b'x-not-executed',
     part_stamps=b'x-part-stamps',
     missing_parts=b'x-missing-parts',
-    # What the brief calls a team.
+    # The platform's tenant is a team here.
     team=b'x-tenant',
 )
--- a/rudderrock/platform/_settings_file.py
+++ b/rudderrock/platform/_settings_file.py
@@ -115,7 +115,9 @@
     """Return a finite number of at least 0, or the default if not given."""
     value = float(fields.get(name, default))
     if not 0 <= value < math.inf:
-        raise ValueError(f'{name} must not be below 0, not {fields[name]}')
+        raise ValueError(
+            f'{name} must be finite and at least 0, not {fields[name]}'
+        )
     return value
 
 
--- a/rudderrock/platform/_store.py
+++ b/rudderrock/platform/_store.py
@@ -158,7 +158,11 @@
     def decode_table(
         self, raw: bytes, read: gateway.Position
     ) -> gateway.TableReading:
-        """Return the reading of a configuration from another host."""
+        """Return the reading of a configuration.
+
+        `raw` was read from the store at the position `read`, by this host or
+        by another one.
+        """
         match decode.decode_table(raw):
             case result.Ok(table):
                 return gateway.TableReading(table, read, raw=raw)
