--- a/rudderrock/coordination/_admission.py
+++ b/rudderrock/coordination/_admission.py
@@ -108,8 +108,8 @@
             return None
         return protocol.Refused(
             reason=protocol.RefusalReason.CONCURRENCY,
-            detail=f'{usage.in_flight} shard requests of the team are in '
-            f'flight; {limit:.0f} are allowed at this host',
+            detail=f'{usage.in_flight} shard requests are in flight and '
+            f'{limit:.0f} are allowed at this host',
             retry_after_s=_BUSY_RETRY_AFTER_S,
         )
 
@@ -118,7 +118,7 @@
             return None
         return protocol.Refused(
             reason=protocol.RefusalReason.OVERLOAD,
-            detail='this host is at its limit of shard requests in flight',
+            detail='this host has as much in flight as it may',
             retry_after_s=_BUSY_RETRY_AFTER_S,
         )
 
@@ -130,7 +130,7 @@
             return None
         return protocol.Refused(
             reason=protocol.RefusalReason.RATE,
-            detail=f'{cost} shard requests exceed the rate limit of the team',
+            detail=f'{cost} shard requests are above the rate allowed',
             retry_after_s=max(wait_s, _MIN_RETRY_AFTER_S),
         )
 
@@ -154,8 +154,8 @@
             if queued >= self._settings.max_queued or wait_s > allowed_s:
                 return protocol.Refused(
                     reason=protocol.RefusalReason.DEADLINE,
-                    detail=f'would wait {wait_s:.3f} s for {service.shard}; '
-                    f'at most {max(allowed_s, 0):.3f} s is allowed',
+                    detail=f'would wait {wait_s:.3f} s for {service.shard} '
+                    f'and may wait {max(allowed_s, 0):.3f} s',
                     retry_after_s=max(wait_s - allowed_s, _MIN_RETRY_AFTER_S),
                 )
         return None
--- a/rudderrock/coordination/_claims.py
+++ b/rudderrock/coordination/_claims.py
@@ -270,9 +270,9 @@
             return result.Err(
                 protocol.Refused(
                     reason=protocol.RefusalReason.MALFORMED,
-                    detail='an idempotency key must have the form '
-                    'UNIXSECONDS-RANDOM, with 8 to 64 letters, digits, '
-                    '"-" or "_" after the first "-"',
+                    detail='an idempotency key reads UNIXSECONDS-RANDOM, '
+                    'with 8 to 64 letters, digits, "-" or "_" after the '
+                    'first "-"',
                 )
             )
         age_s = self._clock.wall() - int(match[1])
@@ -282,8 +282,8 @@
         return result.Err(
             protocol.Refused(
                 reason=protocol.RefusalReason.KEY_EXPIRED,
-                detail=f'the key is {age_s:.0f} s old; outcomes are kept '
-                f'for {retention_s:.0f} s',
+                detail=f'the key is {age_s:.0f} s old and the outcomes of '
+                f'keys are kept for {retention_s:.0f} s',
             )
         )
 
@@ -296,9 +296,7 @@
             async with asyncio.timeout_at(until):
                 return await result_future
         except TimeoutError:
-            return NotCommitted(
-                'the key-value service did not confirm the claim in time'
-            )
+            return NotCommitted('no word from the key-value service in time')
 
     def record_outcome(self, key: str, claim: Claim) -> None:
         """Record the outcome of a claimed key with the next batch of claims.
--- a/rudderrock/coordination/_commands.py
+++ b/rudderrock/coordination/_commands.py
@@ -176,7 +176,7 @@
             # cancellation ends here, so that this outcome is returned.
             asyncio.current_task().uncancel()
             return protocol.Unknown(
-                query=ticket.query_id, detail='cancelled while in flight'
+                query=ticket.query_id, detail='cut while under way'
             )
         match outcome:
             case _NotRun(detail):
@@ -196,7 +196,7 @@
                     repeat=False,
                 )
         return protocol.Unknown(
-            query=ticket.query_id, detail='the upstream did not answer'
+            query=ticket.query_id, detail='the upstream gave no answer'
         )
 
     def _record_outcome(
@@ -231,7 +231,7 @@
         reply: protocol.ShardReply = protocol.ShardLost(False, 'not tried')
         for number in range(_MAX_ATTEMPTS):
             if self._clock.now() >= ticket.deadline:
-                return _NotRun('the deadline passed before it could be sent')
+                return _NotRun('the deadline came before it could be sent')
             if not service.is_reachable:
                 return _NotRun(f'no replica of {service.shard} is reachable')
             attempt = self._make_attempt(
@@ -242,9 +242,7 @@
                 return reply
             if attempt.upstream is not None:
                 avoid.add(attempt.upstream)
-        return _NotRun(
-            f'refused by {len(avoid)} replicas, last reply: {reply}'
-        )
+        return _NotRun(f'refused by {len(avoid)} replicas, last: {reply}')
 
     def _make_attempt(
         self,
@@ -289,7 +287,7 @@
 def _refuse_unclaimed(ticket: CommandTicket, detail: str) -> protocol.Refused:
     return protocol.Refused(
         reason=protocol.RefusalReason.KV_UNAVAILABLE,
-        detail=f'the key could not be claimed: {detail}',
+        detail=f'could not be claimed: {detail}',
         retry_after_s=_KV_RETRY_AFTER_S,
         query=ticket.query_id,
     )
--- a/rudderrock/coordination/_host.py
+++ b/rudderrock/coordination/_host.py
@@ -189,8 +189,8 @@
         if self.config.is_isolated:
             return protocol.Refused(
                 reason=protocol.RefusalReason.ISOLATED,
-                detail='this host can reach neither the key-value service '
-                'nor any peer',
+                detail='this host hears neither the key-value service nor '
+                'any peer',
                 retry_after_s=_NOT_READY_RETRY_S,
             )
         return None
--- a/rudderrock/frontend/_body.py
+++ b/rudderrock/frontend/_body.py
@@ -34,7 +34,7 @@
         return result.Err(
             protocol.Refused(
                 reason=protocol.RefusalReason.TOO_SLOW,
-                detail='the body was not received within '
+                detail='the body did not come within '
                 f'{settings.body_timeout_s:g} s',
             )
         )
@@ -42,7 +42,7 @@
         return result.Err(
             protocol.Refused(
                 reason=protocol.RefusalReason.MALFORMED,
-                detail='the client disconnected before the end of the body',
+                detail='the body broke off',
             )
         )
     return result.Ok(b''.join(chunks))
@@ -82,5 +82,5 @@
 def _make_size_refusal(settings: state.IntakeSettings) -> protocol.Refused:
     return protocol.Refused(
         reason=protocol.RefusalReason.TOO_LARGE,
-        detail=f'the body has more than {settings.max_body_bytes} bytes',
+        detail=f'a body may have {settings.max_body_bytes} bytes',
     )
--- a/rudderrock/frontend/_callers.py
+++ b/rudderrock/frontend/_callers.py
@@ -137,6 +137,6 @@
     return body.make_response(
         protocol.Refused(
             reason=protocol.RefusalReason.MALFORMED,
-            detail=f'no route for {request.method} {request.url.path}',
+            detail=f'there is no {request.method} {request.url.path}',
         )
     )
--- a/rudderrock/transport/_owned.py
+++ b/rudderrock/transport/_owned.py
@@ -91,7 +91,7 @@
                 )
             opened = True
         except TimeoutError:
-            return result.Err(ExchangeFailed('connect timed out'))
+            return result.Err(ExchangeFailed('connecting timed out'))
         except _CONNECTION_ERRORS as exc:
             return result.Err(ExchangeFailed(repr(exc)))
         finally:
--- a/rudderrock/transport/_upstream.py
+++ b/rudderrock/transport/_upstream.py
@@ -68,7 +68,7 @@
         return protocol.ShardLost(True, f'unexpected status {raw.status}')
     match decoded:
         case result.Err(detail):
-            return protocol.ShardLost(True, f'invalid reply: {detail}')
+            return protocol.ShardLost(True, f'unreadable reply: {detail}')
         case result.Ok(reply):
             return check_shard_reply(request, reply)
 
