--- a/benchmarks/control_http.py
+++ b/benchmarks/control_http.py
@@ -18,9 +18,9 @@
 from rudderrock import state
 from rudderrock import transport
 from rudderrock.programs import _logs as logs
-from rudderrock.programs import _operator as operators
+from rudderrock.programs import _operator_client as operator_client
 from rudderrock.programs import _runtime as runtime
-from rudderrock.programs import _serving as serving
+from rudderrock.programs import _host_server as host_server
 
 _HOSTS = 7
 _SECRETS = frontend.Secrets(
@@ -55,7 +55,7 @@
             ),
             platform=state.PlatformSettings(kv=kv, host_list=host_list),
         )
-        async with serving.open_host(settings, _SECRETS) as opened:
+        async with host_server.open_host(settings, _SECRETS) as opened:
             served = opened.unwrap()
             running = asyncio.create_task(served.host.run())
             loop = asyncio.get_running_loop()
@@ -145,7 +145,7 @@
 
 
 async def _report(served, pipes) -> None:
-    client = operators.OperatorClient(_SECRETS.operator)
+    client = operator_client.OperatorClient(_SECRETS.operator)
     controls = [f'127.0.0.1:{7400 + number}' for number in range(_HOSTS)]
     await _wait(client, controls, 1)
     loop = asyncio.get_running_loop()
--- a/features/steps/processes.py
+++ b/features/steps/processes.py
@@ -24,8 +24,8 @@
 from rudderrock import standins
 from rudderrock import state
 from rudderrock import transport
-from rudderrock.programs import _caller as caller
-from rudderrock.programs import _operator as operators
+from rudderrock.programs import _caller_client as caller_client
+from rudderrock.programs import _operator_client as operator_client
 from rudderrock.programs import _runtime as runtime
 
 use_step_matcher('re')
@@ -124,7 +124,7 @@
         )
 
     async def wait_until_ready(self, number):
-        client = operators.OperatorClient(_OPERATOR)
+        client = operator_client.OperatorClient(_OPERATOR)
         for _ in range(_READY_TRIES):
             status = await client.get_status(self.controls[number])
             match status:
@@ -179,7 +179,7 @@
         )
 
     async def _call(self, host, marker, key, send):
-        client = caller.CallerClient(self.callers[host], self.token)
+        client = caller_client.CallerClient(self.callers[host], self.token)
         raw = result.Err(None)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(_CALL_TIMEOUT_S):
--- a/features/steps/sockets.py
+++ b/features/steps/sockets.py
@@ -19,8 +19,8 @@
 from rudderrock import standins
 from rudderrock import state
 from rudderrock import transport
+from rudderrock.programs import _host_server as host_server
 from rudderrock.programs import _runtime as runtime
-from rudderrock.programs import _serving as serving
 
 use_step_matcher('re')
 
@@ -257,7 +257,7 @@
         intake=_INTAKE,
     )
     opened = await context.stack.enter_async_context(
-        serving.open_host(settings, _SECRETS)
+        host_server.open_host(settings, _SECRETS)
     )
     context.served = opened.unwrap()
     context.host = context.served.host
--- a/rudderrock/coordination/_config.py
+++ b/rudderrock/coordination/_config.py
@@ -15,8 +15,8 @@
 from rudderrock import transport
 from rudderrock.coordination import _admission as admission
 from rudderrock.coordination import _dispatch as dispatch
-from rudderrock.coordination import _follow as follow
-from rudderrock.coordination import _members as members
+from rudderrock.coordination import _key_watcher as key_watcher
+from rudderrock.coordination import _membership as memberships
 
 # Number of peers that a host sends a change to at once.
 PUSH_FANOUT = 3
@@ -45,9 +45,9 @@
         self,
         settings: state.Settings,
         *,
-        table: follow.KeyFollower[state.Table],
-        layout: follow.KeyFollower[state.Layout],
-        membership: members.Membership,
+        table: key_watcher.KeyFollower[state.Table],
+        layout: key_watcher.KeyFollower[state.Layout],
+        membership: memberships.Membership,
         dispatcher: dispatch.Dispatcher,
         gate: admission.Admission,
         peers: transport.PeerPort,
@@ -100,9 +100,9 @@
         self.layout_in_force = layout
         self._dispatcher.apply_layout(layout)
 
-    def get_config(self) -> members.ConfigInForce:
+    def get_config(self) -> memberships.ConfigInForce:
         """Return the revisions in force, for digests."""
-        return members.ConfigInForce(
+        return memberships.ConfigInForce(
             table_revision=self.table.revision,
             table_age_s=self.table.get_age_s(),
             layout_revision=self.layout.revision,
--- a/rudderrock/coordination/_dispatch.py
+++ b/rudderrock/coordination/_dispatch.py
@@ -16,7 +16,7 @@
 from rudderrock.coordination import _attempt as attempts
 from rudderrock.coordination import _budget as budgets
 from rudderrock.coordination import _fair_queue as fair_queue
-from rudderrock.coordination import _link as links
+from rudderrock.coordination import _upstream_link as links
 
 _REMOTE_ZONE_COST_FACTOR = 1.1
 # Weight of one answer in the moving mean of the exchange time.
--- a/rudderrock/coordination/_gather.py
+++ b/rudderrock/coordination/_gather.py
@@ -12,12 +12,12 @@
 
 from rudderrock import protocol
 from rudderrock import state
+from rudderrock.coordination import _admitted as admitted_queries
 from rudderrock.coordination import _attempt as attempts
 from rudderrock.coordination import _dispatch as dispatch
-from rudderrock.coordination import _extra as extras
+from rudderrock.coordination import _extra_requests as extra_requests
 from rudderrock.coordination import _merge as merge
 from rudderrock.coordination import _shard_call as calls
-from rudderrock.coordination import _ticket as tickets
 
 # Delay before a hedge is tried again when all other replicas are busy.
 _HEDGE_RECHECK_S = 0.002
@@ -38,7 +38,7 @@
     """Dependencies that all queries of a host share."""
 
     dispatcher: dispatch.Dispatcher
-    extra: extras.ExtraRequests
+    extra: extra_requests.ExtraRequests
     settings: state.Settings
     clock: state.Clock
     source: random.Random
@@ -51,7 +51,7 @@
     def __init__(
         self,
         dependencies: GatherParts,
-        ticket: tickets.QueryTicket,
+        ticket: admitted_queries.QueryTicket,
         placement: state.Placement,
     ):
         self._dependencies = dependencies
@@ -213,7 +213,9 @@
             return
         hedge_delay_s = self._hedge_delay_s
         if first.base_s <= 0.0:
-            hedge_delay_s = max(hedge_delay_s, extras.UNKNOWN_PATIENCE_S)
+            hedge_delay_s = max(
+                hedge_delay_s, extra_requests.UNKNOWN_PATIENCE_S
+            )
         late_at = first.sent_at + first.base_s + hedge_delay_s
         if not self._clock.has_reached(late_at):
             self._checks.add(call, late_at)
--- a/rudderrock/coordination/_host.py
+++ b/rudderrock/coordination/_host.py
@@ -10,16 +10,16 @@
 from rudderrock import protocol
 from rudderrock import state
 from rudderrock.coordination import _admission as admission
+from rudderrock.coordination import _admitted as admitted_queries
 from rudderrock.coordination import _commands as commands
 from rudderrock.coordination import _config as configs
 from rudderrock.coordination import _dispatch as dispatch
 from rudderrock.coordination import _leases as leases
 from rudderrock.coordination import _lifecycle as lifecycle
-from rudderrock.coordination import _members as members
+from rudderrock.coordination import _membership as memberships
 from rudderrock.coordination import _metrics as metrics
 from rudderrock.coordination import _query as queries
 from rudderrock.coordination import _shares as shares
-from rudderrock.coordination import _ticket as tickets
 
 _DRAIN_POLL_PERIOD_S = 0.02
 _NOT_READY_RETRY_S = 1.0
@@ -44,7 +44,7 @@
         book: shares.ShareBook,
         gate: admission.Admission,
         command_runner: commands.CommandRunner,
-        membership: members.Membership,
+        membership: memberships.Membership,
         lease: leases.HostLease,
     ):
         self.settings = settings
@@ -235,7 +235,7 @@
         admitted = self.gate.admit(row, cost, deadline)
         if admitted.is_err():
             return admitted.unwrap_err()
-        ticket = tickets.QueryTicket(
+        ticket = admitted_queries.QueryTicket(
             query_id=query_id,
             row=row,
             query=query,
--- a/rudderrock/coordination/_query.py
+++ b/rudderrock/coordination/_query.py
@@ -2,9 +2,9 @@
 
 from rudderrock import protocol
 from rudderrock import state
-from rudderrock.coordination import _extra as extras
+from rudderrock.coordination import _admitted as admitted_queries
+from rudderrock.coordination import _extra_requests as extra_requests
 from rudderrock.coordination import _gather as gather
-from rudderrock.coordination import _ticket as tickets
 from rudderrock.coordination import _versions as versions
 
 _MAX_RESTARTS = 2
@@ -24,12 +24,14 @@
         )
 
     @property
-    def counters(self) -> extras.QueryCounters:
+    def counters(self) -> extra_requests.QueryCounters:
         """Return the counts of requests sent so far."""
         return self._dependencies.extra.counters
 
     async def run(
-        self, ticket: tickets.QueryTicket, collection: state.Collection
+        self,
+        ticket: admitted_queries.QueryTicket,
+        collection: state.Collection,
     ) -> protocol.Answered:
         """Query every shard and return the result with its actual coverage.
 
@@ -64,13 +66,15 @@
         await gathering.run(may_restart=False)
         return gathering.make_answer()
 
-    def _has_time_to_restart(self, ticket: tickets.QueryTicket) -> bool:
+    def _has_time_to_restart(
+        self, ticket: admitted_queries.QueryTicket
+    ) -> bool:
         left = ticket.deadline - self._clock.now()
         return left > _MIN_RESTART_TIME_FRACTION * ticket.row.deadline_s
 
     def _record_restart(
         self,
-        ticket: tickets.QueryTicket,
+        ticket: admitted_queries.QueryTicket,
         old: state.Placement,
         new: state.Placement,
     ) -> None:
--- a/rudderrock/coordination/_operators.py
+++ b/rudderrock/coordination/_table_editor.py
@@ -14,7 +14,7 @@
 from rudderrock import protocol
 from rudderrock import state
 from rudderrock import transport
-from rudderrock.coordination import _follow as follow
+from rudderrock.coordination import _key_watcher as key_watcher
 
 _INITIAL_PAUSE_S = 0.05
 _MAX_PAUSE_S = 1.0
@@ -80,7 +80,7 @@
         self,
     ) -> result.Result[state.Table, str]:
         """Return the current table of the key-value service."""
-        entry = await self._kv.get(follow.TABLE_KEY)
+        entry = await self._kv.get(key_watcher.TABLE_KEY)
         return entry.map_err(lambda err: err.detail).and_then(_decode_table)
 
     def make_edit_id(self) -> state.EditId:
@@ -103,7 +103,7 @@
         entry: protocol.Entry | None = None
         while True:
             if entry is None:
-                read = await self._kv.get(follow.TABLE_KEY)
+                read = await self._kv.get(key_watcher.TABLE_KEY)
                 entry = read.ok()
             if entry is not None:
                 outcome = await self._try_swap(change, entry)
@@ -141,7 +141,7 @@
             return EditInvalid((state.Problem('table', _TOO_LARGE),))
         swapped = await self._kv.swap(
             protocol.SwapRequest(
-                key=follow.TABLE_KEY, value=value, expected=entry.version
+                key=key_watcher.TABLE_KEY, value=value, expected=entry.version
             )
         )
         match swapped:
--- a/rudderrock/programs/demo.py
+++ b/rudderrock/programs/demo.py
@@ -24,10 +24,10 @@
 from rudderrock import standins
 from rudderrock import state
 from rudderrock import transport
-from rudderrock.programs import _caller as caller
+from rudderrock.programs import _caller_client as caller_client
+from rudderrock.programs import _host_server as host_server
 from rudderrock.programs import _logs as logs
 from rudderrock.programs import _runtime as runtime
-from rudderrock.programs import _serving as serving
 
 _SECRETS = frontend.Secrets(
     peer='demo peer secret', operator='demo operator secret'
@@ -201,7 +201,7 @@
                 host_list=self._standins.host_list_address,
             ),
         )
-        context = serving.open_host(settings, _SECRETS)
+        context = host_server.open_host(settings, _SECRETS)
         opened = await self._stack.enter_async_context(context)
         host = opened.unwrap().host
         self._hosts.append(host)
@@ -225,7 +225,9 @@
             clients = []
             for host in self._hosts:
                 address = host.settings.host.callers
-                client = caller.CallerClient(address, self._tokens[team])
+                client = caller_client.CallerClient(
+                    address, self._tokens[team]
+                )
                 stack.push_async_callback(client.close)
                 clients.append(client)
             async with asyncio.TaskGroup() as group:
@@ -236,7 +238,7 @@
     async def _call(
         self,
         team: str,
-        clients: list[caller.CallerClient],
+        clients: list[caller_client.CallerClient],
         number: int,
     ) -> None:
         """Send a query to a ready host, as a load balancer would."""
--- a/rudderrock/programs/entry.py
+++ b/rudderrock/programs/entry.py
@@ -11,10 +11,10 @@
 from rudderrock import frontend
 from rudderrock import state
 from rudderrock.programs import _exits as exits
+from rudderrock.programs import _host_server as host_server
 from rudderrock.programs import _logs as logs
 from rudderrock.programs import _runtime as runtime
 from rudderrock.programs import _secrets as secrets
-from rudderrock.programs import _serving as serving
 
 
 def entry(config: pathlib.Path, *, log: str = 'info') -> None:
@@ -44,7 +44,7 @@
 async def _serve(
     settings: state.Settings, found_secrets: frontend.Secrets
 ) -> None:
-    async with serving.open_host(settings, found_secrets) as opened:
+    async with host_server.open_host(settings, found_secrets) as opened:
         if opened.is_err():
             exits.fail(opened.unwrap_err(), exits.Exit.FAILED)
         host = opened.unwrap().host
--- a/rudderrock/programs/query.py
+++ b/rudderrock/programs/query.py
@@ -10,7 +10,7 @@
 from rudderrock import protocol
 from rudderrock import state
 from rudderrock import transport
-from rudderrock.programs import _caller as caller
+from rudderrock.programs import _caller_client as caller_client
 from rudderrock.programs import _exits as exits
 from rudderrock.programs import _runtime as runtime
 from rudderrock.programs import _secrets as secrets
@@ -49,7 +49,7 @@
         deadline_s=deadline_s,
     )
 
-    async def send(client: caller.CallerClient):
+    async def send(client: caller_client.CallerClient):
         return await client.query(query)
 
     reply = _send(host, token, send)
@@ -97,7 +97,7 @@
         body=msgspec.Raw(_check_json(body)),
     )
 
-    async def send(client: caller.CallerClient):
+    async def send(client: caller_client.CallerClient):
         used_key = key or _make_key()
         print(f'idempotency key {used_key}')
         return await client.command(message, used_key)
@@ -121,7 +121,7 @@
         exits.fail(read.unwrap_err(), exits.Exit.USAGE)
 
     async def run():
-        client = caller.CallerClient(host, read.unwrap())
+        client = caller_client.CallerClient(host, read.unwrap())
         try:
             return await send(client)
         finally:
--- a/rudderrock/programs/table.py
+++ b/rudderrock/programs/table.py
@@ -18,7 +18,7 @@
 from rudderrock import state
 from rudderrock import transport
 from rudderrock.programs import _exits as exits
-from rudderrock.programs import _operator as operators
+from rudderrock.programs import _operator_client as operator_client
 from rudderrock.programs import _runtime as runtime
 from rudderrock.programs import _secrets as secrets
 
@@ -209,7 +209,7 @@
     secret = secrets.read_secret(operator)
     if secret.is_err():
         exits.fail(secret.unwrap_err(), exits.Exit.USAGE)
-    client = operators.OperatorClient(secret.unwrap())
+    client = operator_client.OperatorClient(secret.unwrap())
     pending = _run(_wait(client, revision, host, timeout_s))
     if pending:
         text = ', '.join(pending)
@@ -218,7 +218,7 @@
 
 
 async def _wait(
-    client: operators.OperatorClient,
+    client: operator_client.OperatorClient,
     revision: int,
     host: str,
     timeout_s: float,
--- a/rudderrock/programs/timeline.py
+++ b/rudderrock/programs/timeline.py
@@ -11,7 +11,7 @@
 from rudderrock import protocol
 from rudderrock import state
 from rudderrock.programs import _exits as exits
-from rudderrock.programs import _operator as operators
+from rudderrock.programs import _operator_client as operator_client
 from rudderrock.programs import _secrets as secrets
 from rudderrock.programs import _timeline_page as pages
 
@@ -72,7 +72,7 @@
     secret = secrets.read_secret(operator)
     if secret.is_err():
         exits.fail(secret.unwrap_err(), exits.Exit.USAGE)
-    client = operators.OperatorClient(secret.unwrap())
+    client = operator_client.OperatorClient(secret.unwrap())
     event_filter = EventFilter(
         team=team, query=query, upstream=upstream, kinds=frozenset(kinds)
     )
@@ -91,7 +91,7 @@
 class EventCollector:
     """Fetches new events of all hosts and returns them in causal order."""
 
-    def __init__(self, client: operators.OperatorClient, host: str):
+    def __init__(self, client: operator_client.OperatorClient, host: str):
         self._client = client
         self._host = host
         self._last_stamps: dict[str, state.Stamp] = {}
@@ -136,7 +136,7 @@
 
 
 async def _show(
-    client: operators.OperatorClient,
+    client: operator_client.OperatorClient,
     host: str,
     event_filter: EventFilter,
     follow: bool,
--- a/rudderrock/transport/__init__.py
+++ b/rudderrock/transport/__init__.py
@@ -1,9 +1,9 @@
 """Interfaces to outside services, their HTTP clients, and an HTTP server."""
 
+from rudderrock.transport._http_connection import ExchangeFailed
+from rudderrock.transport._http_connection import OwnedConnection
+from rudderrock.transport._http_connection import RawReply
 from rudderrock.transport._kv import HttpKvPort
-from rudderrock.transport._owned import ExchangeFailed
-from rudderrock.transport._owned import OwnedConnection
-from rudderrock.transport._owned import RawReply
 from rudderrock.transport._peers import HOST_LIST_PATH
 from rudderrock.transport._peers import HttpHostListPort
 from rudderrock.transport._peers import HttpPeerPort
--- a/rudderrock/transport/_kv.py
+++ b/rudderrock/transport/_kv.py
@@ -7,7 +7,7 @@
 import result
 
 from rudderrock import protocol
-from rudderrock.transport import _owned as owned
+from rudderrock.transport import _http_connection as http_connection
 from rudderrock.transport import _ports as ports
 
 # The service answers a watch when its timeout has passed. The margin allows
@@ -26,7 +26,7 @@
     def __init__(self, address: str, timeout_s: float):
         self._address = address
         self._timeout_s = timeout_s
-        self._idle: list[owned.OwnedConnection] = []
+        self._idle: list[http_connection.OwnedConnection] = []
 
     async def get(
         self, key: str
@@ -44,12 +44,12 @@
         """Compare and swap one key, and return its new version."""
         raw = await self._call(protocol.SWAP_PATH, request, self._timeout_s)
         match raw:
-            case result.Ok(owned.RawReply(status=409)):
+            case result.Ok(http_connection.RawReply(status=409)):
                 entry = _decode_reply(protocol.Entry, raw.ok_value)
                 return entry.and_then(
                     lambda current: result.Err(ports.KvConflict(current))
                 )
-            case result.Ok(owned.RawReply(status=410)):
+            case result.Ok(http_connection.RawReply(status=410)):
                 return result.Err(ports.LeaseGone())
             case result.Ok(reply):
                 entry = _decode_reply(protocol.Entry, reply)
@@ -105,7 +105,7 @@
         request = protocol.Lease(lease=lease)
         raw = await self._call(path, request, self._timeout_s)
         match raw:
-            case result.Ok(owned.RawReply(status=410)):
+            case result.Ok(http_connection.RawReply(status=410)):
                 return result.Err(ports.LeaseGone())
             case result.Ok(reply):
                 return _decode_reply(protocol.Lease, reply).map(lambda _: None)
@@ -113,7 +113,7 @@
 
     async def _call(
         self, path: str, message: Any, total_timeout_s: float
-    ) -> result.Result[owned.RawReply, ports.KvUnavailable]:
+    ) -> result.Result[http_connection.RawReply, ports.KvUnavailable]:
         async with contextlib.AsyncExitStack() as stack:
             connection = self._acquire_connection()
             stack.callback(self._idle.append, connection)
@@ -124,16 +124,16 @@
                 return result.Err(ports.KvUnavailable(f'{path} timed out'))
         return raw.map_err(lambda err: ports.KvUnavailable(err.detail))
 
-    def _acquire_connection(self) -> owned.OwnedConnection:
+    def _acquire_connection(self) -> http_connection.OwnedConnection:
         if self._idle:
             return self._idle.pop()
-        return owned.OwnedConnection(
+        return http_connection.OwnedConnection(
             self._address, connect_timeout_s=self._timeout_s
         )
 
 
 def _decode_reply(
-    cls: type, reply: owned.RawReply
+    cls: type, reply: http_connection.RawReply
 ) -> result.Result[Any, ports.KvUnavailable]:
     if reply.status not in (200, _CONFLICT_STATUS):
         return result.Err(ports.KvUnavailable(f'status {reply.status}'))
--- a/rudderrock/transport/_peers.py
+++ b/rudderrock/transport/_peers.py
@@ -6,7 +6,7 @@
 import result
 
 from rudderrock import protocol
-from rudderrock.transport import _owned as owned
+from rudderrock.transport import _http_connection as http_connection
 from rudderrock.transport import _ports as ports
 
 HOST_LIST_PATH = '/v1/hosts'
@@ -104,7 +104,7 @@
     `timeout_s` limits the whole exchange, including the connection, in
     seconds. A status other than 200 is returned as an error.
     """
-    connection = owned.OwnedConnection(
+    connection = http_connection.OwnedConnection(
         address, connect_timeout_s=timeout_s, headers=headers
     )
     try:
@@ -117,7 +117,7 @@
     match raw:
         case result.Err(failed):
             return result.Err(ports.PeerUnreachable(failed.detail))
-        case result.Ok(owned.RawReply(status=200, body=body)):
+        case result.Ok(http_connection.RawReply(status=200, body=body)):
             decoded = protocol.decode(reply_cls, body)
             return decoded.map_err(ports.PeerUnreachable)
         case result.Ok(reply):
--- a/rudderrock/transport/_upstream.py
+++ b/rudderrock/transport/_upstream.py
@@ -6,7 +6,7 @@
 
 from rudderrock import protocol
 from rudderrock import state
-from rudderrock.transport import _owned as owned
+from rudderrock.transport import _http_connection as http_connection
 from rudderrock.transport import _ports as ports
 
 _REJECTION_STATUSES = frozenset(protocol.REJECTION_STATUS.values())
@@ -15,7 +15,7 @@
 class HttpUpstreamConnection:
     """A kept-alive HTTP connection to an upstream, owned by one task."""
 
-    def __init__(self, connection: owned.OwnedConnection):
+    def __init__(self, connection: http_connection.OwnedConnection):
         self._connection = connection
 
     @property
@@ -52,7 +52,7 @@
 
 
 def read_shard_reply(
-    request: protocol.ShardRequest, raw: owned.RawReply
+    request: protocol.ShardRequest, raw: http_connection.RawReply
 ) -> protocol.ShardReply:
     """Return the decoded reply, or `ShardLost` if it can't be used.
 
@@ -101,7 +101,7 @@
         self, upstream: state.Upstream
     ) -> result.Result[HttpUpstreamConnection, ports.ConnectFailed]:
         """Return an open connection that is ready for an exchange."""
-        connection = owned.OwnedConnection(
+        connection = http_connection.OwnedConnection(
             upstream.address, connect_timeout_s=self._connect_timeout_s
         )
         opened = await connection.open()
