--- a/benchmarks/shard_request.py
+++ b/benchmarks/shard_request.py
@@ -72,7 +72,7 @@
 async def _measure_bare(addresses: list[str], queries: int) -> float:
     """Return processor seconds per request for the client library alone."""
     connections = [
-        transport.OwnedConnection(address)
+        transport.HttpConnection(address)
         for address in addresses[: 2 * _SHARDS : 2]
     ]
 
--- a/features/steps/canaries.py
+++ b/features/steps/canaries.py
@@ -58,7 +58,8 @@
 def lose_with(context, count):
     context.known = quarantine.make_quarantine(context, 'h1')
     incarnations = [
-        core.UpstreamLife(f'u{number}/0') for number in range(int(count))
+        core.UpstreamIncarnation(f'u{number}/0')
+        for number in range(int(count))
     ]
     began = context.loop.time()
     context.known.record_crash(quarantine.DIGEST, began, False, incarnations)
@@ -91,7 +92,7 @@
 @when(r'its upstream ends too and a copy waits at services with ([\d and]+)')
 def end_canary(context, counts):
     context.probe.record_lost()
-    context.probe.record_checked(core.UpstreamLife('u9/0'), True)
+    context.probe.record_checked(core.UpstreamIncarnation('u9/0'), True)
     context.copies = start_waiting(make_probe(context), counts)
 
 
@@ -218,7 +219,7 @@
     bench = gateway_steps.get(context)
     for each in bench.source.endpoints.values():
         if each.zone == 'north-2':
-            bench.upstreams[each.upstream].conduct = standins.Conduct.SILENT
+            bench.upstreams[each.upstream].conduct = standins.FaultMode.SILENT
 
 
 @when(r'a gateway of the first zone is asked for "([^"]+)"')
--- a/features/steps/common.py
+++ b/features/steps/common.py
@@ -93,7 +93,7 @@
 @then(r'shard "([^"]+)" is missing because "([^"]+)"')
 def check_missing(context, shard, reason):
     missing = context.bench.seen[-1].outcome.coverage.missing
-    assert missing[shard] is protocol.MissReason(reason), missing
+    assert missing[shard] is protocol.MissingReason(reason), missing
 
 
 @then('every answer covers all shards')
--- a/features/steps/connecting.py
+++ b/features/steps/connecting.py
@@ -106,7 +106,7 @@
 
 
 async def _open_and_keep(address):
-    connection = transport.OwnedConnection(address)
+    connection = transport.HttpConnection(address)
     try:
         await connection.open()
         await asyncio.get_running_loop().create_future()
@@ -115,7 +115,7 @@
 
 
 async def _send_and_keep(address):
-    connection = transport.OwnedConnection(address)
+    connection = transport.HttpConnection(address)
     try:
         await connection.post('/', b'{}')
     finally:
--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -294,7 +294,7 @@
     if conduct == 'restarted':
         restart(context, upstream)
         return
-    bench.upstreams[upstream].conduct = standins.Conduct(conduct)
+    bench.upstreams[upstream].conduct = standins.FaultMode(conduct)
 
 
 @given(r'"([^"]+)" answers every request twice, the second late')
@@ -306,7 +306,7 @@
 def set_shard_conduct(context, number, conduct):
     for name, model in get(context).upstreams.items():
         if name.startswith(f'shard-{number}-'):
-            model.conduct = standins.Conduct(conduct)
+            model.conduct = standins.FaultMode(conduct)
 
 
 @given(r'the near upstream of shard (\d+) is (\w+)')
@@ -317,7 +317,7 @@
 @given(r'every upstream is (\w+)')
 def set_all_conduct(context, conduct):
     for model in get(context).upstreams.values():
-        model.conduct = standins.Conduct(conduct)
+        model.conduct = standins.FaultMode(conduct)
 
 
 def restart(context, upstream):
--- a/features/steps/processes.py
+++ b/features/steps/processes.py
@@ -212,8 +212,8 @@
                 protocol.decode(protocol.Recorded, body).unwrap()
             )
         case result.Ok(transport.RawReply(body=body)):
-            problem = protocol.decode(protocol.Problem, body).unwrap()
-            if problem.outcome is protocol.Ran.NOT_RUN:
+            problem = protocol.decode(protocol.ProblemDetails, body).unwrap()
+            if problem.outcome is protocol.ExecutionStatus.NOT_RUN:
                 return protocol.Refused(
                     reason=protocol.RefusalReason.UPSTREAM,
                     detail=problem.detail,
--- a/features/steps/schedules.py
+++ b/features/steps/schedules.py
@@ -28,7 +28,7 @@
 @given('commands are run without a claim')
 def claim_nothing(context):
     async def claim(self, key, claim, until):
-        return coordination.Won()
+        return coordination.ClaimGranted()
 
     patch = mock.patch.object(coordination.ClaimStore, 'claim', claim)
     context.stack.enter_context(patch)
--- a/features/steps/settings.py
+++ b/features/steps/settings.py
@@ -90,5 +90,5 @@
 @then(r'"([^"]+)" names every refusal and every reason of a miss')
 def check_callers_page(context, path):
     words = [reason.value for reason in protocol.RefusalReason]
-    words += [reason.value for reason in protocol.MissReason]
+    words += [reason.value for reason in protocol.MissingReason]
     _check_named(path, words)
--- a/features/steps/sockets.py
+++ b/features/steps/sockets.py
@@ -142,7 +142,7 @@
     async def close(self):
         """Keep the connection: the lock is off."""
 
-    patch = mock.patch.object(transport.OwnedConnection, 'close', close)
+    patch = mock.patch.object(transport.HttpConnection, 'close', close)
     context.stack.enter_context(patch)
 
 
@@ -377,7 +377,9 @@
 def check_problem(context, status):
     assert _read_status(context.reply) == int(status), context.reply
     problem = _read_body(context.reply)
-    assert problem['outcome'] == protocol.Ran.NOT_RUN.value, problem
+    assert problem['outcome'] == protocol.ExecutionStatus.NOT_RUN.value, (
+        problem
+    )
     assert problem['status'] == int(status), problem
 
 
--- a/rudderrock/coordination/__init__.py
+++ b/rudderrock/coordination/__init__.py
@@ -1,39 +1,39 @@
 """Routing, retries, limits, membership and configuration of a host."""
 
 from rudderrock.coordination._admission import Admission
-from rudderrock.coordination._admitted import QueryTicket
+from rudderrock.coordination._admitted import AdmittedQuery
 from rudderrock.coordination._attempt import Attempt
 from rudderrock.coordination._attempt import AttemptKind
-from rudderrock.coordination._attempt import Mailbox
+from rudderrock.coordination._attempt import ReplyQueue
 from rudderrock.coordination._budget import Budget
 from rudderrock.coordination._budget import RateLimit
 from rudderrock.coordination._budget import spend_all
+from rudderrock.coordination._claims import AlreadyClaimed
 from rudderrock.coordination._claims import Claim
+from rudderrock.coordination._claims import ClaimGranted
+from rudderrock.coordination._claims import ClaimNotCommitted
 from rudderrock.coordination._claims import Claims
 from rudderrock.coordination._claims import ClaimState
 from rudderrock.coordination._claims import ClaimStore
 from rudderrock.coordination._claims import make_fingerprint
-from rudderrock.coordination._claims import NotCommitted
-from rudderrock.coordination._claims import Taken
-from rudderrock.coordination._claims import Won
+from rudderrock.coordination._commands import AdmittedCommand
 from rudderrock.coordination._commands import CommandRunner
-from rudderrock.coordination._commands import CommandTicket
 from rudderrock.coordination._config import Configuration
 from rudderrock.coordination._config import PUSH_FANOUT
 from rudderrock.coordination._dispatch import Dispatcher
 from rudderrock.coordination._dispatch import is_not_run
 from rudderrock.coordination._dispatch import Service
-from rudderrock.coordination._extra_requests import ExtraRequests
+from rudderrock.coordination._extra_requests import ExtraRequestBudgets
 from rudderrock.coordination._extra_requests import QueryCounters
 from rudderrock.coordination._extra_requests import UNKNOWN_PATIENCE_S
 from rudderrock.coordination._fair_queue import FairQueue
-from rudderrock.coordination._gather import Gathering
-from rudderrock.coordination._gather import GatherParts
+from rudderrock.coordination._gather import GatherDependencies
+from rudderrock.coordination._gather import GatherPass
 from rudderrock.coordination._health import MIN_LIMIT
 from rudderrock.coordination._health import UpstreamHealth
 from rudderrock.coordination._host import describe_outcome
 from rudderrock.coordination._host import EntryHost
-from rudderrock.coordination._key_watcher import KeyFollower
+from rudderrock.coordination._key_watcher import KeyWatcher
 from rudderrock.coordination._key_watcher import LAYOUT_KEY
 from rudderrock.coordination._key_watcher import read_layout
 from rudderrock.coordination._key_watcher import read_table
@@ -52,10 +52,10 @@
 from rudderrock.coordination._metrics import Sample
 from rudderrock.coordination._metrics import TeamMetrics
 from rudderrock.coordination._query import QueryRunner
-from rudderrock.coordination._shard_call import Agenda
-from rudderrock.coordination._shard_call import Due
+from rudderrock.coordination._shard_call import CheckSchedule
+from rudderrock.coordination._shard_call import ScheduledCheck
 from rudderrock.coordination._shard_call import ShardCall
-from rudderrock.coordination._shares import ShareBook
+from rudderrock.coordination._shares import LimitShares
 from rudderrock.coordination._table_editor import EditAccepted
 from rudderrock.coordination._table_editor import EditInvalid
 from rudderrock.coordination._table_editor import EditLost
@@ -68,61 +68,61 @@
 
 __all__ = [
     'Admission',
-    'Agenda',
+    'AdmittedCommand',
+    'AdmittedQuery',
+    'AlreadyClaimed',
     'Attempt',
     'AttemptKind',
     'Budget',
+    'CheckSchedule',
     'Claim',
+    'ClaimGranted',
+    'ClaimNotCommitted',
     'ClaimState',
     'ClaimStore',
     'Claims',
     'CommandRunner',
-    'CommandTicket',
     'ConfigInForce',
     'Configuration',
     'Dispatcher',
-    'Due',
     'EditAccepted',
     'EditInvalid',
     'EditLost',
     'EditOutcome',
     'EditUncertain',
     'EntryHost',
-    'ExtraRequests',
+    'ExtraRequestBudgets',
     'FairQueue',
-    'GatherParts',
-    'Gathering',
+    'GatherDependencies',
+    'GatherPass',
     'HOST_PREFIX',
     'HostLease',
     'HostMetrics',
     'HostState',
-    'KeyFollower',
+    'KeyWatcher',
     'LAYOUT_KEY',
     'LeaseCheck',
     'Lifecycle',
+    'LimitShares',
     'MIN_LIMIT',
-    'Mailbox',
     'Membership',
-    'NotCommitted',
+    'PUSH_FANOUT',
     'QueryCounters',
     'QueryRunner',
-    'QueryTicket',
     'RateLimit',
-    'PUSH_FANOUT',
+    'ReplyQueue',
     'Sample',
+    'ScheduledCheck',
     'Service',
     'ShardCall',
-    'ShareBook',
     'TABLE_KEY',
     'TableEditor',
-    'Taken',
     'TeamMetrics',
     'UNKNOWN_PATIENCE_S',
     'UpstreamHealth',
     'UpstreamLink',
     'UpstreamState',
     'VersionChooser',
-    'Won',
     'describe_outcome',
     'format_prometheus',
     'is_not_run',
--- a/rudderrock/coordination/_admission.py
+++ b/rudderrock/coordination/_admission.py
@@ -35,7 +35,7 @@
     def __init__(
         self,
         settings: state.AdmissionSettings,
-        book: shares.ShareBook,
+        book: shares.LimitShares,
         dispatcher: dispatch.Dispatcher,
         clock: state.Clock,
     ):
--- a/rudderrock/coordination/_admitted.py
+++ b/rudderrock/coordination/_admitted.py
@@ -7,7 +7,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class QueryTicket:
+class AdmittedQuery:
     """An admitted query with the row of its team.
 
     `deadline` and `soft_deadline` are in loop time.
--- a/rudderrock/coordination/_attempt.py
+++ b/rudderrock/coordination/_attempt.py
@@ -18,7 +18,7 @@
     RETRY = 'retry'
 
 
-class Mailbox:
+class ReplyQueue:
     """Queue of the replies to the attempts of one query.
 
     The task of the query awaits one future for all outstanding replies, which
@@ -76,21 +76,21 @@
     kind: AttemptKind
     deadline: float
     grace_s: float
-    mailbox: Mailbox
+    reply_queue: ReplyQueue
     avoid: frozenset[state.UpstreamId] = frozenset()
     upstream: state.UpstreamId | None = None
     sent_at: float | None = None
     base_s: float = 0.0
     note_late: Callable[[bool], None] | None = None
     given_up: bool = False
-    abort: transport.Abort | None = None
+    abort: transport.AbortHandle | None = None
 
     @property
     def until(self) -> float:
         """Return the loop time until which the reply is read."""
         return self.deadline + self.grace_s
 
-    def arm(self, abort: transport.Abort) -> None:
+    def arm(self, abort: transport.AbortHandle) -> None:
         """Set the handle that aborts the exchange, which is about to start.
 
         The exchange is aborted at once if the attempt is already abandoned.
@@ -117,6 +117,6 @@
             self.abort.reschedule(0.0)
 
     def deliver(self, reply: protocol.ShardReply) -> None:
-        """Put the reply into the mailbox unless the attempt is abandoned."""
+        """Add the reply to the queue unless the attempt is abandoned."""
         if not self.given_up:
-            self.mailbox.put(self, reply)
+            self.reply_queue.put(self, reply)
--- a/rudderrock/coordination/_claims.py
+++ b/rudderrock/coordination/_claims.py
@@ -63,19 +63,19 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Won:
+class ClaimGranted:
     """This call claimed the key."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Taken:
+class AlreadyClaimed:
     """Another call had already claimed the key."""
 
     claim: Claim
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NotCommitted:
+class ClaimNotCommitted:
     """The key-value service did not confirm the change in time."""
 
     detail: str
@@ -92,13 +92,13 @@
     key: str
     nonce: str
     claim: Claim | None
-    result_future: asyncio.Future[Won | Taken]
+    result_future: asyncio.Future[ClaimGranted | AlreadyClaimed]
 
-    def apply(self, claims: Claims) -> Taken | None:
+    def apply(self, claims: Claims) -> AlreadyClaimed | None:
         """Apply the change; return the conflicting claim, if any."""
         current = claims.get(self.key)
         if current is not None and current.nonce != self.nonce:
-            return Taken(current)
+            return AlreadyClaimed(current)
         if self.claim is None:
             claims.pop(self.key, None)
         else:
@@ -121,7 +121,7 @@
         self._settings = settings
         self._write_limit = write_limit
         self._queued: list[_Operation] = []
-        self._entry: protocol.Entry | None = None
+        self._entry: protocol.KvEntry | None = None
         self._task: asyncio.Task | None = None
         self._urgent = asyncio.Event()
 
@@ -214,7 +214,9 @@
             match swapped:
                 case result.Ok(version):
                     value = protocol.encode(claims)
-                    self._entry = protocol.Entry(value=value, version=version)
+                    self._entry = protocol.KvEntry(
+                        value=value, version=version
+                    )
                     _resolve(batch, conflicts)
                     return True
                 case result.Err(transport.KvConflict(current)):
@@ -289,14 +291,16 @@
 
     async def claim(
         self, key: str, claim: Claim, until: float
-    ) -> Won | Taken | NotCommitted:
+    ) -> ClaimGranted | AlreadyClaimed | ClaimNotCommitted:
         """Claim a key, waiting until loop time `until` at most."""
         result_future = self._submit(key, claim.nonce, claim, urgent=True)
         try:
             async with asyncio.timeout_at(until):
                 return await result_future
         except TimeoutError:
-            return NotCommitted('no word from the key-value service in time')
+            return ClaimNotCommitted(
+                'no word from the key-value service in time'
+            )
 
     def record_outcome(self, key: str, claim: Claim) -> None:
         """Record the outcome of a claimed key with the next batch of claims.
@@ -346,7 +350,7 @@
 
     def _submit(
         self, key: str, nonce: str, claim: Claim | None, urgent: bool
-    ) -> asyncio.Future[Won | Taken]:
+    ) -> asyncio.Future[ClaimGranted | AlreadyClaimed]:
         rate = self._settings.writes_per_s / max(1, self._count_hosts())
         self._write_limit.set_rate(rate, _WRITE_BURST)
         result_future = asyncio.get_running_loop().create_future()
@@ -357,7 +361,7 @@
     async def _delete(self, key: str) -> None:
         entry = await self._kv.get(key)
         match entry:
-            case result.Ok(protocol.Entry(value=bytes(), version=version)):
+            case result.Ok(protocol.KvEntry(value=bytes(), version=version)):
                 await self._kv.swap(
                     protocol.SwapRequest(key=key, value=None, expected=version)
                 )
@@ -402,14 +406,16 @@
 
 
 def _resolve(
-    batch: list[_Operation], conflicts: dict[_Operation, Taken | None]
+    batch: list[_Operation], conflicts: dict[_Operation, AlreadyClaimed | None]
 ) -> None:
     for operation in batch:
         if not operation.result_future.done():
-            operation.result_future.set_result(conflicts[operation] or Won())
+            operation.result_future.set_result(
+                conflicts[operation] or ClaimGranted()
+            )
 
 
-def _decode_claims(entry: protocol.Entry) -> Claims:
+def _decode_claims(entry: protocol.KvEntry) -> Claims:
     if entry.value is None:
         return {}
     return protocol.decode(Claims, entry.value).expect(
--- a/rudderrock/coordination/_commands.py
+++ b/rudderrock/coordination/_commands.py
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class CommandTicket:
+class AdmittedCommand:
     """An admitted command; `deadline` is in loop time."""
 
     query_id: state.QueryId
@@ -76,26 +76,26 @@
         self._ring = ring
 
     async def run(
-        self, ticket: CommandTicket, collection: state.Collection
+        self, admitted: AdmittedCommand, collection: state.Collection
     ) -> protocol.Outcome:
         """Run a command, or return the outcome recorded for its key."""
-        checked = self._store.check_key(ticket.key)
+        checked = self._store.check_key(admitted.key)
         if checked.is_err():
             return checked.unwrap_err()
-        claim = self._make_claim(ticket)
+        claim = self._make_claim(admitted)
         now = self._clock.now()
-        until = now + _CLAIM_TIME_FRACTION * (ticket.deadline - now)
-        claimed = await self._store.claim(ticket.claim_key, claim, until)
+        until = now + _CLAIM_TIME_FRACTION * (admitted.deadline - now)
+        claimed = await self._store.claim(admitted.claim_key, claim, until)
         match claimed:
-            case claims.Taken(earlier):
-                return await self._answer_repeat(ticket, claim, earlier)
-            case claims.NotCommitted(detail):
+            case claims.AlreadyClaimed(earlier):
+                return await self._answer_repeat(admitted, claim, earlier)
+            case claims.ClaimNotCommitted(detail):
                 # Nothing was sent. The claim may still be stored later, so it
                 # is released to make the key usable again.
-                self._store.release(ticket.claim_key, claim)
-                return _refuse_unclaimed(ticket, detail)
-            case claims.Won():
-                return await self._run_claimed(ticket, collection, claim)
+                self._store.release(admitted.claim_key, claim)
+                return _refuse_unclaimed(admitted, detail)
+            case claims.ClaimGranted():
+                return await self._run_claimed(admitted, collection, claim)
 
     async def clean(self, index: int, hosts: int) -> None:
         """Delete this host's part of the expired claims."""
@@ -105,18 +105,18 @@
         """Discard the claims and outcomes that are not yet written."""
         await self._store.close()
 
-    def _make_claim(self, ticket: CommandTicket) -> claims.Claim:
-        left_s = ticket.deadline - self._clock.now()
+    def _make_claim(self, admitted: AdmittedCommand) -> claims.Claim:
+        left_s = admitted.deadline - self._clock.now()
         return claims.Claim(
             nonce=f'{self._source.getrandbits(96):024x}',
             holder=self._host,
-            fingerprint=claims.make_fingerprint(ticket.command),
+            fingerprint=claims.make_fingerprint(admitted.command),
             expires=self._clock.wall() + left_s,
         )
 
     async def _answer_repeat(
         self,
-        ticket: CommandTicket,
+        admitted: AdmittedCommand,
         claim: claims.Claim,
         earlier: claims.Claim,
     ) -> protocol.Outcome:
@@ -125,20 +125,20 @@
             return protocol.Refused(
                 reason=protocol.RefusalReason.KEY_REUSED,
                 detail='this key was used for a different request',
-                query=ticket.query_id,
+                query=admitted.query_id,
             )
         poll_s = _INITIAL_POLL_S
         while earlier.state is claims.ClaimState.CLAIMED:
             is_expired = self._clock.wall() >= earlier.expires
-            if is_expired or self._clock.now() + poll_s >= ticket.deadline:
+            if is_expired or self._clock.now() + poll_s >= admitted.deadline:
                 return protocol.Unknown(
-                    query=ticket.query_id,
+                    query=admitted.query_id,
                     detail='an earlier call with this key may have run; '
                     'its outcome is not recorded',
                 )
             await asyncio.sleep(poll_s)
             poll_s *= 2
-            match await self._store.read(ticket.claim_key):
+            match await self._store.read(admitted.claim_key):
                 case result.Ok(claims.Claim() as current):
                     earlier = current
                 case result.Ok(None):
@@ -146,62 +146,62 @@
                         reason=protocol.RefusalReason.UPSTREAM,
                         detail='the earlier call with this key did not run',
                         retry_after_s=_RETRY_AFTER_S,
-                        query=ticket.query_id,
+                        query=admitted.query_id,
                     )
         return protocol.Recorded(
-            query=ticket.query_id,
-            key=ticket.key,
+            query=admitted.query_id,
+            key=admitted.key,
             hits=earlier.hits,
             repeat=True,
         )
 
     async def _run_claimed(
         self,
-        ticket: CommandTicket,
+        admitted: AdmittedCommand,
         collection: state.Collection,
         claim: claims.Claim,
     ) -> protocol.Outcome:
-        team = state.TeamId(ticket.row.team)
+        team = state.TeamId(admitted.row.team)
         self._ring.record(
             state.EventKind.CLAIM,
             team=team,
-            query=ticket.query_id,
-            detail=ticket.key,
+            query=admitted.query_id,
+            detail=admitted.key,
         )
         try:
-            outcome = await self._send(ticket, collection)
+            outcome = await self._send(admitted, collection)
         except asyncio.CancelledError:
             # Cancelled by an operator, or because the caller disconnected. The
             # claim is kept, so that no host runs the command again. The
             # cancellation ends here, so that this outcome is returned.
             asyncio.current_task().uncancel()
             return protocol.Unknown(
-                query=ticket.query_id, detail='cut while under way'
+                query=admitted.query_id, detail='cut while under way'
             )
         match outcome:
             case _NotRun(detail):
-                self._store.release(ticket.claim_key, claim)
+                self._store.release(admitted.claim_key, claim)
                 return protocol.Refused(
                     reason=protocol.RefusalReason.UPSTREAM,
                     detail=detail,
                     retry_after_s=_RETRY_AFTER_S,
-                    query=ticket.query_id,
+                    query=admitted.query_id,
                 )
             case protocol.ShardAnswer(hits=hits):
-                self._record_outcome(ticket, claim, hits)
+                self._record_outcome(admitted, claim, hits)
                 return protocol.Recorded(
-                    query=ticket.query_id,
-                    key=ticket.key,
+                    query=admitted.query_id,
+                    key=admitted.key,
                     hits=hits,
                     repeat=False,
                 )
         return protocol.Unknown(
-            query=ticket.query_id, detail='the upstream gave no answer'
+            query=admitted.query_id, detail='the upstream gave no answer'
         )
 
     def _record_outcome(
         self,
-        ticket: CommandTicket,
+        admitted: AdmittedCommand,
         claim: claims.Claim,
         hits: list[protocol.Hit],
     ) -> None:
@@ -213,10 +213,10 @@
         done = dataclasses.replace(
             claim, state=claims.ClaimState.DONE, hits=recorded_hits
         )
-        self._store.record_outcome(ticket.claim_key, done)
+        self._store.record_outcome(admitted.claim_key, done)
 
     async def _send(
-        self, ticket: CommandTicket, collection: state.Collection
+        self, admitted: AdmittedCommand, collection: state.Collection
     ) -> protocol.ShardReply | _NotRun:
         """Send a command to one replica and return its reply.
 
@@ -225,17 +225,17 @@
         """
         placement = collection.placements[-1]
         shards = sorted(placement.shards)
-        index = xxhash.xxh64_intdigest(ticket.command.routing_key.encode())
+        index = xxhash.xxh64_intdigest(admitted.command.routing_key.encode())
         service = self._dispatcher.find_service(shards[index % len(shards)])
         avoid: set[state.UpstreamId] = set()
         reply: protocol.ShardReply = protocol.ShardLost(False, 'not tried')
         for number in range(_MAX_ATTEMPTS):
-            if self._clock.now() >= ticket.deadline:
+            if self._clock.now() >= admitted.deadline:
                 return _NotRun('the deadline came before it could be sent')
             if not service.is_reachable:
                 return _NotRun(f'no replica of {service.shard} is reachable')
             attempt = self._make_attempt(
-                ticket, service, placement, number, frozenset(avoid)
+                admitted, service, placement, number, frozenset(avoid)
             )
             reply = await self._exchange(service, attempt)
             if not dispatch.is_not_run(reply):
@@ -246,29 +246,29 @@
 
     def _make_attempt(
         self,
-        ticket: CommandTicket,
+        admitted: AdmittedCommand,
         service: dispatch.Service,
         placement: state.Placement,
         number: int,
         avoid: frozenset[state.UpstreamId],
     ) -> attempts.Attempt:
-        left_s = ticket.deadline - self._clock.now()
+        left_s = admitted.deadline - self._clock.now()
         request = protocol.ShardRequest(
-            request_id=state.RequestId(f'{ticket.query_id}.{number}'),
+            request_id=state.RequestId(f'{admitted.query_id}.{number}'),
             shard=service.shard,
             version=placement.version,
-            body=ticket.command.body,
+            body=admitted.command.body,
             limit=1,
             deadline=self._clock.wall() + left_s,
             write=True,
         )
         return attempts.Attempt(
             request=request,
-            row=ticket.row,
+            row=admitted.row,
             kind=attempts.AttemptKind.FIRST,
-            deadline=ticket.deadline,
+            deadline=admitted.deadline,
             grace_s=self._settings.routing.exchange_grace_s,
-            mailbox=attempts.Mailbox(asyncio.get_running_loop()),
+            reply_queue=attempts.ReplyQueue(asyncio.get_running_loop()),
             avoid=avoid,
         )
 
@@ -277,17 +277,19 @@
     ) -> protocol.ShardReply:
         self._dispatcher.submit(service, attempt)
         until = attempt.until + attempt.grace_s
-        for _, reply in await attempt.mailbox.take(until):
+        for _, reply in await attempt.reply_queue.take(until):
             return reply
         sent = attempt.sent_at is not None
         attempt.detach()
         return protocol.ShardLost(sent, 'deadline')
 
 
-def _refuse_unclaimed(ticket: CommandTicket, detail: str) -> protocol.Refused:
+def _refuse_unclaimed(
+    admitted: AdmittedCommand, detail: str
+) -> protocol.Refused:
     return protocol.Refused(
         reason=protocol.RefusalReason.KV_UNAVAILABLE,
         detail=f'could not be claimed: {detail}',
         retry_after_s=_KV_RETRY_AFTER_S,
-        query=ticket.query_id,
+        query=admitted.query_id,
     )
--- a/rudderrock/coordination/_extra_requests.py
+++ b/rudderrock/coordination/_extra_requests.py
@@ -43,7 +43,7 @@
         return (self.hedges + self.retries) / max(1, self.shards)
 
 
-class ExtraRequests:
+class ExtraRequestBudgets:
     """Budgets for hedges and retries, and the hedge thresholds.
 
     A hedge needs a token of the host and one of the service; a retry needs one
@@ -59,7 +59,9 @@
             settings.hedging.budget, settings.hedging.host_burst
         )
         self._team_retry_budgets: dict[state.TeamId, budgets.Budget] = {}
-        self._hedge_thresholds: dict[state.CollectionId, state.LatePoint] = {}
+        self._hedge_thresholds: dict[
+            state.CollectionId, state.HedgeThreshold
+        ] = {}
 
     def count_shard(
         self, service: dispatch.Service, team: state.TeamId
@@ -96,7 +98,7 @@
 
     def get_hedge_threshold(
         self, collection: state.CollectionId
-    ) -> state.LatePoint:
+    ) -> state.HedgeThreshold:
         """Return the hedge threshold of a collection.
 
         A request is late if it takes longer than the base latency of its
@@ -108,7 +110,7 @@
         threshold = self._hedge_thresholds.get(collection)
         if threshold is None:
             hedging = self._hedge_settings
-            threshold = state.LatePoint(
+            threshold = state.HedgeThreshold(
                 1.0 - hedging.percentile / 100.0,
                 start=max(UNKNOWN_PATIENCE_S, hedging.min_delay_s),
                 lowest=hedging.min_delay_s,
--- a/rudderrock/coordination/_gather.py
+++ b/rudderrock/coordination/_gather.py
@@ -15,7 +15,7 @@
 from rudderrock.coordination import _admitted as admitted_queries
 from rudderrock.coordination import _attempt as attempts
 from rudderrock.coordination import _dispatch as dispatch
-from rudderrock.coordination import _extra_requests as extra_requests
+from rudderrock.coordination import _extra_requests as extras
 from rudderrock.coordination import _merge as merge
 from rudderrock.coordination import _shard_call as calls
 
@@ -34,48 +34,50 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class GatherParts:
+class GatherDependencies:
     """Dependencies that all queries of a host share."""
 
     dispatcher: dispatch.Dispatcher
-    extra: extra_requests.ExtraRequests
+    extra_requests: extras.ExtraRequestBudgets
     settings: state.Settings
     clock: state.Clock
     source: random.Random
     ring: state.EventRing
 
 
-class Gathering:
+class GatherPass:
     """One pass of one query over all shards of one version."""
 
     def __init__(
         self,
-        dependencies: GatherParts,
-        ticket: admitted_queries.QueryTicket,
+        dependencies: GatherDependencies,
+        admitted: admitted_queries.AdmittedQuery,
         placement: state.Placement,
     ):
         self._dependencies = dependencies
-        self._ticket = ticket
+        self._admitted = admitted
         self._placement = placement
-        self._team = state.TeamId(ticket.row.team)
+        self._team = state.TeamId(admitted.row.team)
         self._clock = dependencies.clock
         self._dispatcher = dependencies.dispatcher
         self._settings = dependencies.settings
-        self._extra = dependencies.extra
-        self._counters = dependencies.extra.counters
-        self._hedge_threshold = dependencies.extra.get_hedge_threshold(
-            ticket.query.collection
+        self._extra_requests = dependencies.extra_requests
+        self._counters = dependencies.extra_requests.counters
+        self._hedge_threshold = (
+            dependencies.extra_requests.get_hedge_threshold(
+                admitted.query.collection
+            )
         )
         self._hedge_delay_s = self._hedge_threshold.get()
-        self._mailbox = attempts.Mailbox(asyncio.get_running_loop())
-        self._checks = calls.Agenda(dependencies.clock)
+        self._reply_queue = attempts.ReplyQueue(asyncio.get_running_loop())
+        self._checks = calls.CheckSchedule(dependencies.clock)
         self._attempt_numbers = itertools.count()
         self._calls: dict[state.ShardId, calls.ShardCall] = {}
         self._open_count = 0
         self._answer_count = 0
         self._version_unavailable = False
         self._wall_deadline = (
-            self._clock.wall() + ticket.deadline - self._clock.now()
+            self._clock.wall() + admitted.deadline - self._clock.now()
         )
 
     async def run(self, may_restart: bool) -> bool:
@@ -95,7 +97,7 @@
                 if self._clock.has_reached(end):
                     break
                 until = self._checks.get_next_time(end)
-                for attempt, reply in await self._mailbox.take(until):
+                for attempt, reply in await self._reply_queue.take(until):
                     self._handle_reply(attempt, reply)
                 self._run_due_checks()
         except asyncio.CancelledError:
@@ -110,10 +112,10 @@
     def make_answer(self) -> protocol.Answered:
         """Return the answer merged from the accepted answers of shards."""
         return merge.make_answer(
-            self._ticket.query_id,
+            self._admitted.query_id,
             self._placement.version,
             self._calls,
-            self._ticket.query.limit,
+            self._admitted.query.limit,
         )
 
     def _send_all(self) -> None:
@@ -122,7 +124,7 @@
             call = calls.ShardCall(service=service)
             self._calls[shard] = call
             self._open_count += 1
-            self._extra.count_shard(service, self._team)
+            self._extra_requests.count_shard(service, self._team)
             self._send_first(call)
 
     def _send_first(self, call: calls.ShardCall) -> None:
@@ -136,12 +138,12 @@
 
     def _get_end_time(self) -> float:
         """Return the loop time at which gathering ends, complete or not."""
-        row = self._ticket.row
+        row = self._admitted.row
         if row.coverage_policy is state.CoveragePolicy.WAIT:
-            return self._ticket.deadline
+            return self._admitted.deadline
         if self._answer_count >= row.coverage * len(self._calls):
-            return self._ticket.soft_deadline
-        return self._ticket.deadline
+            return self._admitted.soft_deadline
+        return self._admitted.deadline
 
     def _make_attempt(
         self,
@@ -151,20 +153,20 @@
     ) -> attempts.Attempt:
         number = next(self._attempt_numbers)
         request = protocol.ShardRequest(
-            request_id=state.RequestId(f'{self._ticket.query_id}.{number}'),
+            request_id=state.RequestId(f'{self._admitted.query_id}.{number}'),
             shard=call.service.shard,
             version=self._placement.version,
-            body=self._ticket.query.body,
-            limit=self._ticket.query.limit,
+            body=self._admitted.query.body,
+            limit=self._admitted.query.limit,
             deadline=self._wall_deadline,
         )
         attempt = attempts.Attempt(
             request=request,
-            row=self._ticket.row,
+            row=self._admitted.row,
             kind=kind,
-            deadline=self._ticket.deadline,
+            deadline=self._admitted.deadline,
             grace_s=self._settings.routing.exchange_grace_s,
-            mailbox=self._mailbox,
+            reply_queue=self._reply_queue,
             avoid=avoid,
         )
         call.in_flight.append(attempt)
@@ -175,21 +177,21 @@
         self,
         call: calls.ShardCall,
         delay_s: float,
-        retry_reason: protocol.MissReason | None = None,
+        retry_reason: protocol.MissingReason | None = None,
     ) -> None:
         self._checks.add(call, self._clock.now() + delay_s, retry_reason)
 
     def _run_due_checks(self) -> None:
-        for due in self._checks.take_due():
-            if due.retry_reason is not None:
-                self._retry(due.call, due.retry_reason)
-            elif self._should_postpone(due):
-                due.call.check_postponed = True
-                self._check_later(due.call, self._hedge_delay_s)
+        for check in self._checks.pop_due():
+            if check.retry_reason is not None:
+                self._retry(check.call, check.retry_reason)
+            elif self._should_postpone(check):
+                check.call.check_postponed = True
+                self._check_later(check.call, self._hedge_delay_s)
             else:
-                self._hedge_if_late(due.call)
+                self._hedge_if_late(check.call)
 
-    def _should_postpone(self, due: calls.Due) -> bool:
+    def _should_postpone(self, check: calls.ScheduledCheck) -> bool:
         """Return whether to postpone a check because this process ran it late.
 
         If the process stalled, the answer may have arrived without having been
@@ -199,8 +201,10 @@
         gets the hedge delay a second time, but only once, so that a host that
         is always behind still hedges.
         """
-        overdue_s = self._clock.now() - due.when
-        return overdue_s > _STALL_THRESHOLD_S and not due.call.check_postponed
+        overdue_s = self._clock.now() - check.when
+        return (
+            overdue_s > _STALL_THRESHOLD_S and not check.call.check_postponed
+        )
 
     def _hedge_if_late(self, call: calls.ShardCall) -> None:
         """Hedge the first attempt if it is late, else check again later."""
@@ -213,9 +217,7 @@
             return
         hedge_delay_s = self._hedge_delay_s
         if first.base_s <= 0.0:
-            hedge_delay_s = max(
-                hedge_delay_s, extra_requests.UNKNOWN_PATIENCE_S
-            )
+            hedge_delay_s = max(hedge_delay_s, extras.UNKNOWN_PATIENCE_S)
         late_at = first.sent_at + first.base_s + hedge_delay_s
         if not self._clock.has_reached(late_at):
             self._checks.add(call, late_at)
@@ -232,14 +234,14 @@
             avoid, self._settings.hedging.pause_above
         ):
             self._deny_hedge(call)
-        elif self._extra.can_hedge(service):
+        elif self._extra_requests.can_hedge(service):
             if self._try_send(call, attempts.AttemptKind.HEDGE, avoid):
-                self._extra.charge_hedge(service)
-        elif self._is_presumed_lost(first) and self._extra.can_retry(
+                self._extra_requests.charge_hedge(service)
+        elif self._is_presumed_lost(first) and self._extra_requests.can_retry(
             service, self._team
         ):
             if self._try_send(call, attempts.AttemptKind.RETRY, avoid):
-                self._extra.charge_retry(service, self._team)
+                self._extra_requests.charge_retry(service, self._team)
         else:
             self._deny_hedge(call)
 
@@ -299,9 +301,11 @@
                 self._handle_rejection(call, attempt, reply)
             case protocol.ShardLost():
                 call.failed.add(attempt.upstream)
-                self._retry_unless_in_flight(call, protocol.MissReason.LOST)
+                self._retry_unless_in_flight(call, protocol.MissingReason.LOST)
             case protocol.ShardTimeout():
-                self._retry_unless_in_flight(call, protocol.MissReason.TIMEOUT)
+                self._retry_unless_in_flight(
+                    call, protocol.MissingReason.TIMEOUT
+                )
 
     def _accept_answer(
         self,
@@ -330,24 +334,26 @@
         match rejected.kind:
             case protocol.RejectionKind.VERSION:
                 call.lacking_version.add(attempt.upstream)
-                self._retry_unless_in_flight(call, protocol.MissReason.VERSION)
+                self._retry_unless_in_flight(
+                    call, protocol.MissingReason.VERSION
+                )
             case protocol.RejectionKind.LEAVING:
                 call.failed.add(attempt.upstream)
-                self._retry_unless_in_flight(call, protocol.MissReason.LOST)
+                self._retry_unless_in_flight(call, protocol.MissingReason.LOST)
             case protocol.RejectionKind.SHED:
                 call.failed.add(attempt.upstream)
                 self._retry_unless_in_flight(
-                    call, protocol.MissReason.SHED, rejected.retry_after_s
+                    call, protocol.MissingReason.SHED, rejected.retry_after_s
                 )
             case protocol.RejectionKind.EXPIRED:
-                self._close_as_missing(call, protocol.MissReason.TIMEOUT)
+                self._close_as_missing(call, protocol.MissingReason.TIMEOUT)
             case protocol.RejectionKind.REFUSED:
-                self._close_as_missing(call, protocol.MissReason.REFUSED)
+                self._close_as_missing(call, protocol.MissingReason.REFUSED)
 
     def _retry_unless_in_flight(
         self,
         call: calls.ShardCall,
-        reason: protocol.MissReason,
+        reason: protocol.MissingReason,
         retry_after_s: float = 0.0,
     ) -> None:
         """Retry a shard, or close it, unless an attempt for it is in flight.
@@ -362,10 +368,10 @@
             self._retry(call, reason)
             return
         if len(call.lacking_version) == len(call.service.links):
-            self._close_as_missing(call, protocol.MissReason.VERSION)
+            self._close_as_missing(call, protocol.MissingReason.VERSION)
             return
         pause_s = max(retry_after_s, self._get_backoff_s(call))
-        if self._clock.now() + pause_s >= self._ticket.deadline:
+        if self._clock.now() + pause_s >= self._admitted.deadline:
             self._close_as_missing(call, reason)
             return
         call.failed.clear()
@@ -381,7 +387,7 @@
         return self._dependencies.source.uniform(0.5, 1.0) * max_pause_s
 
     def _retry(
-        self, call: calls.ShardCall, reason: protocol.MissReason
+        self, call: calls.ShardCall, reason: protocol.MissingReason
     ) -> None:
         retries = self._settings.retries
         if self._close_if_unservable(call):
@@ -389,11 +395,11 @@
         if not retries.enabled or call.attempt_count >= retries.max_attempts:
             self._close_as_missing(call, reason)
             return
-        if not self._extra.can_retry(call.service, self._team):
+        if not self._extra_requests.can_retry(call.service, self._team):
             self._counters.retries_denied += 1
             self._close_as_missing(call, reason)
             return
-        self._extra.charge_retry(call.service, self._team)
+        self._extra_requests.charge_retry(call.service, self._team)
         attempt = self._make_attempt(
             call, attempts.AttemptKind.RETRY, call.excluded
         )
@@ -407,7 +413,7 @@
         self._dependencies.ring.record(
             _EVENT_KINDS[attempt.kind],
             team=self._team,
-            query=self._ticket.query_id,
+            query=self._admitted.query_id,
             upstream=attempt.upstream,
             detail=f'{attempt.request.shard} {detail}'.rstrip(),
         )
@@ -418,19 +424,19 @@
         Return whether it was closed.
         """
         if not call.service.is_reachable:
-            self._close_as_missing(call, protocol.MissReason.LOST)
+            self._close_as_missing(call, protocol.MissingReason.LOST)
             return True
         now = self._clock.now()
         if not call.service.may_hold_version(self._placement.version, now):
-            self._close_as_missing(call, protocol.MissReason.VERSION)
+            self._close_as_missing(call, protocol.MissingReason.VERSION)
             return True
         return False
 
     def _close_as_missing(
-        self, call: calls.ShardCall, reason: protocol.MissReason
+        self, call: calls.ShardCall, reason: protocol.MissingReason
     ) -> None:
-        call.miss_reason = reason
-        self._version_unavailable |= reason is protocol.MissReason.VERSION
+        call.missing_reason = reason
+        self._version_unavailable |= reason is protocol.MissingReason.VERSION
         self._close_call(call)
 
     def _close_call(self, call: calls.ShardCall) -> None:
@@ -447,14 +453,14 @@
 
     def _close_remaining(self) -> None:
         """Close the shards that have no answer yet as missing."""
-        at_deadline = self._clock.has_reached(self._ticket.deadline)
+        at_deadline = self._clock.has_reached(self._admitted.deadline)
         for call in self._calls.values():
             if call.is_closed:
                 continue
             if at_deadline:
-                call.miss_reason = protocol.MissReason.TIMEOUT
+                call.missing_reason = protocol.MissingReason.TIMEOUT
             else:
-                call.miss_reason = protocol.MissReason.EARLY
+                call.missing_reason = protocol.MissingReason.EARLY
             for attempt in call.in_flight:
                 # Upstreams stop at the deadline by themselves, so the
                 # connection stays open.
--- a/rudderrock/coordination/_health.py
+++ b/rudderrock/coordination/_health.py
@@ -59,7 +59,7 @@
         self.base_s = 0.0
         self._settings = settings
         self._clock = clock
-        self._latency = state.FadingMean(clock)
+        self._latency = state.DecayingMean(clock)
         self._unloaded_latency = math.inf
         self._failures = 0
         self._ejections = 0
--- a/rudderrock/coordination/_host.py
+++ b/rudderrock/coordination/_host.py
@@ -41,7 +41,7 @@
         config: configs.Configuration,
         dispatcher: dispatch.Dispatcher,
         runner: queries.QueryRunner,
-        book: shares.ShareBook,
+        book: shares.LimitShares,
         gate: admission.Admission,
         command_runner: commands.CommandRunner,
         membership: memberships.Membership,
@@ -232,10 +232,10 @@
             row.deadline_s, query.deadline_s or row.deadline_s
         )
         cost = len(collection.placements[-1].shards)
-        admitted = self.gate.admit(row, cost, deadline)
-        if admitted.is_err():
-            return admitted.unwrap_err()
-        ticket = admitted_queries.QueryTicket(
+        decision = self.gate.admit(row, cost, deadline)
+        if decision.is_err():
+            return decision.unwrap_err()
+        admitted = admitted_queries.AdmittedQuery(
             query_id=query_id,
             row=row,
             query=query,
@@ -243,7 +243,7 @@
             soft_deadline=min(now + row.soft_deadline_s, deadline),
         )
         try:
-            return await self.runner.run(ticket, collection)
+            return await self.runner.run(admitted, collection)
         finally:
             self.gate.release(row, cost)
 
@@ -266,12 +266,12 @@
         deadline = now + min(
             row.deadline_s, command.deadline_s or row.deadline_s
         )
-        admitted = self.gate.admit(row, 1, deadline)
-        if admitted.is_err():
-            return admitted.unwrap_err()
+        decision = self.gate.admit(row, 1, deadline)
+        if decision.is_err():
+            return decision.unwrap_err()
         try:
             return await self.command_runner.run(
-                commands.CommandTicket(
+                commands.AdmittedCommand(
                     query_id=query_id,
                     row=row,
                     command=command,
--- a/rudderrock/coordination/_key_watcher.py
+++ b/rudderrock/coordination/_key_watcher.py
@@ -32,7 +32,7 @@
 _MAX_RESTORE_DELAY_S = 2.0
 
 
-class KeyFollower(Generic[T]):
+class KeyWatcher(Generic[T]):
     """Keeps one value up to date and tracks when it was last confirmed.
 
     Parameters: `read` decodes and checks a value, and returns it or the
@@ -156,7 +156,7 @@
             return float('inf')
         return self._clock.now() - self.confirmed_at
 
-    def _process_entry(self, entry: protocol.Entry, sent_at: float) -> None:
+    def _process_entry(self, entry: protocol.KvEntry, sent_at: float) -> None:
         """Process the reply to a call that was sent at loop time `sent_at`.
 
         The service is known to have been reachable, and the value current,
@@ -174,7 +174,7 @@
                 self.apply_if_newer(value, 'key-value service')
                 self.confirm(self._clock.now() - sent_at)
 
-    async def _restore(self, entry: protocol.Entry) -> None:
+    async def _restore(self, entry: protocol.KvEntry) -> None:
         """Write again the edits that the service has lost, if any.
 
         The write is a compare-and-swap against the version found, so only
@@ -199,7 +199,7 @@
                 detail=f'revision {self._get_revision(restored_value)}',
             )
 
-    def _make_value_to_restore(self, entry: protocol.Entry) -> T | None:
+    def _make_value_to_restore(self, entry: protocol.KvEntry) -> T | None:
         """Return the value with the lost edits, or None if none was lost."""
         if entry.value is None or self._value is None:
             return None
--- a/rudderrock/coordination/_leases.py
+++ b/rudderrock/coordination/_leases.py
@@ -131,7 +131,7 @@
         match await self._kv.renew(self._lease_id):
             case result.Ok(_):
                 self._held_until = sent_at + self._lease_duration_s
-            case result.Err(transport.LeaseGone()):
+            case result.Err(transport.LeaseExpired()):
                 self._record_lapse('unknown to the key-value service')
 
     def _record_lapse(self, detail: str) -> None:
--- a/rudderrock/coordination/_membership.py
+++ b/rudderrock/coordination/_membership.py
@@ -72,7 +72,7 @@
         host_list: transport.HostListPort | None,
         settings: state.MembershipSettings,
         *,
-        book: shares.ShareBook,
+        book: shares.LimitShares,
         has_lease: LeaseCheck,
         get_config: Callable[[], ConfigInForce],
         on_digest: Callable[[protocol.Digest], None],
--- a/rudderrock/coordination/_merge.py
+++ b/rudderrock/coordination/_merge.py
@@ -21,7 +21,7 @@
     """
     accepted = [call.answer for call in calls.values() if call.answer]
     missing = {
-        shard: call.miss_reason
+        shard: call.missing_reason
         for shard, call in calls.items()
         if call.answer is None
     }
--- a/rudderrock/coordination/_query.py
+++ b/rudderrock/coordination/_query.py
@@ -3,7 +3,7 @@
 from rudderrock import protocol
 from rudderrock import state
 from rudderrock.coordination import _admitted as admitted_queries
-from rudderrock.coordination import _extra_requests as extra_requests
+from rudderrock.coordination import _extra_requests as extras
 from rudderrock.coordination import _gather as gather
 from rudderrock.coordination import _versions as versions
 
@@ -16,7 +16,7 @@
 class QueryRunner:
     """Runs the admitted queries of one host on the upstreams."""
 
-    def __init__(self, dependencies: gather.GatherParts):
+    def __init__(self, dependencies: gather.GatherDependencies):
         self._dependencies = dependencies
         self._clock = dependencies.clock
         self._versions = versions.VersionChooser(
@@ -24,13 +24,13 @@
         )
 
     @property
-    def counters(self) -> extra_requests.QueryCounters:
+    def counters(self) -> extras.QueryCounters:
         """Return the counts of requests sent so far."""
-        return self._dependencies.extra.counters
+        return self._dependencies.extra_requests.counters
 
     async def run(
         self,
-        ticket: admitted_queries.QueryTicket,
+        admitted: admitted_queries.AdmittedQuery,
         collection: state.Collection,
     ) -> protocol.Answered:
         """Query every shard and return the result with its actual coverage.
@@ -44,37 +44,41 @@
             collection, rejected_versions
         )
         for _ in range(_MAX_RESTARTS):
-            gathering = gather.Gathering(self._dependencies, ticket, placement)
-            unavailable = await gathering.run(may_restart=True)
+            gather_pass = gather.GatherPass(
+                self._dependencies, admitted, placement
+            )
+            unavailable = await gather_pass.run(may_restart=True)
             if not unavailable:
-                return gathering.make_answer()
+                return gather_pass.make_answer()
             rejected_versions.add(placement.version)
             # The layout may have changed while the query ran.
             current = self._dependencies.dispatcher.find_collection(
                 collection.collection
             )
-            if current is None or not self._has_time_to_restart(ticket):
-                return gathering.make_answer()
+            if current is None or not self._has_time_to_restart(admitted):
+                return gather_pass.make_answer()
             replacement = self._versions.choose_placement(
                 current, rejected_versions
             )
             if replacement is None:
-                return gathering.make_answer()
-            self._record_restart(ticket, placement, replacement)
+                return gather_pass.make_answer()
+            self._record_restart(admitted, placement, replacement)
             placement = replacement
-        gathering = gather.Gathering(self._dependencies, ticket, placement)
-        await gathering.run(may_restart=False)
-        return gathering.make_answer()
+        gather_pass = gather.GatherPass(
+            self._dependencies, admitted, placement
+        )
+        await gather_pass.run(may_restart=False)
+        return gather_pass.make_answer()
 
     def _has_time_to_restart(
-        self, ticket: admitted_queries.QueryTicket
+        self, admitted: admitted_queries.AdmittedQuery
     ) -> bool:
-        left = ticket.deadline - self._clock.now()
-        return left > _MIN_RESTART_TIME_FRACTION * ticket.row.deadline_s
+        left = admitted.deadline - self._clock.now()
+        return left > _MIN_RESTART_TIME_FRACTION * admitted.row.deadline_s
 
     def _record_restart(
         self,
-        ticket: admitted_queries.QueryTicket,
+        admitted: admitted_queries.AdmittedQuery,
         old: state.Placement,
         new: state.Placement,
     ) -> None:
@@ -82,7 +86,7 @@
         self._versions.clear_cache()
         self._dependencies.ring.record(
             state.EventKind.VERSION_RESTART,
-            team=state.TeamId(ticket.row.team),
-            query=ticket.query_id,
+            team=state.TeamId(admitted.row.team),
+            query=admitted.query_id,
             detail=f'{old.version} to {new.version}',
         )
--- a/rudderrock/coordination/_shard_call.py
+++ b/rudderrock/coordination/_shard_call.py
@@ -33,13 +33,13 @@
     attempt_count: int = 0
     found_late: bool = False
     check_postponed: bool = False
-    miss_reason: protocol.MissReason | None = None
+    missing_reason: protocol.MissingReason | None = None
     answer: protocol.ShardAnswer | None = None
 
     @property
     def is_closed(self) -> bool:
         """Return whether the shard has an answer or is missing."""
-        return self.answer is not None or self.miss_reason is not None
+        return self.answer is not None or self.missing_reason is not None
 
     @property
     def excluded(self) -> frozenset[state.UpstreamId]:
@@ -54,7 +54,7 @@
         )
 
 
-class Due(typing.NamedTuple):
+class ScheduledCheck(typing.NamedTuple):
     """A scheduled check of a shard.
 
     `when` is in loop time; `order` breaks ties. `retry_reason` is the reason
@@ -65,35 +65,38 @@
     when: float
     order: int
     call: ShardCall
-    retry_reason: protocol.MissReason | None
+    retry_reason: protocol.MissingReason | None
 
 
-class Agenda:
+class CheckSchedule:
     """Scheduled checks of one query, ordered by time."""
 
     def __init__(self, clock: state.Clock):
         self._clock = clock
-        self._due: list[Due] = []
+        self._scheduled: list[ScheduledCheck] = []
         self._order = itertools.count()
 
     def add(
         self,
         call: ShardCall,
         when: float,
-        retry_reason: protocol.MissReason | None = None,
+        retry_reason: protocol.MissingReason | None = None,
     ) -> None:
         """Schedule a check of a shard at loop time `when`."""
         heapq.heappush(
-            self._due, Due(when, next(self._order), call, retry_reason)
+            self._scheduled,
+            ScheduledCheck(when, next(self._order), call, retry_reason),
         )
 
     def get_next_time(self, end: float) -> float:
         """Return the loop time of the next check, at most `end`."""
-        return min(end, self._due[0].when) if self._due else end
+        return min(end, self._scheduled[0].when) if self._scheduled else end
 
-    def take_due(self) -> typing.Iterator[Due]:
+    def pop_due(self) -> typing.Iterator[ScheduledCheck]:
         """Remove and yield the due checks of shards that are not closed."""
-        while self._due and self._clock.has_reached(self._due[0].when):
-            due = heapq.heappop(self._due)
-            if not due.call.is_closed:
-                yield due
+        while self._scheduled and self._clock.has_reached(
+            self._scheduled[0].when
+        ):
+            check = heapq.heappop(self._scheduled)
+            if not check.call.is_closed:
+                yield check
--- a/rudderrock/coordination/_shares.py
+++ b/rudderrock/coordination/_shares.py
@@ -21,7 +21,7 @@
 _MAX_DEMAND_AGE_S = 60.0
 
 
-class ShareBook:
+class LimitShares:
     """Demand of teams at this host and at its peers, and its own shares.
 
     Parameters: `host` is this host's id; `settings` define the division.
--- a/rudderrock/coordination/_table_editor.py
+++ b/rudderrock/coordination/_table_editor.py
@@ -100,14 +100,14 @@
             return EditInvalid(problems)
         deadline = self._clock.now() + timeout_s
         pause_s = _INITIAL_PAUSE_S
-        entry: protocol.Entry | None = None
+        entry: protocol.KvEntry | None = None
         while True:
             if entry is None:
                 read = await self._kv.get(key_watcher.TABLE_KEY)
                 entry = read.ok()
             if entry is not None:
                 outcome = await self._try_swap(change, entry)
-                if not isinstance(outcome, protocol.Entry | None):
+                if not isinstance(outcome, protocol.KvEntry | None):
                     return outcome
                 entry = outcome
                 if entry is not None:
@@ -118,8 +118,8 @@
             pause_s = min(pause_s * 2, _MAX_PAUSE_S)
 
     async def _try_swap(
-        self, change: state.Change, entry: protocol.Entry
-    ) -> EditOutcome | protocol.Entry | None:
+        self, change: state.Change, entry: protocol.KvEntry
+    ) -> EditOutcome | protocol.KvEntry | None:
         """Try one swap.
 
         Return the outcome, the newer entry that conflicts with it, or None
@@ -152,7 +152,7 @@
         return None
 
 
-def _decode_table(entry: protocol.Entry) -> result.Result[state.Table, str]:
+def _decode_table(entry: protocol.KvEntry) -> result.Result[state.Table, str]:
     if entry.value is None:
         return result.Ok(state.Table())
     return protocol.decode(state.Table, entry.value)
--- a/rudderrock/core/__init__.py
+++ b/rudderrock/core/__init__.py
@@ -18,10 +18,10 @@
 from rudderrock.core._ids import ShardId
 from rudderrock.core._ids import TeamId
 from rudderrock.core._ids import UpstreamId
-from rudderrock.core._ids import UpstreamLife
+from rudderrock.core._ids import UpstreamIncarnation
 from rudderrock.core._ids import ZoneId
-from rudderrock.core._latency import FadingMean
-from rudderrock.core._latency import LatePoint
+from rudderrock.core._latency import DecayingMean
+from rudderrock.core._latency import HedgeThreshold
 from rudderrock.core._loop import run_loop
 from rudderrock.core._loop import SuspendAwareLoop
 from rudderrock.core._tasks import end_task
@@ -30,11 +30,11 @@
 __all__ = [
     'Clock',
     'CollectionId',
+    'DecayingMean',
     'EditId',
-    'FadingMean',
+    'HedgeThreshold',
     'HostId',
     'IndexVersion',
-    'LatePoint',
     'NO_REVISION',
     'QueryId',
     'RequestId',
@@ -43,7 +43,7 @@
     'SuspendAwareLoop',
     'TeamId',
     'UpstreamId',
-    'UpstreamLife',
+    'UpstreamIncarnation',
     'ZoneId',
     'end_task',
     'make_random',
--- a/rudderrock/core/_ids.py
+++ b/rudderrock/core/_ids.py
@@ -7,7 +7,7 @@
 TeamId = NewType('TeamId', str)
 UpstreamId = NewType('UpstreamId', str)
 # One process lifetime of an upstream, which keeps its id over restarts.
-UpstreamLife = NewType('UpstreamLife', str)
+UpstreamIncarnation = NewType('UpstreamIncarnation', str)
 ShardId = NewType('ShardId', str)
 CollectionId = NewType('CollectionId', str)
 QueryId = NewType('QueryId', str)
--- a/rudderrock/core/_latency.py
+++ b/rudderrock/core/_latency.py
@@ -12,7 +12,7 @@
 _MAX_GAIN = 0.5
 
 
-class LatePoint:
+class HedgeThreshold:
     """Latency quantile that serves as the hedge threshold.
 
     The quantile is estimated by stochastic approximation (Robbins and
@@ -51,7 +51,7 @@
         self._threshold_s = min(max(threshold_s, self._min_s), self._max_s)
 
 
-class FadingMean:
+class DecayingMean:
     """Exponentially weighted mean that decays to zero without new samples.
 
     A slow replica is no longer selected, so it gets no new samples and its
--- a/rudderrock/experiments/_real.py
+++ b/rudderrock/experiments/_real.py
@@ -86,7 +86,7 @@
 
 def _make_sender(load: plans.TeamLoad, targets: Targets, seed: int):
     rng = state.make_random(seed, f'targets/{load.team}')
-    idle: dict[str, list[transport.OwnedConnection]] = {
+    idle: dict[str, list[transport.HttpConnection]] = {
         host: [] for host in targets.hosts
     }
     token = targets.tokens.get(load.team, '')
@@ -102,7 +102,7 @@
         if idle_connections:
             connection = idle_connections.pop()
         else:
-            connection = transport.OwnedConnection(host, headers=headers)
+            connection = transport.HttpConnection(host, headers=headers)
         raw = await connection.post(
             protocol.QUERY_PATH, protocol.encode(query)
         )
@@ -123,8 +123,8 @@
         case result.Ok(transport.RawReply(status=200, body=body)):
             return protocol.decode(protocol.Answered, body).ok()
         case result.Ok(transport.RawReply(body=body)):
-            problem = protocol.decode(protocol.Problem, body).ok()
-            if problem and problem.outcome is protocol.Ran.NOT_RUN:
+            problem = protocol.decode(protocol.ProblemDetails, body).ok()
+            if problem and problem.outcome is protocol.ExecutionStatus.NOT_RUN:
                 # The reason is not counted, so any will do.
                 return protocol.Refused(
                     reason=protocol.RefusalReason.OVERLOAD,
--- a/rudderrock/gateway/decisions/_canary.py
+++ b/rudderrock/gateway/decisions/_canary.py
@@ -88,7 +88,7 @@
         # Lost connections whose upstreams are being checked.
         self._pending_checks = 0
         # Upstreams that crashed in the current round, not reported yet.
-        self._crashed: set[core.UpstreamLife] = set()
+        self._crashed: set[core.UpstreamIncarnation] = set()
         self._round_started_at = 0.0
         self._was_suspect = False
         # Crashes of the current round have been reported before its end.
@@ -154,7 +154,7 @@
         self._waiting.append(attempt)
         self._advance()
 
-    def list_crashed(self) -> list[core.UpstreamLife]:
+    def list_crashed(self) -> list[core.UpstreamIncarnation]:
         """Return the upstreams that crashed while running the request."""
         if self._quarantine.is_empty:
             return []
@@ -211,7 +211,7 @@
         self._pending_checks += 1
 
     def record_checked(
-        self, incarnation: core.UpstreamLife, crashed: bool
+        self, incarnation: core.UpstreamIncarnation, crashed: bool
     ) -> None:
         """Record whether the upstream of a lost connection has crashed."""
         self._pending_checks -= 1
@@ -219,7 +219,9 @@
             self._crashed.add(incarnation)
         self._advance()
 
-    def mark_suspected(self, crashed: Iterable[core.UpstreamLife]) -> None:
+    def mark_suspected(
+        self, crashed: Iterable[core.UpstreamIncarnation]
+    ) -> None:
         """Record that another host suspects the request.
 
         Upstreams that crashed there count as part of the first round.
--- a/rudderrock/gateway/decisions/_replicas.py
+++ b/rudderrock/gateway/decisions/_replicas.py
@@ -118,7 +118,7 @@
         policy: ConnectionPolicy,
         cold_limits: cold.ColdLimits,
         own: core.HostId,
-        has_crashed: Callable[[core.UpstreamLife], bool],
+        has_crashed: Callable[[core.UpstreamIncarnation], bool],
     ):
         self.connections_opened = 0
         self._has_crashed = has_crashed
--- a/rudderrock/gateway/discovery/_directory.py
+++ b/rudderrock/gateway/discovery/_directory.py
@@ -60,9 +60,9 @@
         return self.born, self.sequence
 
     @property
-    def incarnation(self) -> core.UpstreamLife:
+    def incarnation(self) -> core.UpstreamIncarnation:
         """Return an id that is unique to this incarnation."""
-        return core.UpstreamLife(f'{self.upstream}/{self.born}')
+        return core.UpstreamIncarnation(f'{self.upstream}/{self.born}')
 
     def is_same_incarnation(self, other: 'Endpoint') -> bool:
         """Return whether state kept for the other entry is still valid."""
--- a/rudderrock/gateway/discovery/_quarantine.py
+++ b/rudderrock/gateway/discovery/_quarantine.py
@@ -94,7 +94,7 @@
     trials: list[str]
     answered: bool
     age_ms: int
-    ended: dict[core.UpstreamLife, int] = {}
+    ended: dict[core.UpstreamIncarnation, int] = {}
 
 
 class _RequestHistory:
@@ -107,7 +107,7 @@
 
     def __init__(self) -> None:
         self.trials: frozenset[str] = frozenset()
-        self.ended: dict[core.UpstreamLife, float] = {}
+        self.ended: dict[core.UpstreamIncarnation, float] = {}
         self.answered = False
         self.last_crash_at = -math.inf
         self.generation = 0
@@ -213,13 +213,13 @@
             and max(len(history.ended), len(history.trials)) > 1
         )
 
-    def list_crashed(self, digest: str) -> list[core.UpstreamLife]:
+    def list_crashed(self, digest: str) -> list[core.UpstreamIncarnation]:
         """Return the upstreams that a request has crashed."""
         history = self._histories.get(digest)
         return sorted(history.ended) if history is not None else []
 
     def has_crashed(
-        self, incarnation: core.UpstreamLife, lag_s: float = 0.0
+        self, incarnation: core.UpstreamIncarnation, lag_s: float = 0.0
     ) -> bool:
         """Return whether an upstream has crashed under any request recently.
 
@@ -268,7 +268,7 @@
         digest: str,
         began: float,
         was_suspect: bool,
-        ended: Iterable[core.UpstreamLife] = (),
+        ended: Iterable[core.UpstreamIncarnation] = (),
     ) -> None:
         """Record a failed attempt: every upstream with the request crashed.
 
@@ -346,7 +346,7 @@
         answered: bool,
         last_crash_at: float,
         origin: str,
-        ended: Mapping[core.UpstreamLife, float],
+        ended: Mapping[core.UpstreamIncarnation, float],
     ) -> None:
         now = self._clock.now()
         self._drop_expired(now)
@@ -424,9 +424,9 @@
 
 
 def _merge_crash_times(
-    one: Mapping[core.UpstreamLife, float],
-    other: Mapping[core.UpstreamLife, float],
-) -> dict[core.UpstreamLife, float]:
+    one: Mapping[core.UpstreamIncarnation, float],
+    other: Mapping[core.UpstreamIncarnation, float],
+) -> dict[core.UpstreamIncarnation, float]:
     """Return the crashed upstreams with the time of each one's last crash."""
     merged = dict(one)
     for incarnation, ended_at in other.items():
--- a/rudderrock/gateway/forwarding/_delegate.py
+++ b/rudderrock/gateway/forwarding/_delegate.py
@@ -136,7 +136,7 @@
     stamps: list[bytes]
     body: bytes
     missing: frozenset[routing.ServiceName]
-    crashed_upstreams: tuple[core.UpstreamLife, ...] | None = None
+    crashed_upstreams: tuple[core.UpstreamIncarnation, ...] | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -457,7 +457,7 @@
 
 
 def make_crashed_header(
-    incarnations: Iterable[core.UpstreamLife],
+    incarnations: Iterable[core.UpstreamIncarnation],
 ) -> tuple[bytes, bytes]:
     """Return the header that lists upstreams that crashed in a query."""
     return CRASHED_UPSTREAMS, ','.join(incarnations).encode()
@@ -465,13 +465,14 @@
 
 def parse_crashed_header(
     reply: messages.Reply,
-) -> tuple[core.UpstreamLife, ...] | None:
+) -> tuple[core.UpstreamIncarnation, ...] | None:
     """Return upstreams that crashed in a query, or None if not given."""
     listed = reply.get_header(CRASHED_UPSTREAMS)
     if listed is None:
         return None
     return tuple(
-        core.UpstreamLife(incarnation) for incarnation in _split_list(listed)
+        core.UpstreamIncarnation(incarnation)
+        for incarnation in _split_list(listed)
     )
 
 
--- a/rudderrock/gateway/forwarding/_forward.py
+++ b/rudderrock/gateway/forwarding/_forward.py
@@ -45,15 +45,15 @@
 
     def __init__(self) -> None:
         self._thresholds: dict[
-            tuple[routing.RouteName, float], core.LatePoint
+            tuple[routing.RouteName, float], core.HedgeThreshold
         ] = {}
 
-    def get(self, route: routing.Route) -> core.LatePoint:
+    def get(self, route: routing.Route) -> core.HedgeThreshold:
         """Return the hedge threshold of a route."""
         key = (route.name, route.goal_s)
         threshold = self._thresholds.get(key)
         if threshold is None:
-            threshold = core.LatePoint(
+            threshold = core.HedgeThreshold(
                 HEDGE_FRACTION,
                 start=THRESHOLD_START_FRACTION * route.goal_s,
                 lowest=THRESHOLD_MIN_FRACTION * route.goal_s,
@@ -103,7 +103,7 @@
         context: calls.ForwardingContext,
         call: calls.Call,
         services: tuple[routing.ServiceName, ...],
-        threshold: core.LatePoint,
+        threshold: core.HedgeThreshold,
         scope: QueryScope,
         delegation: delegate.Delegation | None = None,
     ):
@@ -315,7 +315,7 @@
     context: calls.ForwardingContext,
     call: calls.Call,
     service: routing.ServiceName,
-    threshold: core.LatePoint,
+    threshold: core.HedgeThreshold,
 ) -> results.Result:
     """Forward a call to one service and return its answer unchanged."""
     forwarder = Forwarder(
--- a/rudderrock/gateway/forwarding/_gateway.py
+++ b/rudderrock/gateway/forwarding/_gateway.py
@@ -358,7 +358,7 @@
         self,
         call: calls.Call,
         scatter: routing.Scatter,
-        threshold: core.LatePoint,
+        threshold: core.HedgeThreshold,
         rank: int,
     ) -> results.Result:
         """Delegate a wide query to a host with capacity, or run it here."""
@@ -388,7 +388,7 @@
         self,
         call: calls.Call,
         scatter: routing.Scatter,
-        threshold: core.LatePoint,
+        threshold: core.HedgeThreshold,
         rank: int,
     ) -> results.Result:
         """Run a query over shards if admission control allows it."""
--- a/rudderrock/gateway/forwarding/_gather.py
+++ b/rudderrock/gateway/forwarding/_gather.py
@@ -24,7 +24,7 @@
     context: calls.ForwardingContext,
     call: calls.Call,
     scatter: routing.Scatter,
-    threshold: core.LatePoint,
+    threshold: core.HedgeThreshold,
     delegation: delegate.Delegation,
 ) -> results.Result:
     """Forward a call to every shard and merge the records of the answers."""
@@ -60,7 +60,7 @@
     context: calls.ForwardingContext,
     call: calls.Call,
     scatter: routing.Scatter,
-    threshold: core.LatePoint,
+    threshold: core.HedgeThreshold,
     shards: tuple[routing.ServiceName, ...],
     min_answers: int,
 ) -> results.Result:
@@ -87,7 +87,7 @@
     names: header_names.HeaderNames,
     request_id: bytes,
     shards: tuple[routing.ServiceName, ...],
-    crashed: list[core.UpstreamLife],
+    crashed: list[core.UpstreamIncarnation],
 ) -> results.Result:
     """Return an answer without any shard for a quarantined request.
 
--- a/rudderrock/programs/_caller_client.py
+++ b/rudderrock/programs/_caller_client.py
@@ -17,7 +17,7 @@
     def __init__(self, address: str, token: str):
         self._address = address
         self._headers = {'authorization': f'Bearer {token}'}
-        self._idle: list[transport.OwnedConnection] = []
+        self._idle: list[transport.HttpConnection] = []
 
     async def query(
         self, query: protocol.Query
@@ -34,7 +34,7 @@
         the reply.
         """
         headers = {**self._headers, protocol.IDEMPOTENCY_HEADER: key}
-        connection = transport.OwnedConnection(self._address, headers=headers)
+        connection = transport.HttpConnection(self._address, headers=headers)
         async with contextlib.AsyncExitStack() as stack:
             stack.push_async_callback(connection.close)
             body = protocol.encode(command)
@@ -51,7 +51,7 @@
         if self._idle:
             connection = self._idle.pop()
         else:
-            connection = transport.OwnedConnection(
+            connection = transport.HttpConnection(
                 self._address, headers=self._headers
             )
         try:
--- a/rudderrock/programs/query.py
+++ b/rudderrock/programs/query.py
@@ -138,9 +138,9 @@
     print(reply.body.decode())
     if reply.status == 200:
         return
-    problem = protocol.decode(protocol.Problem, reply.body)
+    problem = protocol.decode(protocol.ProblemDetails, reply.body)
     unknown = problem.is_err() or (
-        problem.unwrap().outcome is protocol.Ran.UNKNOWN
+        problem.unwrap().outcome is protocol.ExecutionStatus.UNKNOWN
     )
     raise SystemExit(exits.Exit.UNKNOWN if unknown else exits.Exit.REFUSED)
 
--- a/rudderrock/protocol/__init__.py
+++ b/rudderrock/protocol/__init__.py
@@ -6,7 +6,7 @@
 from rudderrock.protocol._caller import Coverage
 from rudderrock.protocol._caller import IDEMPOTENCY_HEADER
 from rudderrock.protocol._caller import MAX_HITS
-from rudderrock.protocol._caller import MissReason
+from rudderrock.protocol._caller import MissingReason
 from rudderrock.protocol._caller import Outcome
 from rudderrock.protocol._caller import Query
 from rudderrock.protocol._caller import QUERY_PATH
@@ -17,11 +17,11 @@
 from rudderrock.protocol._codec import decode
 from rudderrock.protocol._codec import encode
 from rudderrock.protocol._kv import ABSENT
-from rudderrock.protocol._kv import Entry
 from rudderrock.protocol._kv import GET_PATH
 from rudderrock.protocol._kv import GetRequest
 from rudderrock.protocol._kv import GRANT_PATH
 from rudderrock.protocol._kv import GrantRequest
+from rudderrock.protocol._kv import KvEntry
 from rudderrock.protocol._kv import Lease
 from rudderrock.protocol._kv import RENEW_PATH
 from rudderrock.protocol._kv import REVOKE_PATH
@@ -42,12 +42,12 @@
 from rudderrock.protocol._peers import PROBE_PATH
 from rudderrock.protocol._peers import ProbeReply
 from rudderrock.protocol._peers import SECRET_HEADER
+from rudderrock.protocol._problems import ExecutionStatus
 from rudderrock.protocol._problems import HttpReply
 from rudderrock.protocol._problems import JSON_TYPE
 from rudderrock.protocol._problems import make_http_reply
-from rudderrock.protocol._problems import Problem
 from rudderrock.protocol._problems import PROBLEM_TYPE
-from rudderrock.protocol._problems import Ran
+from rudderrock.protocol._problems import ProblemDetails
 from rudderrock.protocol._upstream import Hit
 from rudderrock.protocol._upstream import Load
 from rudderrock.protocol._upstream import LOAD_PATH
@@ -72,7 +72,7 @@
     'Coverage',
     'Demand',
     'Digest',
-    'Entry',
+    'ExecutionStatus',
     'GET_PATH',
     'GRANT_PATH',
     'GetRequest',
@@ -81,6 +81,7 @@
     'HttpReply',
     'IDEMPOTENCY_HEADER',
     'JSON_TYPE',
+    'KvEntry',
     'LOAD_PATH',
     'Lease',
     'Load',
@@ -89,19 +90,18 @@
     'MAX_NEWS',
     'Member',
     'MemberState',
-    'MissReason',
+    'MissingReason',
     'Outcome',
     'PROBE_PATH',
     'PROBLEM_TYPE',
     'Probe',
     'ProbeReply',
-    'Problem',
+    'ProblemDetails',
     'QUERY_PATH',
     'Query',
     'REJECTION_STATUS',
     'RENEW_PATH',
     'REVOKE_PATH',
-    'Ran',
     'Recorded',
     'RefusalReason',
     'Refused',
--- a/rudderrock/protocol/_caller.py
+++ b/rudderrock/protocol/_caller.py
@@ -46,7 +46,7 @@
     deadline_s: Annotated[float, msgspec.Meta(gt=0, le=60)] | None = None
 
 
-class MissReason(enum.Enum):
+class MissingReason(enum.Enum):
     """Reason why a result contains no answer from a shard.
 
     `TIMEOUT`: no answer before the deadline. `SHED`: the upstreams were
@@ -74,7 +74,7 @@
 
     shards: int
     answered: int
-    missing: dict[state.ShardId, MissReason]
+    missing: dict[state.ShardId, MissingReason]
 
     @property
     def fraction(self) -> float:
--- a/rudderrock/protocol/_kv.py
+++ b/rudderrock/protocol/_kv.py
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Entry:
+class KvEntry:
     """Value and version of a key.
 
     The version of a key increases with every write, also if the key is
--- a/rudderrock/protocol/_problems.py
+++ b/rudderrock/protocol/_problems.py
@@ -34,7 +34,7 @@
 }
 
 
-class Ran(enum.Enum):
+class ExecutionStatus(enum.Enum):
     """Whether a request without a result was run."""
 
     NOT_RUN = 'not_run'
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Problem:
+class ProblemDetails:
     """Problem details of RFC 9457, the body of a response without a result.
 
     `outcome` states whether the request ran; `instance` is a URN with the id
@@ -53,7 +53,7 @@
     title: str
     status: int
     detail: str
-    outcome: Ran
+    outcome: ExecutionStatus
     instance: str | None = None
     retry_after_s: float | None = None
 
@@ -82,26 +82,26 @@
             return _make_problem_reply(_describe_unknown(outcome))
 
 
-def _describe_refusal(refused: caller.Refused) -> Problem:
+def _describe_refusal(refused: caller.Refused) -> ProblemDetails:
     reason = refused.reason
-    return Problem(
+    return ProblemDetails(
         type=_TYPE_PREFIX + reason.value,
         title=reason.value.replace('_', ' ').capitalize(),
         status=_REFUSAL_STATUS[reason],
         detail=refused.detail,
-        outcome=Ran.NOT_RUN,
+        outcome=ExecutionStatus.NOT_RUN,
         instance=_make_instance_uri(refused.query),
         retry_after_s=refused.retry_after_s,
     )
 
 
-def _describe_unknown(unknown: caller.Unknown) -> Problem:
-    return Problem(
+def _describe_unknown(unknown: caller.Unknown) -> ProblemDetails:
+    return ProblemDetails(
         type=_TYPE_PREFIX + 'unknown',
         title='May have run',
         status=_UNKNOWN_STATUS,
         detail=unknown.detail,
-        outcome=Ran.UNKNOWN,
+        outcome=ExecutionStatus.UNKNOWN,
         instance=_make_instance_uri(unknown.query),
     )
 
@@ -110,7 +110,7 @@
     return f'urn:rudderrock:query:{query}' if query else None
 
 
-def _make_problem_reply(problem: Problem) -> HttpReply:
+def _make_problem_reply(problem: ProblemDetails) -> HttpReply:
     headers = {'content-type': PROBLEM_TYPE}
     if problem.retry_after_s is not None:
         # RFC 9110 allows only whole seconds in this header. The body
--- a/rudderrock/root.py
+++ b/rudderrock/root.py
@@ -48,7 +48,7 @@
     def make_random_source(name: str):
         return state.make_random(seed, f'{host_id}/{name}')
 
-    share_book = coordination.ShareBook(host_id, settings.shares, clock)
+    share_book = coordination.LimitShares(host_id, settings.shares, clock)
     dispatcher = coordination.Dispatcher(
         state.ZoneId(settings.host.zone),
         ports.upstreams,
@@ -58,9 +58,9 @@
         ring,
     )
     runner = coordination.QueryRunner(
-        coordination.GatherParts(
+        coordination.GatherDependencies(
             dispatcher=dispatcher,
-            extra=coordination.ExtraRequests(settings),
+            extra_requests=coordination.ExtraRequestBudgets(settings),
             settings=settings,
             clock=clock,
             source=make_random_source('query'),
@@ -95,7 +95,7 @@
     def on_layout(layout: state.Layout) -> None:
         config.apply_layout(layout)
 
-    table_watcher = coordination.KeyFollower(
+    table_watcher = coordination.KeyWatcher(
         ports.kv,
         coordination.TABLE_KEY,
         read=coordination.read_table,
@@ -111,7 +111,7 @@
         ring=ring,
         reunite=state.reunite_tables,
     )
-    layout_watcher = coordination.KeyFollower(
+    layout_watcher = coordination.KeyWatcher(
         ports.kv,
         coordination.LAYOUT_KEY,
         read=coordination.read_layout,
--- a/rudderrock/soak/_plan.py
+++ b/rudderrock/soak/_plan.py
@@ -56,10 +56,10 @@
 # The outage before the store is restored lasts this fraction of the duration
 # of other faults.
 _OUTAGE_FRACTION = 0.4
-_FAULTY_CONDUCTS = [
+_UPSTREAM_FAULT_MODES = [
     each
-    for each in standins.Conduct
-    if each not in (standins.Conduct.GOOD, standins.Conduct.EARLY_REPLY)
+    for each in standins.FaultMode
+    if each not in (standins.FaultMode.GOOD, standins.FaultMode.EARLY_REPLY)
 ]
 
 
@@ -139,7 +139,7 @@
         case FaultKind.PROXY_TO_STORE | FaultKind.PROXY_TO_UPSTREAM:
             variant = rng.choice(list(ProxyFault)[1:])
         case FaultKind.UPSTREAM:
-            variant = rng.choice(_FAULTY_CONDUCTS)
+            variant = rng.choice(_UPSTREAM_FAULT_MODES)
     duration_s = rng.uniform(0.2, 3.0)
     if kind is FaultKind.STORE_RESTORED:
         duration_s *= _OUTAGE_FRACTION
--- a/rudderrock/soak/_run.py
+++ b/rudderrock/soak/_run.py
@@ -233,7 +233,7 @@
                 model = world.upstreams[name]
                 model.conduct = fault.variant
                 await asyncio.sleep(fault.duration_s)
-                model.conduct = standins.Conduct.GOOD
+                model.conduct = standins.FaultMode.GOOD
             case kinds.UPSTREAM_RESTARTS:
                 world.upstreams[name].cut_connections()
             case kinds.UPSTREAM_DRAINS:
--- a/rudderrock/soak/_world.py
+++ b/rudderrock/soak/_world.py
@@ -142,7 +142,7 @@
         self._version = 0
         self._config = b''
         self._entries: dict[str, bytes] = {}
-        self._snapshots: collections.deque[platform_standins.StoreCopy] = (
+        self._snapshots: collections.deque[platform_standins.StoreSnapshot] = (
             collections.deque(maxlen=_MAX_SNAPSHOTS)
         )
         self._shards: list[str] = []
--- a/rudderrock/standins/__init__.py
+++ b/rudderrock/standins/__init__.py
@@ -33,18 +33,18 @@
 from rudderrock.standins._upstream import Run
 from rudderrock.standins._upstream import UpstreamFaults
 from rudderrock.standins._upstream import UpstreamModel
-from rudderrock.standins._wire_upstream import Conduct
 from rudderrock.standins._wire_upstream import DOWN_S
+from rudderrock.standins._wire_upstream import FaultMode
 from rudderrock.standins._wire_upstream import Pauses
 from rudderrock.standins._wire_upstream import WireRun
 from rudderrock.standins._wire_upstream import WireUpstream
 
 __all__ = [
-    'DOWN_S',
-    'Conduct',
     'DEFAULT_MAX_QUEUE',
+    'DOWN_S',
     'Deployment',
     'FIRST_VERSION',
+    'FaultMode',
     'Group',
     'Handler',
     'HostKv',
@@ -62,12 +62,12 @@
     'MemoryUpstreamPort',
     'Network',
     'Pause',
+    'Pauses',
     'PeerFaults',
     'Run',
     'RunningHost',
     'UpstreamFaults',
     'UpstreamModel',
-    'Pauses',
     'WireRun',
     'WireUpstream',
     'make_host_list_app',
--- a/rudderrock/standins/_kv.py
+++ b/rudderrock/standins/_kv.py
@@ -45,7 +45,7 @@
 class KvSnapshot:
     """A snapshot of all keys of the service."""
 
-    entries: dict[str, protocol.Entry]
+    entries: dict[str, protocol.KvEntry]
     version: int
 
 
@@ -61,7 +61,7 @@
         self.writes = 0
         self._clock = clock
         self._latency_s = latency_s
-        self._entries: dict[str, protocol.Entry] = {}
+        self._entries: dict[str, protocol.KvEntry] = {}
         self._leases: dict[str, _Lease] = {}
         self._ids = itertools.count(1)
         self._version = 0
@@ -69,7 +69,7 @@
 
     async def get(
         self, key: str
-    ) -> result.Result[protocol.Entry, transport.KvUnavailable]:
+    ) -> result.Result[protocol.KvEntry, transport.KvUnavailable]:
         """Return the value and version of a key."""
         self.reads += 1
         if await self._delay_and_check_down():
@@ -80,7 +80,9 @@
         self, request: protocol.SwapRequest
     ) -> result.Result[
         int,
-        transport.KvConflict | transport.KvUnavailable | transport.LeaseGone,
+        transport.KvConflict
+        | transport.KvUnavailable
+        | transport.LeaseExpired,
     ]:
         """Write a key if its version is as expected; return its version."""
         self.writes += 1
@@ -92,7 +94,7 @@
         if request.lease is not None:
             lease = self._find_lease(request.lease)
             if lease is None:
-                return result.Err(transport.LeaseGone())
+                return result.Err(transport.LeaseExpired())
             lease.keys.add(request.key)
         version = await self._write(request.key, request.value)
         if self.faults.lose_replies > 0:
@@ -102,7 +104,7 @@
 
     async def watch(
         self, key: str, after: int, timeout_s: float
-    ) -> result.Result[protocol.Entry, transport.KvUnavailable]:
+    ) -> result.Result[protocol.KvEntry, transport.KvUnavailable]:
         """Return a key once its version exceeds `after`, or at the timeout."""
         self.reads += 1
         if await self._delay_and_check_down():
@@ -119,7 +121,7 @@
         if self.faults.down:
             return _unavailable()
         if self.faults.drop_watches:
-            return result.Ok(protocol.Entry(value=None, version=after))
+            return result.Ok(protocol.KvEntry(value=None, version=after))
         return result.Ok(self._read(key))
 
     async def grant(
@@ -135,26 +137,26 @@
 
     async def renew(
         self, lease: str
-    ) -> result.Result[None, transport.LeaseGone | transport.KvUnavailable]:
+    ) -> result.Result[None, transport.LeaseExpired | transport.KvUnavailable]:
         """Extend a lease to its full time to live from now."""
         self.writes += 1
         if await self._delay_and_check_down():
             return _unavailable()
         found = self._find_lease(lease)
         if found is None:
-            return result.Err(transport.LeaseGone())
+            return result.Err(transport.LeaseExpired())
         found.expires = self._clock.now() + found.ttl_s
         return result.Ok(None)
 
     async def revoke(
         self, lease: str
-    ) -> result.Result[None, transport.LeaseGone | transport.KvUnavailable]:
+    ) -> result.Result[None, transport.LeaseExpired | transport.KvUnavailable]:
         """Revoke a lease and delete the keys attached to it."""
         self.writes += 1
         if await self._delay_and_check_down():
             return _unavailable()
         if self._find_lease(lease) is None:
-            return result.Err(transport.LeaseGone())
+            return result.Err(transport.LeaseExpired())
         await self._drop_lease(lease)
         return result.Ok(None)
 
@@ -199,8 +201,8 @@
         news = self._read(key).version > after
         return news and not self.faults.drop_watches
 
-    def _read(self, key: str) -> protocol.Entry:
-        absent = protocol.Entry(value=None, version=protocol.ABSENT)
+    def _read(self, key: str) -> protocol.KvEntry:
+        absent = protocol.KvEntry(value=None, version=protocol.ABSENT)
         return self._entries.get(key, absent)
 
     async def _write(self, key: str, value: bytes | None) -> int:
@@ -209,7 +211,7 @@
         if value is None:
             self._entries.pop(key, None)
         else:
-            entry = protocol.Entry(value=value, version=version)
+            entry = protocol.KvEntry(value=value, version=version)
             self._entries[key] = entry
         async with self._changed:
             self._changed.notify_all()
@@ -248,7 +250,7 @@
 
     async def swap(message: protocol.SwapRequest):
         done = await kv.swap(message)
-        return done.map(lambda v: protocol.Entry(value=None, version=v))
+        return done.map(lambda v: protocol.KvEntry(value=None, version=v))
 
     async def grant(message: protocol.GrantRequest):
         granted = await kv.grant(message.ttl_s)
@@ -284,7 +286,7 @@
             return _json(200, message)
         case result.Err(transport.KvConflict(current)):
             return _json(409, current)
-        case result.Err(transport.LeaseGone()):
+        case result.Err(transport.LeaseExpired()):
             return responses.PlainTextResponse('lease gone', 410)
         case result.Err(failure):
             return responses.PlainTextResponse(failure.detail, 503)
--- a/rudderrock/standins/_memory.py
+++ b/rudderrock/standins/_memory.py
@@ -47,15 +47,15 @@
     async def exchange(
         self,
         request: protocol.ShardRequest,
-        ticket: transport.ExchangeTicket,
+        control: transport.ExchangeControl,
     ) -> protocol.ShardReply:
         """Send a request and return its reply.
 
-        Return `ShardTimeout` if there is none by `ticket.until`.
+        Return `ShardTimeout` if there is none by `control.until`.
         """
         try:
-            async with asyncio.timeout_at(ticket.until) as abort:
-                ticket.arm(abort)
+            async with asyncio.timeout_at(control.until) as abort:
+                control.arm(abort)
                 return await self._exchange(request)
         except TimeoutError:
             return protocol.ShardTimeout()
--- a/rudderrock/standins/_wire_upstream.py
+++ b/rudderrock/standins/_wire_upstream.py
@@ -12,7 +12,7 @@
 DOWN_S = 3.0
 
 
-class Conduct(enum.Enum):
+class FaultMode(enum.Enum):
     """Modes in which an upstream responds to requests."""
 
     GOOD = 'good'
@@ -93,7 +93,7 @@
         self.upstream = upstream
         self.records = records
         self.work_s = work_s
-        self.conduct = Conduct.GOOD
+        self.conduct = FaultMode.GOOD
         self.lethal: frozenset[str] = frozenset()
         # The time of each crash and the target of the request that caused it.
         self.crash_log: list[tuple[float, str]] = []
@@ -138,12 +138,12 @@
             head = await wire_server.read_head(reader)
             await self.wait_if_silent()
             at = asyncio.get_running_loop().time()
-            if self.conduct is Conduct.EARLY_REPLY:
+            if self.conduct is FaultMode.EARLY_REPLY:
                 writer.write(_render_reply(400, [], b''))
             body = await reader.readexactly(head.body_length)
             run = self._make_run(at, head, body)
             self.timed_arrivals.append((run.at, run.request_id))
-            if self.conduct is Conduct.EARLY_REPLY:
+            if self.conduct is FaultMode.EARLY_REPLY:
                 continue
             if not await self._handle_request(run, reader, writer):
                 return
@@ -173,12 +173,12 @@
             writer.write(_render_reply(421, [], b''))
             return True
         match self.conduct:
-            case Conduct.SHEDDING:
+            case FaultMode.SHEDDING:
                 writer.write(
                     _render_reply(503, [(self._names.not_run, b'1')], b'')
                 )
                 return True
-            case Conduct.MISDIRECTED:
+            case FaultMode.MISDIRECTED:
                 writer.write(_render_reply(421, [], b''))
                 return True
         self.runs.append(run)
@@ -221,21 +221,23 @@
         body = self._make_body(run.request_id)
         full_reply = _render_reply(200, [echo, stamp], body)
         match self.conduct:
-            case Conduct.GOOD:
+            case FaultMode.GOOD:
                 writer.write(full_reply)
-            case Conduct.FAILING:
+            case FaultMode.FAILING:
                 writer.write(_render_reply(500, [echo, stamp], b'failed'))
-            case Conduct.RESETTING:
+            case FaultMode.RESETTING:
                 return False
-            case Conduct.SILENT:
+            case FaultMode.SILENT:
                 await asyncio.sleep(3600.0)
-            case Conduct.TRUNCATED:
+            case FaultMode.TRUNCATED:
                 writer.write(full_reply[:-1])
                 await writer.drain()
                 writer.close()
                 await asyncio.sleep(1.0)
                 return False
-            case Conduct.NO_CONTENT_LENGTH | Conduct.NO_CONTENT_LENGTH_RESET:
+            case (
+                FaultMode.NO_CONTENT_LENGTH | FaultMode.NO_CONTENT_LENGTH_RESET
+            ):
                 head, _, body = full_reply.partition(b'\r\n\r\n')
                 lines = [
                     line
@@ -244,24 +246,24 @@
                 ]
                 writer.write(b'\r\n'.join(lines) + b'\r\n\r\n' + body)
                 await writer.drain()
-                if self.conduct is Conduct.NO_CONTENT_LENGTH_RESET:
+                if self.conduct is FaultMode.NO_CONTENT_LENGTH_RESET:
                     await asyncio.sleep(0.01)
                     return False
                 writer.close()
                 await asyncio.sleep(1.0)
                 return False
-            case Conduct.DUPLICATE_REPLY:
+            case FaultMode.DUPLICATE_REPLY:
                 writer.write(full_reply)
                 await asyncio.sleep(0.002)
                 writer.write(_render_reply(200, [echo, stamp], b'e' * 16))
-            case Conduct.MALFORMED:
+            case FaultMode.MALFORMED:
                 writer.write(b'\x00\x01 no http \r\n\r\n')
-            case Conduct.CONTENT_ENCODED:
+            case FaultMode.CONTENT_ENCODED:
                 coded = (b'content-encoding', b'gzip')
                 writer.write(_render_reply(200, [echo, stamp, coded], body))
-            case Conduct.MISSING_STAMP:
+            case FaultMode.MISSING_STAMP:
                 writer.write(_render_reply(200, [echo], body))
-            case Conduct.CLOSING:
+            case FaultMode.CLOSING:
                 close = (b'connection', b'close')
                 writer.write(_render_reply(200, [echo, stamp, close], body))
                 await writer.drain()
--- a/rudderrock/standins/platform/__init__.py
+++ b/rudderrock/standins/platform/__init__.py
@@ -6,7 +6,7 @@
 
 from rudderrock.standins.platform._store import PlatformStore
 from rudderrock.standins.platform._store import Refusal
-from rudderrock.standins.platform._store import StoreCopy
+from rudderrock.standins.platform._store import StoreSnapshot
 from rudderrock.standins.platform._values import make_boot
 from rudderrock.standins.platform._values import make_config
 from rudderrock.standins.platform._values import make_gather
@@ -16,7 +16,7 @@
 __all__ = [
     'PlatformStore',
     'Refusal',
-    'StoreCopy',
+    'StoreSnapshot',
     'make_boot',
     'make_config',
     'make_gather',
--- a/rudderrock/standins/platform/_store.py
+++ b/rudderrock/standins/platform/_store.py
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StoreCopy:
+class StoreSnapshot:
     """A snapshot of the store."""
 
     items: dict[str, _Item]
@@ -136,9 +136,9 @@
         self._watches_cut.set()
         self._watches_cut = asyncio.Event()
 
-    def make_copy(self) -> StoreCopy:
+    def make_copy(self) -> StoreSnapshot:
         """Return a snapshot of the current content."""
-        return StoreCopy(
+        return StoreSnapshot(
             {
                 key: dataclasses.replace(entry)
                 for key, entry in self.items.items()
@@ -153,7 +153,7 @@
             self._next_lease,
         )
 
-    def come_back(self, copy: StoreCopy) -> None:
+    def come_back(self, copy: StoreSnapshot) -> None:
         """Restore a snapshot and lose all later changes.
 
         New revisions and lease numbers continue from those of the snapshot,
--- a/rudderrock/state/__init__.py
+++ b/rudderrock/state/__init__.py
@@ -2,11 +2,11 @@
 
 from rudderrock.core import Clock
 from rudderrock.core import CollectionId
+from rudderrock.core import DecayingMean
 from rudderrock.core import EditId
-from rudderrock.core import FadingMean
+from rudderrock.core import HedgeThreshold
 from rudderrock.core import HostId
 from rudderrock.core import IndexVersion
-from rudderrock.core import LatePoint
 from rudderrock.core import make_random
 from rudderrock.core import NO_REVISION
 from rudderrock.core import QueryId
@@ -56,7 +56,7 @@
 from rudderrock.state._table import HISTORY_LIMIT
 from rudderrock.state._table import MAX_TABLE_BYTES
 from rudderrock.state._table import reunite_tables
-from rudderrock.state._table import RowMoved
+from rudderrock.state._table import RowConflict
 from rudderrock.state._table import Table
 from rudderrock.state._table import TeamRow
 from rudderrock.state._tokens import check_token
@@ -72,22 +72,22 @@
     'Collection',
     'CollectionId',
     'CoveragePolicy',
+    'DecayingMean',
     'DrainSettings',
     'Edit',
     'EditId',
     'Event',
     'EventKind',
     'EventRing',
-    'FadingMean',
     'FORBID_UNKNOWN',
     'HISTORY_LIMIT',
     'HedgeSettings',
+    'HedgeThreshold',
     'HostId',
     'HostSettings',
     'HybridClock',
     'IndexVersion',
     'IntakeSettings',
-    'LatePoint',
     'Layout',
     'MAX_DRIFT_S',
     'MAX_TABLE_BYTES',
@@ -104,7 +104,7 @@
     'RetrySettings',
     'Revision',
     'RoutingSettings',
-    'RowMoved',
+    'RowConflict',
     'SecretSettings',
     'Settings',
     'ShardId',
--- a/rudderrock/state/_table.py
+++ b/rudderrock/state/_table.py
@@ -124,7 +124,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RowMoved:
+class RowConflict:
     """Refusal of a change because the row differs from its base."""
 
     current: TeamRow | None
@@ -132,14 +132,14 @@
 
 def apply_change(
     table: Table, change: Change, at: float
-) -> result.Result[Table, RowMoved]:
+) -> result.Result[Table, RowConflict]:
     """Return a table with the change, or the row that conflicts with it.
 
     `at` is in Unix seconds. The given table isn't modified.
     """
     current = table.rows.get(change.team)
     if current != change.base:
-        return result.Err(RowMoved(current))
+        return result.Err(RowConflict(current))
     rows = dict(table.rows)
     rows.pop(change.team, None)
     if change.row is not None:
--- a/rudderrock/transport/__init__.py
+++ b/rudderrock/transport/__init__.py
@@ -1,21 +1,21 @@
 """Interfaces to outside services, their HTTP clients, and an HTTP server."""
 
 from rudderrock.transport._http_connection import ExchangeFailed
-from rudderrock.transport._http_connection import OwnedConnection
+from rudderrock.transport._http_connection import HttpConnection
 from rudderrock.transport._http_connection import RawReply
 from rudderrock.transport._kv import HttpKvPort
 from rudderrock.transport._peers import HOST_LIST_PATH
 from rudderrock.transport._peers import HttpHostListPort
 from rudderrock.transport._peers import HttpPeerPort
 from rudderrock.transport._peers import post_once
-from rudderrock.transport._ports import Abort
+from rudderrock.transport._ports import AbortHandle
 from rudderrock.transport._ports import ConnectFailed
-from rudderrock.transport._ports import ExchangeTicket
+from rudderrock.transport._ports import ExchangeControl
 from rudderrock.transport._ports import HostListPort
 from rudderrock.transport._ports import KvConflict
 from rudderrock.transport._ports import KvPort
 from rudderrock.transport._ports import KvUnavailable
-from rudderrock.transport._ports import LeaseGone
+from rudderrock.transport._ports import LeaseExpired
 from rudderrock.transport._ports import ListedHost
 from rudderrock.transport._ports import PeerPort
 from rudderrock.transport._ports import PeerUnreachable
@@ -33,13 +33,14 @@
 from rudderrock.transport._upstream import read_shard_reply
 
 __all__ = [
-    'Abort',
+    'AbortHandle',
     'ConnectFailed',
+    'ExchangeControl',
     'ExchangeFailed',
-    'ExchangeTicket',
     'HOST_LIST_PATH',
     'HeadLimits',
     'HostListPort',
+    'HttpConnection',
     'HttpHostListPort',
     'HttpKvPort',
     'HttpPeerPort',
@@ -49,9 +50,8 @@
     'KvConflict',
     'KvPort',
     'KvUnavailable',
-    'LeaseGone',
+    'LeaseExpired',
     'ListedHost',
-    'OwnedConnection',
     'PeerPort',
     'PeerUnreachable',
     'RawReply',
--- a/rudderrock/transport/_http_connection.py
+++ b/rudderrock/transport/_http_connection.py
@@ -48,7 +48,7 @@
     detail: str
 
 
-class OwnedConnection:
+class HttpConnection:
     """A kept-alive HTTP/1.1 connection, used by one task at a time.
 
     Parameters: `address` is `IP:port`; `connect_timeout_s` is in seconds;
--- a/rudderrock/transport/_kv.py
+++ b/rudderrock/transport/_kv.py
@@ -26,39 +26,41 @@
     def __init__(self, address: str, timeout_s: float):
         self._address = address
         self._timeout_s = timeout_s
-        self._idle: list[http_connection.OwnedConnection] = []
+        self._idle: list[http_connection.HttpConnection] = []
 
     async def get(
         self, key: str
-    ) -> result.Result[protocol.Entry, ports.KvUnavailable]:
+    ) -> result.Result[protocol.KvEntry, ports.KvUnavailable]:
         """Return the value and version of a key."""
         request = protocol.GetRequest(key=key)
         raw = await self._call(protocol.GET_PATH, request, self._timeout_s)
-        return raw.and_then(lambda reply: _decode_reply(protocol.Entry, reply))
+        return raw.and_then(
+            lambda reply: _decode_reply(protocol.KvEntry, reply)
+        )
 
     async def swap(
         self, request: protocol.SwapRequest
     ) -> result.Result[
-        int, ports.KvConflict | ports.KvUnavailable | ports.LeaseGone
+        int, ports.KvConflict | ports.KvUnavailable | ports.LeaseExpired
     ]:
         """Compare and swap one key, and return its new version."""
         raw = await self._call(protocol.SWAP_PATH, request, self._timeout_s)
         match raw:
             case result.Ok(http_connection.RawReply(status=409)):
-                entry = _decode_reply(protocol.Entry, raw.ok_value)
+                entry = _decode_reply(protocol.KvEntry, raw.ok_value)
                 return entry.and_then(
                     lambda current: result.Err(ports.KvConflict(current))
                 )
             case result.Ok(http_connection.RawReply(status=410)):
-                return result.Err(ports.LeaseGone())
+                return result.Err(ports.LeaseExpired())
             case result.Ok(reply):
-                entry = _decode_reply(protocol.Entry, reply)
+                entry = _decode_reply(protocol.KvEntry, reply)
                 return entry.map(lambda current: current.version)
         return raw
 
     async def watch(
         self, key: str, after: int, timeout_s: float
-    ) -> result.Result[protocol.Entry, ports.KvUnavailable]:
+    ) -> result.Result[protocol.KvEntry, ports.KvUnavailable]:
         """Return the entry of a key as soon as its version exceeds `after`.
 
         Return the current entry after `timeout_s` seconds at the latest.
@@ -68,7 +70,9 @@
         )
         total_timeout_s = timeout_s + _WATCH_MARGIN_S
         raw = await self._call(protocol.WATCH_PATH, request, total_timeout_s)
-        return raw.and_then(lambda reply: _decode_reply(protocol.Entry, reply))
+        return raw.and_then(
+            lambda reply: _decode_reply(protocol.KvEntry, reply)
+        )
 
     async def grant(
         self, ttl_s: float
@@ -83,13 +87,13 @@
 
     async def renew(
         self, lease: str
-    ) -> result.Result[None, ports.LeaseGone | ports.KvUnavailable]:
+    ) -> result.Result[None, ports.LeaseExpired | ports.KvUnavailable]:
         """Renew a lease for its time to live."""
         return await self._call_lease(protocol.RENEW_PATH, lease)
 
     async def revoke(
         self, lease: str
-    ) -> result.Result[None, ports.LeaseGone | ports.KvUnavailable]:
+    ) -> result.Result[None, ports.LeaseExpired | ports.KvUnavailable]:
         """Revoke a lease, which deletes the keys attached to it."""
         return await self._call_lease(protocol.REVOKE_PATH, lease)
 
@@ -101,12 +105,12 @@
 
     async def _call_lease(
         self, path: str, lease: str
-    ) -> result.Result[None, ports.LeaseGone | ports.KvUnavailable]:
+    ) -> result.Result[None, ports.LeaseExpired | ports.KvUnavailable]:
         request = protocol.Lease(lease=lease)
         raw = await self._call(path, request, self._timeout_s)
         match raw:
             case result.Ok(http_connection.RawReply(status=410)):
-                return result.Err(ports.LeaseGone())
+                return result.Err(ports.LeaseExpired())
             case result.Ok(reply):
                 return _decode_reply(protocol.Lease, reply).map(lambda _: None)
         return raw
@@ -124,10 +128,10 @@
                 return result.Err(ports.KvUnavailable(f'{path} timed out'))
         return raw.map_err(lambda err: ports.KvUnavailable(err.detail))
 
-    def _acquire_connection(self) -> http_connection.OwnedConnection:
+    def _acquire_connection(self) -> http_connection.HttpConnection:
         if self._idle:
             return self._idle.pop()
-        return http_connection.OwnedConnection(
+        return http_connection.HttpConnection(
             self._address, connect_timeout_s=self._timeout_s
         )
 
--- a/rudderrock/transport/_peers.py
+++ b/rudderrock/transport/_peers.py
@@ -104,7 +104,7 @@
     `timeout_s` limits the whole exchange, including the connection, in
     seconds. A status other than 200 is returned as an error.
     """
-    connection = http_connection.OwnedConnection(
+    connection = http_connection.HttpConnection(
         address, connect_timeout_s=timeout_s, headers=headers
     )
     try:
--- a/rudderrock/transport/_ports.py
+++ b/rudderrock/transport/_ports.py
@@ -18,7 +18,7 @@
 class KvConflict:
     """Failure of a swap because the key has a different version."""
 
-    current: protocol.Entry
+    current: protocol.KvEntry
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LeaseGone:
+class LeaseExpired:
     """Failure of a call because its lease has ended or never existed."""
 
 
@@ -41,17 +41,17 @@
 
     async def get(
         self, key: str
-    ) -> result.Result[protocol.Entry, KvUnavailable]:
+    ) -> result.Result[protocol.KvEntry, KvUnavailable]:
         """Return the value and version of a key."""
 
     async def swap(
         self, request: protocol.SwapRequest
-    ) -> result.Result[int, KvConflict | KvUnavailable | LeaseGone]:
+    ) -> result.Result[int, KvConflict | KvUnavailable | LeaseExpired]:
         """Compare and swap one key, and return its new version."""
 
     async def watch(
         self, key: str, after: int, timeout_s: float
-    ) -> result.Result[protocol.Entry, KvUnavailable]:
+    ) -> result.Result[protocol.KvEntry, KvUnavailable]:
         """Return the entry of a key as soon as its version exceeds `after`.
 
         Return the current entry after `timeout_s` seconds at the latest.
@@ -62,20 +62,20 @@
 
     async def renew(
         self, lease: str
-    ) -> result.Result[None, LeaseGone | KvUnavailable]:
+    ) -> result.Result[None, LeaseExpired | KvUnavailable]:
         """Renew a lease for its time to live."""
 
     async def revoke(
         self, lease: str
-    ) -> result.Result[None, LeaseGone | KvUnavailable]:
+    ) -> result.Result[None, LeaseExpired | KvUnavailable]:
         """Revoke a lease, which deletes the keys attached to it."""
 
 
-class Abort(Protocol):
+class AbortHandle(Protocol):
     """Handle to abort an exchange in flight.
 
     `asyncio.Timeout` implements it: a connection creates one and passes it
-    to `ExchangeTicket.arm`. Rescheduling it to the current time aborts the
+    to `ExchangeControl.arm`. Rescheduling it to the current time aborts the
     exchange.
     """
 
@@ -83,14 +83,14 @@
         """Set the loop time at which the exchange is aborted."""
 
 
-class ExchangeTicket(Protocol):
+class ExchangeControl(Protocol):
     """Deadline of an exchange, and the receiver of its abort handle."""
 
     @property
     def until(self) -> float:
         """Return the loop time until which the reply is read."""
 
-    def arm(self, abort: Abort) -> None:
+    def arm(self, abort: AbortHandle) -> None:
         """Receive the abort handle of an exchange that is about to start."""
 
 
@@ -105,7 +105,7 @@
         """
 
     async def exchange(
-        self, request: protocol.ShardRequest, ticket: ExchangeTicket
+        self, request: protocol.ShardRequest, control: ExchangeControl
     ) -> protocol.ShardReply:
         """Send a request and return its complete reply.
 
--- a/rudderrock/transport/_upstream.py
+++ b/rudderrock/transport/_upstream.py
@@ -15,7 +15,7 @@
 class HttpUpstreamConnection:
     """A kept-alive HTTP connection to an upstream, owned by one task."""
 
-    def __init__(self, connection: http_connection.OwnedConnection):
+    def __init__(self, connection: http_connection.HttpConnection):
         self._connection = connection
 
     @property
@@ -24,19 +24,19 @@
         return self._connection.is_usable
 
     async def exchange(
-        self, request: protocol.ShardRequest, ticket: ports.ExchangeTicket
+        self, request: protocol.ShardRequest, control: ports.ExchangeControl
     ) -> protocol.ShardReply:
         """Send a request and return its complete reply.
 
         Return `ShardLost` after a failure, and `ShardTimeout` after the
-        deadline or an abort. The owner of the ticket may abort the exchange
+        deadline or an abort. The owner of `control` may abort the exchange
         at any time. This closes the connection, by which the upstream
         detects the abort.
         """
         body = protocol.encode(request)
         try:
-            async with asyncio.timeout_at(ticket.until) as abort:
-                ticket.arm(abort)
+            async with asyncio.timeout_at(control.until) as abort:
+                control.arm(abort)
                 raw = await self._connection.post(protocol.SHARD_PATH, body)
         except TimeoutError:
             return protocol.ShardTimeout()
@@ -101,7 +101,7 @@
         self, upstream: state.Upstream
     ) -> result.Result[HttpUpstreamConnection, ports.ConnectFailed]:
         """Return an open connection that is ready for an exchange."""
-        connection = http_connection.OwnedConnection(
+        connection = http_connection.HttpConnection(
             upstream.address, connect_timeout_s=self._connect_timeout_s
         )
         opened = await connection.open()
