--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -143,11 +143,11 @@
     deployment = _make_deployment(1)
     async with standins.run_fleet(deployment, 1, 1) as fleet:
         membership = fleet.hosts['h1'].host.membership
-        book = fleet.hosts['h1'].host._book
+        limit_shares = fleet.hosts['h1'].host._limit_shares
         rates = {f'team-{number}': 10.5 for number in range(5)}
         for number in range(hosts):
             name = f'host-{number:04}'
-            membership._note(
+            membership._merge_member(
                 protocol.Member(
                     host=name,
                     zone='north-1',
@@ -156,7 +156,9 @@
                     state=protocol.MemberState.ALIVE,
                 )
             )
-            book.hear(protocol.Demand(host=name, count=1, rates=rates))
+            limit_shares.merge_demand(
+                protocol.Demand(host=name, count=1, rates=rates)
+            )
         probe = protocol.Probe(digest=membership.make_digest())
         size = len(protocol.encode(probe))
         began = time.process_time()
--- a/benchmarks/hosts.py
+++ b/benchmarks/hosts.py
@@ -45,7 +45,7 @@
         await asyncio.sleep(_WATCH_S)
         kinds = {'suspect': 0, 'failed': 0}
         for running in fleet.hosts.values():
-            for event in running.host.ring.list_since(state.Stamp()):
+            for event in running.host.event_ring.list_since(state.Stamp()):
                 # The last word of the detail is the new state.
                 word = event.detail.rpartition(' ')[2]
                 if event.kind is state.EventKind.PEER_STATE and word in kinds:
--- a/features/bench.py
+++ b/features/bench.py
@@ -124,6 +124,6 @@
         return [
             event
             for running in self.fleet.hosts.values()
-            for event in running.host.ring.list_since(state.Stamp())
+            for event in running.host.event_ring.list_since(state.Stamp())
             if event.kind is kind
         ]
--- a/features/history_bench.py
+++ b/features/history_bench.py
@@ -153,7 +153,7 @@
         self._forget(lambda pair: pair[1].endswith(f'/{zone}'))
         if zone in self._evacuated:
             self._evacuated.discard(zone)
-            self._source.give_back(zone)
+            self._source.end_evacuation(zone)
         else:
             self._evacuated.add(zone)
             self._source.evacuate(zone)
@@ -199,7 +199,7 @@
         self._source.is_down = True
         await asyncio.sleep(away_s)
         self._source.is_down = False
-        self._source.come_back(copy)
+        self._source.restore(copy)
         self._returned_at = asyncio.get_running_loop().time()
         self._start(self._write_again(self._source.era))
 
@@ -215,7 +215,7 @@
             if zone in self._evacuated - self._source.evacuated.keys():
                 self._source.evacuate(zone)
             elif zone in self._source.evacuated.keys() - self._evacuated:
-                self._source.give_back(zone)
+                self._source.end_evacuation(zone)
         for name in UPSTREAMS:
             await asyncio.sleep(HEARTBEAT_S / len(UPSTREAMS))
             entry = self._entries.get(name)
@@ -245,7 +245,7 @@
 
     async def _keep_copies(self) -> None:
         while True:
-            self._copies.append(self._source.make_copy())
+            self._copies.append(self._source.make_snapshot())
             await asyncio.sleep(COPY_EVERY_S)
 
     async def _look(self) -> None:
--- a/features/steps/adapter.py
+++ b/features/steps/adapter.py
@@ -58,7 +58,7 @@
 
 @given(r'a settings file with the field "([^"]+)" as "([^"]+)"')
 def make_file(context, field, value):
-    text = platform_standins.make_boot(
+    text = platform_standins.make_settings_file(
         '10.0.0.1', 8104, '%s:%d' % _STORE, **{field: value}
     )
     write_file(context, text)
@@ -75,7 +75,7 @@
         'limits.link_mbps': link,
     }
     told = {name: value for name, value in fields.items() if value != 'none'}
-    text = platform_standins.make_boot(
+    text = platform_standins.make_settings_file(
         '10.0.0.1', 8104, '%s:%d' % _STORE, **told
     )
     write_file(context, text)
@@ -94,7 +94,9 @@
 
 @given(r'a settings file without the field "([^"]+)"')
 def make_short_file(context, field):
-    text = platform_standins.make_boot('10.0.0.1', 8104, '%s:%d' % _STORE)
+    text = platform_standins.make_settings_file(
+        '10.0.0.1', 8104, '%s:%d' % _STORE
+    )
     lines = text.splitlines(keepends=True)
     kept = [line for line in lines if not line.startswith(f'{field}=')]
     write_file(context, ''.join(kept))
@@ -219,7 +221,7 @@
 
 @step(r'the store takes ([\d.]+) seconds for an answer')
 def set_slow(context, seconds):
-    context.store.slow_s = float(seconds)
+    context.store.reply_delay_s = float(seconds)
 
 
 @given(r'(\d+) servers are registered, (\d+) of them draining')
@@ -438,7 +440,9 @@
 
 @given(r'a gateway over the store')
 def start_over_store(context):
-    text = platform_standins.make_boot('10.0.0.1', 8104, '%s:%d' % _STORE)
+    text = platform_standins.make_settings_file(
+        '10.0.0.1', 8104, '%s:%d' % _STORE
+    )
     write_file(context, text)
     settings_file = platform.read_settings_file(context.file).ok_value
 
--- a/features/steps/canaries.py
+++ b/features/steps/canaries.py
@@ -219,7 +219,9 @@
     bench = gateway_steps.get(context)
     for each in bench.source.endpoints.values():
         if each.zone == 'north-2':
-            bench.upstreams[each.upstream].conduct = standins.FaultMode.SILENT
+            bench.upstreams[
+                each.upstream
+            ].fault_mode = standins.FaultMode.SILENT
 
 
 @when(r'a gateway of the first zone is asked for "([^"]+)"')
--- a/features/steps/copies.py
+++ b/features/steps/copies.py
@@ -22,7 +22,7 @@
 
 @when(r'the source is copied')
 def copy_source(context):
-    context.copy = gateway_steps.get(context).source.make_copy()
+    context.copy = gateway_steps.get(context).source.make_snapshot()
 
 
 @when(r'the routes are written again (\d+) times?')
@@ -37,7 +37,7 @@
     source.is_down = True
     run(context, asyncio.sleep(float(seconds)))
     source.is_down = False
-    source.come_back(context.copy)
+    source.restore(context.copy)
 
 
 @then(r'each gateway has told once that the source returned in era (\d+)')
@@ -63,7 +63,7 @@
 @when(r'the store comes back from a copy of now')
 def come_back_now(context):
     async def come_back():
-        context.store.come_back(context.store.make_copy())
+        context.store.restore(context.store.make_snapshot())
 
     run(context, come_back())
 
@@ -76,16 +76,16 @@
 @when(r'the store comes back from a copy after the first page of a listing')
 def come_back_between(context):
     store = context.store
-    copy = store.make_copy()
+    copy = store.make_snapshot()
 
     async def list_pages():
         listing = asyncio.create_task(context.source.list_upstreams())
         while store.calls['GET /kv-range'] < 2:
             await asyncio.sleep(0.001)
-        store.come_back(copy)
+        store.restore(copy)
         return await listing
 
-    store.slow_s = 0.05
+    store.reply_delay_s = 0.05
     adapter_steps.call(context, list_pages())
 
 
@@ -156,13 +156,13 @@
 @when(r'the source comes back from the copy and cuts no watch')
 def come_back_quietly(context):
     source = gateway_steps.get(context).source
-    source.come_back(context.copy, cut=False)
+    source.restore(context.copy, cut=False)
 
 
 @when(r'(\d+) other entries are written')
 def write_others(context, count):
     for _ in range(int(count)):
-        gateway_steps.get(context).source.note_other_change()
+        gateway_steps.get(context).source.add_unrelated_revision()
 
 
 @when(r'"([^"]+)" registers again as it was')
@@ -175,7 +175,7 @@
     r'"([^"]+)" registers again as it was, which a copy of just before lacks'
 )
 def register_after_copy(context, upstream):
-    before = gateway_steps.get(context).source.make_copy()
+    before = gateway_steps.get(context).source.make_snapshot()
     register_again(context, upstream)
     context.copy = before
 
--- a/features/steps/entries.py
+++ b/features/steps/entries.py
@@ -61,7 +61,7 @@
 @given(r"a server's entry has a value that is not base64")
 def put_unencoded(context):
     put_entry(context, b'')
-    context.store.spoilt.add('servers/i-odd')
+    context.store.corrupt_keys.add('servers/i-odd')
 
 
 @then(
@@ -226,7 +226,7 @@
 )
 def watch_evacuation(context, what, zone):
     store = context.store
-    change = store.give_back if what == 'gives' else store.evacuate
+    change = store.end_evacuation if what == 'gives' else store.evacuate
     watch(context, lambda: change(zone))
 
 
--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -294,7 +294,7 @@
     if conduct == 'restarted':
         restart(context, upstream)
         return
-    bench.upstreams[upstream].conduct = standins.FaultMode(conduct)
+    bench.upstreams[upstream].fault_mode = standins.FaultMode(conduct)
 
 
 @given(r'"([^"]+)" answers every request twice, the second late')
@@ -306,7 +306,7 @@
 def set_shard_conduct(context, number, conduct):
     for name, model in get(context).upstreams.items():
         if name.startswith(f'shard-{number}-'):
-            model.conduct = standins.FaultMode(conduct)
+            model.fault_mode = standins.FaultMode(conduct)
 
 
 @given(r'the near upstream of shard (\d+) is (\w+)')
@@ -317,7 +317,7 @@
 @given(r'every upstream is (\w+)')
 def set_all_conduct(context, conduct):
     for model in get(context).upstreams.values():
-        model.conduct = standins.FaultMode(conduct)
+        model.fault_mode = standins.FaultMode(conduct)
 
 
 def restart(context, upstream):
@@ -363,14 +363,14 @@
 
 @when(r"the source's watches hear nothing")
 def make_deaf(context):
-    get(context).source.is_deaf = True
+    get(context).source.drops_watch_events = True
 
 
 @when(r'the source drops its history and cuts its watches')
 def drop_history(context):
     source = get(context).source
     source.drop_history()
-    source.is_deaf = False
+    source.drops_watch_events = False
 
 
 @when(r'the source is (down|back)')
--- a/features/steps/gateway_checks.py
+++ b/features/steps/gateway_checks.py
@@ -255,7 +255,7 @@
 @then(r'the shard never had more than (\d+) connections')
 def check_connections(context, most):
     model = get(context).upstreams['shard-0-0']
-    assert 1 < model.most_open <= int(most), model.most_open
+    assert 1 < model.peak_connections <= int(most), model.peak_connections
 
 
 @then(r'no request was cut')
--- a/features/steps/platform.py
+++ b/features/steps/platform.py
@@ -119,7 +119,7 @@
     async def wait():
         hosts = context.bench.fleet.hosts.values()
         while all(
-            each.host.config.table.revision < context.edit.revision
+            each.host.config.table_watcher.revision < context.edit.revision
             for each in hosts
         ):
             await asyncio.sleep(_POLL_S)
@@ -163,7 +163,7 @@
 @when(r'the key-value service is copied and (\d+) other keys are written')
 def copy_kv(context, count):
     kv = context.bench.fleet.kv
-    context.kv_copy = kv.make_copy()
+    context.kv_copy = kv.make_snapshot()
     for number in range(int(count)):
         run(context, kv.put_unless_down(f'other/{number}', state.Table()))
 
@@ -173,7 +173,7 @@
     kv = context.bench.fleet.kv
     run(context, kv.set_down(True))
     run(context, asyncio.sleep(float(seconds)))
-    run(context, kv.come_back(context.kv_copy))
+    run(context, kv.restore(context.kv_copy))
 
 
 @then(r'the service has "([^"]+)" of "([^"]+)" at (\d+)')
@@ -218,16 +218,16 @@
             service = chance.choice(copies)
         for place in chance.sample([0, 1], chance.randrange(3)):
             hosts[place] = take_table(hosts[place], service)
-            again = state.reunite_tables(hosts[place], service)
+            again = state.merge_lost_edits(hosts[place], service)
             if again is not None:
                 service = hosts[place] = again
         hosts[0] = take_table(hosts[0], service)
-        again = state.reunite_tables(hosts[0], service)
+        again = state.merge_lost_edits(hosts[0], service)
         if again is not None:
             service = hosts[0] = again
     found = [each.edit_id for each in service.history]
     assert sorted(found) == sorted(accepted), found
-    assert state.reunite_tables(service, service) is None
+    assert state.merge_lost_edits(service, service) is None
 
 
 def take_table(table, found):
@@ -269,7 +269,7 @@
 
 
 def _list_kinds(running):
-    events = running.host.ring.list_since(state.Stamp())
+    events = running.host.event_ring.list_since(state.Stamp())
     return [event.kind.value for event in events]
 
 
@@ -287,28 +287,28 @@
 
 @when(r'host "([^"]+)" is cut off from everything')
 def cut_off(context, name):
-    context.bench.fleet.cut_off(name, True)
+    context.bench.fleet.set_isolated(name, True)
 
 
 @when(r'host "([^"]+)" is cut off from its peers')
 def cut_from_peers(context, name):
-    context.bench.fleet.cut_off(name, True)
+    context.bench.fleet.set_isolated(name, True)
     context.bench.fleet.hosts[name].kv.cut = False
 
 
 @when(r'host "([^"]+)" is joined again')
 def join_again(context, name):
-    context.bench.fleet.cut_off(name, False)
+    context.bench.fleet.set_isolated(name, False)
 
 
 @when(r'host "([^"]+)" is paused')
 def pause(context, name):
-    context.bench.fleet.freeze(name, True)
+    context.bench.fleet.set_paused(name, True)
 
 
 @when(r'host "([^"]+)" goes on')
 def go_on(context, name):
-    context.bench.fleet.freeze(name, False)
+    context.bench.fleet.set_paused(name, False)
 
 
 @then(r'host "([^"]+)" does not believe in its lease')
@@ -377,7 +377,7 @@
 
 @when(r'''the platform's list drops "([^"]+)"''')
 def drop_from_list(context, name):
-    context.bench.fleet.forget_host(name)
+    context.bench.fleet.remove_from_list(name)
 
 
 @then(r'the others hold "([^"]+)" to have failed')
@@ -393,7 +393,7 @@
 @then(r'the others share limits with (\d+) hosts')
 def check_sharing(context, count):
     for running in _list_running(context):
-        sharing = running.host.membership.list_sharing()
+        sharing = running.host.membership.list_sharing_hosts()
         assert len(sharing) == int(count), sharing
 
 
--- a/features/steps/processes.py
+++ b/features/steps/processes.py
@@ -286,7 +286,7 @@
         for model in processes.served.models.values()
         for each in model.runs
     ]
-    broken = experiments.list_broken(processes.calls, runs, _SERVICES)
+    broken = experiments.list_violations(processes.calls, runs, _SERVICES)
     assert not broken, broken
     kinds = [type(call.outcome).__name__ for call in processes.calls]
     assert kinds.count('Answered') > 50, kinds
@@ -295,7 +295,7 @@
 
 @then('no command ran twice, and none that was refused ran')
 def check_commands(context):
-    """What `list_broken` has checked; here, that there was any to check."""
+    """What `list_violations` checked; here, that it had any to check."""
     recorded = [
         call
         for call in context.processes.calls
--- a/features/steps/schedules.py
+++ b/features/steps/schedules.py
@@ -80,14 +80,14 @@
 
 @then('no promise was broken')
 def check_none_broken(context):
-    broken = {each.seed: each.broken for each in context.schedules}
+    broken = {each.seed: each.violations for each in context.schedules}
     broken = {seed: found for seed, found in broken.items() if found}
     assert not broken, broken
 
 
 @then('some promise was broken')
 def check_some_broken(context):
-    assert any(each.broken for each in context.schedules)
+    assert any(each.violations for each in context.schedules)
 
 
 @then('answers, refusals, records and unknowns were all seen')
--- a/features/steps/soak.py
+++ b/features/steps/soak.py
@@ -38,7 +38,7 @@
 
 @then(r'it found no broken promise')
 def check_soak(context):
-    assert not context.report.broken, context.report.broken
+    assert not context.report.violations, context.report.violations
     assert context.report.statuses[200] > 50, context.report
 
 
@@ -244,7 +244,7 @@
 
 @then(r'the checks say "([^"]+)"')
 def check_found(context, promise):
-    found = {each.promise for each in checks.check_records(context.records)}
+    found = {each.guarantee for each in checks.check_records(context.records)}
     assert found == {promise}, found
 
 
--- a/features/steps/sockets.py
+++ b/features/steps/sockets.py
@@ -43,12 +43,12 @@
 class _Ticket:
     """Gives an exchange time enough, and lets it be given up."""
 
-    until = float('inf')
+    read_until = float('inf')
 
     def __init__(self):
         self.abort = None
 
-    def arm(self, abort):
+    def set_abort(self, abort):
         self.abort = abort
 
 
--- a/features/steps/timeline.py
+++ b/features/steps/timeline.py
@@ -42,7 +42,7 @@
     _, _, ring = context.rings[one]
     context.cause = ring.record(state.EventKind.CLAIM)
     _, hybrid, other_ring = context.rings[other]
-    hybrid.hear(context.cause.stamp)
+    hybrid.observe(context.cause.stamp)
     context.effect = other_ring.record(state.EventKind.ANSWERED)
 
 
--- a/features/steps/zones.py
+++ b/features/steps/zones.py
@@ -99,7 +99,7 @@
 
 @when(r'"([^"]+)" is given back')
 def give_back(context, zone):
-    gateway_steps.get(context).source.give_back(core.ZoneId(zone))
+    gateway_steps.get(context).source.end_evacuation(core.ZoneId(zone))
 
 
 @then(r'the log names "([^"]+)" as unknown')
--- a/rudderrock/coordination/__init__.py
+++ b/rudderrock/coordination/__init__.py
@@ -23,9 +23,9 @@
 from rudderrock.coordination._dispatch import Dispatcher
 from rudderrock.coordination._dispatch import is_not_run
 from rudderrock.coordination._dispatch import Service
+from rudderrock.coordination._extra_requests import DEFAULT_HEDGE_DELAY_S
 from rudderrock.coordination._extra_requests import ExtraRequestBudgets
 from rudderrock.coordination._extra_requests import QueryCounters
-from rudderrock.coordination._extra_requests import UNKNOWN_PATIENCE_S
 from rudderrock.coordination._fair_queue import FairQueue
 from rudderrock.coordination._gather import GatherDependencies
 from rudderrock.coordination._gather import GatherPass
@@ -118,7 +118,7 @@
     'TABLE_KEY',
     'TableEditor',
     'TeamMetrics',
-    'UNKNOWN_PATIENCE_S',
+    'DEFAULT_HEDGE_DELAY_S',
     'UpstreamHealth',
     'UpstreamLink',
     'UpstreamState',
--- a/rudderrock/coordination/_admission.py
+++ b/rudderrock/coordination/_admission.py
@@ -35,12 +35,12 @@
     def __init__(
         self,
         settings: state.AdmissionSettings,
-        book: shares.LimitShares,
+        limit_shares: shares.LimitShares,
         dispatcher: dispatch.Dispatcher,
         clock: state.Clock,
     ):
         self._settings = settings
-        self._book = book
+        self._limit_shares = limit_shares
         self._dispatcher = dispatcher
         self._clock = clock
         self._usage_by_team: dict[state.TeamId, _TeamUsage] = {}
@@ -55,8 +55,8 @@
         `release` when the work ends, whatever its outcome.
         """
         team = state.TeamId(row.team)
-        self._book.note(team, cost)
-        fraction = self._book.update_fraction(team)
+        self._limit_shares.record_requests(team, cost)
+        fraction = self._limit_shares.update_fraction(team)
         usage = self._get_usage(row, fraction)
         refusal = (
             self._check_concurrency(row.concurrency * fraction, usage, cost)
@@ -81,7 +81,9 @@
         """Return the number of admitted shard requests still in flight."""
         return self._in_flight
 
-    def forget_teams(self, rows: dict[state.TeamId, state.TeamRow]) -> None:
+    def remove_absent_teams(
+        self, rows: dict[state.TeamId, state.TeamRow]
+    ) -> None:
         """Remove the state of idle teams that are not in the table."""
         for team, usage in list(self._usage_by_team.items()):
             if team not in rows and not usage.in_flight:
@@ -147,7 +149,7 @@
         if not self._settings.refuse_late:
             return None
         left_s = deadline - self._clock.now()
-        for service in self._dispatcher.list_waiting():
+        for service in self._dispatcher.list_queued_services():
             queued = service.queue.count(state.TeamId(row.team))
             wait_s = service.estimate_wait_s(row)
             allowed_s = left_s * self._settings.queue_fraction
--- a/rudderrock/coordination/_attempt.py
+++ b/rudderrock/coordination/_attempt.py
@@ -65,10 +65,10 @@
     `deadline` is in loop time. `grace_s` is how long after it the reply is
     still read, in seconds. `sent_at` is the loop time at which a lane took the
     attempt, or None while the attempt is queued; an attempt abandoned while
-    queued is certain not to have run. `base_s` is the base latency of the
-    upstream in seconds: network and processing time without random delays.
-    `note_late` records at the link to the upstream whether the attempt was
-    late.
+    queued is certain not to have run. `base_latency_s` is the base latency of
+    the upstream in seconds: network and processing time without random delays.
+    `record_lateness` records at the link to the upstream whether the attempt
+    was late.
     """
 
     request: protocol.ShardRequest
@@ -80,23 +80,23 @@
     avoid: frozenset[state.UpstreamId] = frozenset()
     upstream: state.UpstreamId | None = None
     sent_at: float | None = None
-    base_s: float = 0.0
-    note_late: Callable[[bool], None] | None = None
-    given_up: bool = False
+    base_latency_s: float = 0.0
+    record_lateness: Callable[[bool], None] | None = None
+    abandoned: bool = False
     abort: transport.AbortHandle | None = None
 
     @property
-    def until(self) -> float:
+    def read_until(self) -> float:
         """Return the loop time until which the reply is read."""
         return self.deadline + self.grace_s
 
-    def arm(self, abort: transport.AbortHandle) -> None:
+    def set_abort(self, abort: transport.AbortHandle) -> None:
         """Set the handle that aborts the exchange, which is about to start.
 
         The exchange is aborted at once if the attempt is already abandoned.
         """
         self.abort = abort
-        if self.given_up:
+        if self.abandoned:
             abort.reschedule(0.0)
 
     def detach(self) -> None:
@@ -105,18 +105,18 @@
         The upstream knows the deadline and stops at it. Closing all
         connections to a slow upstream at once would add to its load.
         """
-        self.given_up = True
+        self.abandoned = True
 
     def cancel(self) -> None:
         """Abort the exchange by closing its connection.
 
         The closed connection lets the upstream stop its work.
         """
-        self.given_up = True
+        self.abandoned = True
         if self.abort is not None:
             self.abort.reschedule(0.0)
 
     def deliver(self, reply: protocol.ShardReply) -> None:
         """Add the reply to the queue unless the attempt is abandoned."""
-        if not self.given_up:
+        if not self.abandoned:
             self.reply_queue.put(self, reply)
--- a/rudderrock/coordination/_claims.py
+++ b/rudderrock/coordination/_claims.py
@@ -324,7 +324,7 @@
         claims = await self._get_writer(key).read()
         return claims.map(lambda known: known.get(key))
 
-    async def clean(self, index: int, hosts: int) -> None:
+    async def delete_expired(self, index: int, hosts: int) -> None:
         """Delete claims whose keys are past their retention.
 
         The partitions are divided among the hosts; this is the host at `index`
--- a/rudderrock/coordination/_commands.py
+++ b/rudderrock/coordination/_commands.py
@@ -64,16 +64,16 @@
         dispatcher: dispatch.Dispatcher,
         settings: state.Settings,
         clock: state.Clock,
-        source: random.Random,
-        ring: state.EventRing,
+        rng: random.Random,
+        event_ring: state.EventRing,
     ):
         self._host = host
         self._store = store
         self._dispatcher = dispatcher
         self._settings = settings
         self._clock = clock
-        self._source = source
-        self._ring = ring
+        self._rng = rng
+        self._event_ring = event_ring
 
     async def run(
         self, admitted: AdmittedCommand, collection: state.Collection
@@ -97,9 +97,9 @@
             case claims.ClaimGranted():
                 return await self._run_claimed(admitted, collection, claim)
 
-    async def clean(self, index: int, hosts: int) -> None:
+    async def delete_expired(self, index: int, hosts: int) -> None:
         """Delete this host's part of the expired claims."""
-        await self._store.clean(index, hosts)
+        await self._store.delete_expired(index, hosts)
 
     async def close(self) -> None:
         """Discard the claims and outcomes that are not yet written."""
@@ -108,7 +108,7 @@
     def _make_claim(self, admitted: AdmittedCommand) -> claims.Claim:
         left_s = admitted.deadline - self._clock.now()
         return claims.Claim(
-            nonce=f'{self._source.getrandbits(96):024x}',
+            nonce=f'{self._rng.getrandbits(96):024x}',
             holder=self._host,
             fingerprint=claims.make_fingerprint(admitted.command),
             expires=self._clock.wall() + left_s,
@@ -162,7 +162,7 @@
         claim: claims.Claim,
     ) -> protocol.Outcome:
         team = state.TeamId(admitted.row.team)
-        self._ring.record(
+        self._event_ring.record(
             state.EventKind.CLAIM,
             team=team,
             query=admitted.query_id,
@@ -276,7 +276,7 @@
         self, service: dispatch.Service, attempt: attempts.Attempt
     ) -> protocol.ShardReply:
         self._dispatcher.submit(service, attempt)
-        until = attempt.until + attempt.grace_s
+        until = attempt.read_until + attempt.grace_s
         for _, reply in await attempt.reply_queue.take(until):
             return reply
         sent = attempt.sent_at is not None
--- a/rudderrock/coordination/_config.py
+++ b/rudderrock/coordination/_config.py
@@ -13,7 +13,7 @@
 from rudderrock import protocol
 from rudderrock import state
 from rudderrock import transport
-from rudderrock.coordination import _admission as admission
+from rudderrock.coordination import _admission as admissions
 from rudderrock.coordination import _dispatch as dispatch
 from rudderrock.coordination import _key_watcher as key_watcher
 from rudderrock.coordination import _membership as memberships
@@ -35,37 +35,37 @@
 class Configuration:
     """The table and the layout in force on one host.
 
-    Parameters: `table` and `layout` watch the key-value service. The
-    composition root (`rudderrock.root`) connects them to `apply_table` and
-    `apply_layout`, which put new values in force. `peers` is the port
-    through which newer revisions are fetched from other hosts.
+    Parameters: `table_watcher` and `layout_watcher` watch the key-value
+    service. The composition root (`rudderrock.root`) connects them to
+    `apply_table` and `apply_layout`, which put new values in force. `peers` is
+    the port through which newer revisions are fetched from other hosts.
     """
 
     def __init__(
         self,
         settings: state.Settings,
         *,
-        table: key_watcher.KeyWatcher[state.Table],
-        layout: key_watcher.KeyWatcher[state.Layout],
+        table_watcher: key_watcher.KeyWatcher[state.Table],
+        layout_watcher: key_watcher.KeyWatcher[state.Layout],
         membership: memberships.Membership,
         dispatcher: dispatch.Dispatcher,
-        gate: admission.Admission,
+        admission: admissions.Admission,
         peers: transport.PeerPort,
         clock: state.Clock,
-        source: random.Random,
+        rng: random.Random,
     ):
-        self.table = table
-        self.layout = layout
+        self.table_watcher = table_watcher
+        self.layout_watcher = layout_watcher
         self.rows: dict[state.TeamId, state.TeamRow] = {}
         self.table_in_force = state.Table()
         self.layout_in_force = state.Layout()
         self._settings = settings
         self._membership = membership
         self._dispatcher = dispatcher
-        self._gate = gate
+        self._admission = admission
         self._peers = peers
         self._clock = clock
-        self._source = source
+        self._rng = rng
         self._fetch_task: asyncio.Task | None = None
         self._push_task: asyncio.Task | None = None
         self._background_tasks: set[asyncio.Task] = set()
@@ -74,8 +74,8 @@
 
     async def wait_until_in_force(self) -> None:
         """Wait until a table and a layout are in force."""
-        await self.table.wait_until_in_force()
-        await self.layout.wait_until_in_force()
+        await self.table_watcher.wait_until_in_force()
+        await self.layout_watcher.wait_until_in_force()
 
     async def close(self) -> None:
         """Cancel fetches from peers and pushes to peers."""
@@ -89,7 +89,7 @@
         """Put a table in force and push its revision to some peers."""
         self.rows = table.rows
         self.table_in_force = table
-        self._gate.forget_teams(table.rows)
+        self._admission.remove_absent_teams(table.rows)
         if self._push_task is None or self._push_task.done():
             self._push_task = self._start_background_task(
                 self._membership.push_updates(PUSH_FANOUT)
@@ -103,9 +103,9 @@
     def get_config(self) -> memberships.ConfigInForce:
         """Return the revisions in force, for digests."""
         return memberships.ConfigInForce(
-            table_revision=self.table.revision,
-            table_age_s=self.table.get_age_s(),
-            layout_revision=self.layout.revision,
+            table_revision=self.table_watcher.revision,
+            table_age_s=self.table_watcher.get_age_s(),
+            layout_revision=self.layout_watcher.revision,
         )
 
     def answer_config(
@@ -126,11 +126,11 @@
         An equal table revision confirms the table in force; a higher
         revision of either is fetched from the peer.
         """
-        if digest.table_revision == self.table.revision:
-            self.table.confirm(digest.table_age_s)
+        if digest.table_revision == self.table_watcher.revision:
+            self.table_watcher.confirm(digest.table_age_s)
         peer_is_newer = (
-            digest.table_revision > self.table.revision
-            or digest.layout_revision > self.layout.revision
+            digest.table_revision > self.table_watcher.revision
+            or digest.layout_revision > self.layout_watcher.revision
         )
         if self._closed or not peer_is_newer:
             return
@@ -141,8 +141,8 @@
 
     async def _fetch_config(self, peer: protocol.Member) -> None:
         request = protocol.ConfigRequest(
-            table_revision=self.table.revision,
-            layout_revision=self.layout.revision,
+            table_revision=self.table_watcher.revision,
+            layout_revision=self.layout_watcher.revision,
         )
         fetched = await self._peers.fetch_config(
             peer.control, request, _FETCH_TIMEOUT_S
@@ -154,9 +154,9 @@
         # The layout goes first: the table may refer to collections that
         # only the new layout defines.
         if reply.layout and not state.check_layout(reply.layout):
-            self.layout.apply_if_newer(reply.layout, origin)
+            self.layout_watcher.apply_if_newer(reply.layout, origin)
         if reply.table and not state.check_table(reply.table):
-            self.table.apply_if_newer(reply.table, origin)
+            self.table_watcher.apply_if_newer(reply.table, origin)
 
     @property
     def is_isolated(self) -> bool:
@@ -179,7 +179,7 @@
         any, the time counts from the start of this host.
         """
         last_contact = max(
-            self.table.last_contact_at or -math.inf,
+            self.table_watcher.last_contact_at or -math.inf,
             self._membership.last_contact_at or -math.inf,
         )
         return self._clock.now() - max(last_contact, self._started_at)
@@ -201,14 +201,14 @@
         )
         pause_s = min_pause_s
         while True:
-            await asyncio.sleep(pause_s * self._source.uniform(0.5, 1.0))
+            await asyncio.sleep(pause_s * self._rng.uniform(0.5, 1.0))
             max_age_s = self._settings.platform.recheck_s * (
                 1 + self._get_read_rank()
             )
-            is_stale = self.table.get_age_s() > max_age_s
+            is_stale = self.table_watcher.get_age_s() > max_age_s
             if not is_stale and self._get_contact_age_s() <= min_pause_s:
                 continue
-            if await self.table.read_now():
+            if await self.table_watcher.read_now():
                 pause_s = min_pause_s
             else:
                 pause_s = min(2 * pause_s, _MAX_CHECK_PAUSE_S)
--- a/rudderrock/coordination/_dispatch.py
+++ b/rudderrock/coordination/_dispatch.py
@@ -55,7 +55,7 @@
         would slow it further.
         """
         return any(
-            link.is_reachable and link.health.late <= pause_above
+            link.is_reachable and link.health.late_fraction <= pause_above
             for link in self.links
             if link.upstream.upstream not in avoid
         )
@@ -69,7 +69,7 @@
         """
         return any(
             link.is_reachable
-            and not link.health.lacks(self.shard, version, now)
+            and not link.health.is_missing_version(self.shard, version, now)
             for link in self.links
         )
 
@@ -102,8 +102,8 @@
     """Sends shard requests to replicas and queues them while none is free.
 
     Parameters: `zone` is the availability zone of this host; `port` opens
-    connections to upstreams; `settings` give the policies; `source` draws the
-    replicas to compare; `ring` receives the events of the links.
+    connections to upstreams; `settings` give the policies; `rng` draws the
+    replicas to compare; `event_ring` receives the events of the links.
     """
 
     def __init__(
@@ -112,15 +112,15 @@
         port: transport.UpstreamPort,
         settings: state.Settings,
         clock: state.Clock,
-        source: random.Random,
-        ring: state.EventRing,
+        rng: random.Random,
+        event_ring: state.EventRing,
     ):
         self._zone = zone
         self._port = port
         self._settings = settings
         self._clock = clock
-        self._source = source
-        self._ring = ring
+        self._rng = rng
+        self._event_ring = event_ring
         self._links: dict[state.UpstreamId, links.UpstreamLink] = {}
         self._services: dict[state.ShardId, Service] = {}
         self._services_by_link: dict[state.UpstreamId, list[Service]] = {}
@@ -163,7 +163,7 @@
         """Return the links to all upstreams."""
         return list(self._links.values())
 
-    def list_waiting(self) -> list[Service]:
+    def list_queued_services(self) -> list[Service]:
         """Return the services that have queued requests."""
         return [each for each in self._services.values() if len(each.queue)]
 
@@ -178,7 +178,7 @@
         now = self._clock.now()
         return any(
             link.is_reachable
-            and not link.health.seems_to_lack(shard, version, now)
+            and not link.health.may_miss_version(shard, version, now)
             for link in self._services[shard].links
         )
 
@@ -227,25 +227,27 @@
         eligible = [
             link
             for link in service.links
-            if link.takes_new_work
+            if link.accepts_attempts
             and link.upstream.upstream not in attempt.avoid
-            and not link.health.lacks(request.shard, request.version, now)
+            and not link.health.is_missing_version(
+                request.shard, request.version, now
+            )
         ]
         preferred = [
             link
             for link in eligible
-            if link.health.is_favoured(now)
-            and not link.health.seems_to_lack(
+            if link.health.is_available(now)
+            and not link.health.may_miss_version(
                 request.shard, request.version, now
             )
         ]
         free = [link for link in preferred or eligible if link.is_free]
         if len(free) > 2:
-            free = self._source.sample(free, 2)
+            free = self._rng.sample(free, 2)
         if not free:
             return None
         if self._settings.routing.choice is state.ReplicaChoice.RANDOM:
-            return self._source.choice(free)
+            return self._rng.choice(free)
         return min(free, key=lambda link: self._get_cost(link, now))
 
     def _get_cost(self, link: links.UpstreamLink, now: float) -> float:
@@ -267,7 +269,7 @@
         Return False if it was put back because no replica can take it now.
         """
         attempt = service.queue.pop()
-        if attempt.given_up:
+        if attempt.abandoned:
             return True
         link = self._choose_replica(service, attempt)
         if link is None:
@@ -299,8 +301,8 @@
             self._port,
             self._settings.routing,
             self._clock,
-            self._source,
-            self._ring,
+            self._rng,
+            self._event_ring,
             self._on_lane_free,
         )
         self._links[upstream.upstream] = link
--- a/rudderrock/coordination/_extra_requests.py
+++ b/rudderrock/coordination/_extra_requests.py
@@ -8,7 +8,7 @@
 
 # Shortest hedge delay while the base latency of an upstream is unknown, and
 # lower bound of the initial hedge threshold of a collection.
-UNKNOWN_PATIENCE_S = 0.05
+DEFAULT_HEDGE_DELAY_S = 0.05
 _MAX_HEDGE_THRESHOLD_S = 10.0
 
 
@@ -112,9 +112,9 @@
             hedging = self._hedge_settings
             threshold = state.HedgeThreshold(
                 1.0 - hedging.percentile / 100.0,
-                start=max(UNKNOWN_PATIENCE_S, hedging.min_delay_s),
-                lowest=hedging.min_delay_s,
-                highest=_MAX_HEDGE_THRESHOLD_S,
+                initial_s=max(DEFAULT_HEDGE_DELAY_S, hedging.min_delay_s),
+                min_s=hedging.min_delay_s,
+                max_s=_MAX_HEDGE_THRESHOLD_S,
             )
             self._hedge_thresholds[collection] = threshold
         return threshold
--- a/rudderrock/coordination/_gather.py
+++ b/rudderrock/coordination/_gather.py
@@ -41,8 +41,8 @@
     extra_requests: extras.ExtraRequestBudgets
     settings: state.Settings
     clock: state.Clock
-    source: random.Random
-    ring: state.EventRing
+    rng: random.Random
+    event_ring: state.EventRing
 
 
 class GatherPass:
@@ -216,9 +216,9 @@
             self._check_later(call, self._hedge_delay_s)
             return
         hedge_delay_s = self._hedge_delay_s
-        if first.base_s <= 0.0:
-            hedge_delay_s = max(hedge_delay_s, extras.UNKNOWN_PATIENCE_S)
-        late_at = first.sent_at + first.base_s + hedge_delay_s
+        if first.base_latency_s <= 0.0:
+            hedge_delay_s = max(hedge_delay_s, extras.DEFAULT_HEDGE_DELAY_S)
+        late_at = first.sent_at + first.base_latency_s + hedge_delay_s
         if not self._clock.has_reached(late_at):
             self._checks.add(call, late_at)
             return
@@ -253,7 +253,7 @@
     def _is_presumed_lost(self, first: attempts.Attempt) -> bool:
         """Return whether the attempt is too late to be merely slow."""
         lost_delay_s = _LOST_FACTOR * self._hedge_delay_s
-        lost_at = first.sent_at + first.base_s + lost_delay_s
+        lost_at = first.sent_at + first.base_latency_s + lost_delay_s
         return self._clock.has_reached(lost_at)
 
     def _try_send(
@@ -276,15 +276,17 @@
         self._check_later(call, _HEDGE_RECHECK_S)
         return False
 
-    def _record_lateness(self, attempt: attempts.Attempt, late: bool) -> None:
+    def _record_lateness(
+        self, attempt: attempts.Attempt, is_late: bool
+    ) -> None:
         """Record whether a first attempt was late.
 
         Nothing is recorded while the base latency of the upstream is unknown,
         because a long network distance would then count as lateness.
         """
-        if attempt.base_s > 0.0:
-            self._hedge_threshold.note(late)
-            attempt.note_late(late)
+        if attempt.base_latency_s > 0.0:
+            self._hedge_threshold.observe(is_late)
+            attempt.record_lateness(is_late)
 
     def _handle_reply(
         self, attempt: attempts.Attempt, reply: protocol.ShardReply
@@ -318,9 +320,9 @@
             # The hedge wins if the attempt that it hedges is still unanswered.
             self._counters.hedge_wins += bool(call.in_flight)
         elif not call.found_late:
-            late = elapsed > attempt.base_s + self._hedge_delay_s
+            is_late = elapsed > attempt.base_latency_s + self._hedge_delay_s
             call.service.record_answer(elapsed)
-            self._record_lateness(attempt, late)
+            self._record_lateness(attempt, is_late)
         call.answer = answer
         self._answer_count += 1
         self._close_call(call)
@@ -384,7 +386,7 @@
         between half the bound and the bound.
         """
         max_pause_s = self._settings.retries.backoff_s * 2**call.attempt_count
-        return self._dependencies.source.uniform(0.5, 1.0) * max_pause_s
+        return self._dependencies.rng.uniform(0.5, 1.0) * max_pause_s
 
     def _retry(
         self, call: calls.ShardCall, reason: protocol.MissingReason
@@ -410,7 +412,7 @@
         self, attempt: attempts.Attempt, detail: str = ''
     ) -> None:
         """Record the event of a hedge or a retry."""
-        self._dependencies.ring.record(
+        self._dependencies.event_ring.record(
             _EVENT_KINDS[attempt.kind],
             team=self._team,
             query=self._admitted.query_id,
--- a/rudderrock/coordination/_health.py
+++ b/rudderrock/coordination/_health.py
@@ -47,16 +47,16 @@
 class UpstreamHealth:
     """Latency, failures, shedding and index versions of one upstream.
 
-    `limit` is the number of attempts that may be in flight. `late` is the
-    moving fraction of first attempts that were late. `base_s` is the base
-    latency in seconds: the lowest latency observed, 0 while unknown; it
-    slowly follows a lasting rise.
+    `limit` is the number of attempts that may be in flight. `late_fraction` is
+    the moving fraction of first attempts that were late. `base_latency_s` is
+    the base latency in seconds: the lowest latency observed, 0 while unknown;
+    it slowly follows a lasting rise.
     """
 
     def __init__(self, settings: state.RoutingSettings, clock: state.Clock):
         self.limit = MIN_LIMIT
-        self.late = 0.0
-        self.base_s = 0.0
+        self.late_fraction = 0.0
+        self.base_latency_s = 0.0
         self._settings = settings
         self._clock = clock
         self._latency = state.DecayingMean(clock)
@@ -71,28 +71,28 @@
         self._reported_load = protocol.Load()
         self._missing_versions: dict[tuple[state.ShardId, int], float] = {}
 
-    def is_favoured(self, now: float) -> bool:
+    def is_available(self, now: float) -> bool:
         """Return whether no ejection or pause after shedding is in effect."""
         return now >= self._ejected_until and now >= self._shed_until
 
-    def lacks(
+    def is_missing_version(
         self, shard: state.ShardId, version: state.IndexVersion, now: float
     ) -> bool:
         """Return whether the upstream recently rejected this version."""
         return self._missing_versions.get((shard, version), -math.inf) > now
 
-    def seems_to_lack(
+    def may_miss_version(
         self, shard: state.ShardId, version: state.IndexVersion, now: float
     ) -> bool:
         """Return whether the upstream probably does not have this version.
 
-        In addition to `lacks`, the versions that the upstream reports with
-        its load are taken as a hint.
+        In addition to `is_missing_version`, the versions that the upstream
+        reports with its load are taken as a hint.
         """
         reported = self._reported_load.versions
-        return bool(reported and version not in reported) or self.lacks(
-            shard, version, now
-        )
+        return bool(
+            reported and version not in reported
+        ) or self.is_missing_version(shard, version, now)
 
     def get_cost(self, in_flight: int, slots: int, now: float) -> float:
         """Return the expected cost of one more attempt; lower is better.
@@ -109,9 +109,9 @@
         queue_fraction = self._reported_load.queued / max(1, slots)
         return cost * (1.0 + _QUEUE_PENALTY * min(1.0, queue_fraction))
 
-    def note_late(self, late: bool) -> None:
+    def record_lateness(self, is_late: bool) -> None:
         """Record whether a first attempt was late."""
-        self.late += _LATE_WEIGHT * (late - self.late)
+        self.late_fraction += _LATE_WEIGHT * (is_late - self.late_fraction)
 
     def mark_cold(self) -> None:
         """Start the warm-up of an upstream that was down."""
@@ -130,11 +130,13 @@
         self._ejections = 0
         self._failing_since = math.inf
         self._latency.record(elapsed_s)
-        raised_base_s = self.base_s + _BASE_LATENCY_GAIN * (
-            elapsed_s - self.base_s
+        raised_base_latency_s = self.base_latency_s + _BASE_LATENCY_GAIN * (
+            elapsed_s - self.base_latency_s
         )
-        self.base_s = (
-            min(elapsed_s, raised_base_s) if self.base_s else elapsed_s
+        self.base_latency_s = (
+            min(elapsed_s, raised_base_latency_s)
+            if self.base_latency_s
+            else elapsed_s
         )
         self._reported_load = load
         self._shed_pause_s *= _SHED_RECOVERY
--- a/rudderrock/coordination/_host.py
+++ b/rudderrock/coordination/_host.py
@@ -9,7 +9,7 @@
 from rudderrock import core
 from rudderrock import protocol
 from rudderrock import state
-from rudderrock.coordination import _admission as admission
+from rudderrock.coordination import _admission as admissions
 from rudderrock.coordination import _admitted as admitted_queries
 from rudderrock.coordination import _commands as commands
 from rudderrock.coordination import _config as configs
@@ -36,31 +36,31 @@
         settings: state.Settings,
         *,
         clock: state.Clock,
-        source: random.Random,
-        ring: state.EventRing,
+        rng: random.Random,
+        event_ring: state.EventRing,
         config: configs.Configuration,
         dispatcher: dispatch.Dispatcher,
         runner: queries.QueryRunner,
-        book: shares.LimitShares,
-        gate: admission.Admission,
+        limit_shares: shares.LimitShares,
+        admission: admissions.Admission,
         command_runner: commands.CommandRunner,
         membership: memberships.Membership,
         lease: leases.HostLease,
     ):
         self.settings = settings
-        self.ring = ring
+        self.event_ring = event_ring
         self.config = config
         self.dispatcher = dispatcher
         self.runner = runner
-        self.gate = gate
+        self.admission = admission
         self.membership = membership
         self.lease = lease
         self.command_runner = command_runner
-        self.lifecycle = lifecycle.Lifecycle(ring)
+        self.lifecycle = lifecycle.Lifecycle(event_ring)
         self.metrics = metrics.HostMetrics(clock)
         self._clock = clock
-        self._source = source
-        self._book = book
+        self._rng = rng
+        self._limit_shares = limit_shares
         self._skip_waits = asyncio.Event()
         self._active: set[asyncio.Task] = set()
 
@@ -76,8 +76,8 @@
             stack.push_async_callback(self.lease.close)
             stack.push_async_callback(self.config.close)
             group = await stack.enter_async_context(_run_background_tasks())
-            group.create_task(self.config.table.run())
-            group.create_task(self.config.layout.run())
+            group.create_task(self.config.table_watcher.run())
+            group.create_task(self.config.layout_watcher.run())
             group.create_task(self.membership.run())
             group.create_task(self.lease.run())
             group.create_task(self._delete_expired_claims())
@@ -89,11 +89,11 @@
     async def stop(self) -> None:
         """Stop as planned: refuse new requests and wait for those in flight.
 
-        The host first reports that it is not ready, but accepts requests
-        for `balancer_lag_s` more, until the balancer has reacted. It then
-        refuses new requests and waits up to `bound_s` for those in flight;
-        the rest is cancelled. `hurry` ends both waits. A further call of
-        `stop` does nothing.
+        The host first reports that it is not ready, but accepts requests for
+        `balancer_lag_s` more, until the balancer has reacted. It then refuses
+        new requests and waits up to `bound_s` for those in flight; the rest is
+        cancelled. `stop_waiting` ends both waits. A further call of `stop`
+        does nothing.
         """
         if self.lifecycle.state in (
             lifecycle.HostState.STARTING,
@@ -113,7 +113,7 @@
             await self._cancel_active()
             self.lifecycle.stop()
 
-    def hurry(self) -> None:
+    def stop_waiting(self) -> None:
         """End the waits of a planned stop and cancel requests in flight.
 
         A cancelled command that may have run has the outcome `Unknown`.
@@ -135,21 +135,21 @@
         """Delete this host's share of the expired claims periodically."""
         while True:
             await asyncio.sleep(self.settings.claims.clean_period_s)
-            hosts = sorted(self.membership.list_sharing())
+            hosts = sorted(self.membership.list_sharing_hosts())
             index = hosts.index(self.membership.me.host)
-            await self.command_runner.clean(index, len(hosts))
+            await self.command_runner.delete_expired(index, len(hosts))
 
     # Shares of limits and connections
 
-    def on_members(self) -> None:
+    def on_hosts_changed(self) -> None:
         """Recompute shares after the set of hosts has changed."""
-        sharing = self.membership.list_sharing()
-        self._book.set_hosts(sharing)
+        sharing = self.membership.list_sharing_hosts()
+        self._limit_shares.set_hosts(sharing)
         self.dispatcher.set_host_count(len(sharing))
 
     async def _update_demand(self) -> None:
         while True:
-            self._book.update_demand()
+            self._limit_shares.update_demand()
             await asyncio.sleep(self.settings.membership.period_s)
 
     # Requests
@@ -158,7 +158,7 @@
         self, token: str | None
     ) -> result.Result[state.TeamRow, protocol.Refused]:
         """Return the row of the team that has this token, or the refusal."""
-        claimed_team = state.split_token(token or '')
+        claimed_team = state.get_token_team(token or '')
         row = (
             self.config.rows.get(claimed_team.ok())
             if claimed_team.is_ok()
@@ -232,7 +232,7 @@
             row.deadline_s, query.deadline_s or row.deadline_s
         )
         cost = len(collection.placements[-1].shards)
-        decision = self.gate.admit(row, cost, deadline)
+        decision = self.admission.admit(row, cost, deadline)
         if decision.is_err():
             return decision.unwrap_err()
         admitted = admitted_queries.AdmittedQuery(
@@ -245,7 +245,7 @@
         try:
             return await self.runner.run(admitted, collection)
         finally:
-            self.gate.release(row, cost)
+            self.admission.release(row, cost)
 
     async def _command(
         self,
@@ -266,7 +266,7 @@
         deadline = now + min(
             row.deadline_s, command.deadline_s or row.deadline_s
         )
-        decision = self.gate.admit(row, 1, deadline)
+        decision = self.admission.admit(row, 1, deadline)
         if decision.is_err():
             return decision.unwrap_err()
         try:
@@ -281,7 +281,7 @@
                 checked.unwrap(),
             )
         finally:
-            self.gate.release(row, 1)
+            self.admission.release(row, 1)
 
     def _check_request(
         self, row: state.TeamRow, collection: state.CollectionId
@@ -302,7 +302,7 @@
         return result.Ok(found)
 
     def _make_query_id(self) -> state.QueryId:
-        number = self._source.getrandbits(64)
+        number = self._rng.getrandbits(64)
         return state.QueryId(f'{self.settings.host.id}-{number:016x}')
 
     @contextlib.contextmanager
@@ -327,7 +327,7 @@
             team, outcome, self._clock.now() - started_at
         )
         kind, detail = describe_outcome(outcome)
-        self.ring.record(kind, team=team, query=query_id, detail=detail)
+        self.event_ring.record(kind, team=team, query=query_id, detail=detail)
 
 
 def describe_outcome(
--- a/rudderrock/coordination/_key_watcher.py
+++ b/rudderrock/coordination/_key_watcher.py
@@ -35,11 +35,11 @@
 class KeyWatcher(Generic[T]):
     """Keeps one value up to date and tracks when it was last confirmed.
 
-    Parameters: `read` decodes and checks a value, and returns it or the
+    Parameters: `decode` decodes and checks a value, and returns it or the
     reason why it is invalid; `get_revision` returns its revision; `apply`
     puts it in force. `kinds` are the event kinds for a value put in force
     and for a rejected one. `watch_s` is the longest time that one watch
-    waits, in seconds. `reunite(kept, found)` returns the value to write if
+    waits, in seconds. `merge(kept, found)` returns the value to write if
     `found`, from the service, lacks edits that `kept`, the value in force,
     has; else None.
     """
@@ -49,15 +49,15 @@
         kv: transport.KvPort,
         key: str,
         *,
-        read: Callable[[bytes], result.Result[T, str]],
+        decode: Callable[[bytes], result.Result[T, str]],
         get_revision: Callable[[T], state.Revision],
         apply: Callable[[T], None],
         kinds: tuple[state.EventKind, state.EventKind],
         watch_s: float,
         clock: state.Clock,
-        source: random.Random,
-        ring: state.EventRing,
-        reunite: Callable[[T, T], T | None] = lambda kept, found: None,
+        rng: random.Random,
+        event_ring: state.EventRing,
+        merge: Callable[[T, T], T | None] = lambda kept, found: None,
     ):
         self.revision = state.NO_REVISION
         self.confirmed_at: float | None = None
@@ -65,15 +65,15 @@
         self.is_up = True
         self._kv = kv
         self._key = key
-        self._read = read
+        self._decode = decode
         self._get_revision = get_revision
         self._apply = apply
         self._applied_kind, self._rejected_kind = kinds
         self._watch_s = watch_s
         self._clock = clock
-        self._source = source
-        self._ring = ring
-        self._reunite = reunite
+        self._rng = rng
+        self._event_ring = event_ring
+        self._merge = merge
         self._value: T | None = None
         self._version = protocol.ABSENT
         self._value_available = asyncio.Event()
@@ -102,7 +102,7 @@
                         continue
                 case result.Err(failure):
                     self._record_down(failure.detail)
-            await asyncio.sleep(pause_s * self._source.uniform(0.5, 1.0))
+            await asyncio.sleep(pause_s * self._rng.uniform(0.5, 1.0))
             pause_s = min(pause_s * 2, _MAX_PAUSE_S)
 
     async def read_now(self) -> bool:
@@ -136,7 +136,7 @@
         self._value = value
         self._apply(value)
         self._value_available.set()
-        self._ring.record(
+        self._event_ring.record(
             self._applied_kind, detail=f'revision {revision} from {origin}'
         )
         return True
@@ -167,9 +167,9 @@
         if entry.version == self._version or entry.value is None:
             return
         self._version = entry.version
-        match self._read(entry.value):
+        match self._decode(entry.value):
             case result.Err(reason):
-                self._ring.record(self._rejected_kind, detail=reason)
+                self._event_ring.record(self._rejected_kind, detail=reason)
             case result.Ok(value):
                 self.apply_if_newer(value, 'key-value service')
                 self.confirm(self._clock.now() - sent_at)
@@ -183,7 +183,7 @@
         restored_value = self._make_value_to_restore(entry)
         if restored_value is None:
             return
-        delay_s = _MAX_RESTORE_DELAY_S * self._source.random()
+        delay_s = _MAX_RESTORE_DELAY_S * self._rng.random()
         # Wait, but stop if another host writes first.
         watched = await self._kv.watch(self._key, entry.version, delay_s)
         if watched.is_err() or watched.unwrap().version != entry.version:
@@ -194,7 +194,7 @@
             expected=entry.version,
         )
         if (await self._kv.swap(request)).is_ok():
-            self._ring.record(
+            self._event_ring.record(
                 state.EventKind.TABLE_RESTORED,
                 detail=f'revision {self._get_revision(restored_value)}',
             )
@@ -203,20 +203,20 @@
         """Return the value with the lost edits, or None if none was lost."""
         if entry.value is None or self._value is None:
             return None
-        match self._read(entry.value):
+        match self._decode(entry.value):
             case result.Ok(found):
-                return self._reunite(self._value, found)
+                return self._merge(self._value, found)
         return None
 
     def _record_up(self) -> None:
         if not self.is_up:
             self.is_up = True
-            self._ring.record(state.EventKind.KV_UP, detail=self._key)
+            self._event_ring.record(state.EventKind.KV_UP, detail=self._key)
 
     def _record_down(self, detail: str) -> None:
         if self.is_up:
             self.is_up = False
-            self._ring.record(
+            self._event_ring.record(
                 state.EventKind.KV_DOWN, detail=f'{self._key}: {detail}'
             )
 
--- a/rudderrock/coordination/_leases.py
+++ b/rudderrock/coordination/_leases.py
@@ -38,16 +38,16 @@
         settings: state.MembershipSettings,
         count_hosts: Callable[[], int],
         clock: state.Clock,
-        source: random.Random,
-        ring: state.EventRing,
+        rng: random.Random,
+        event_ring: state.EventRing,
     ):
         self._kv = kv
         self._member = member
         self._settings = settings
         self._count_hosts = count_hosts
         self._clock = clock
-        self._source = source
-        self._ring = ring
+        self._rng = rng
+        self._event_ring = event_ring
         self._lease_id: str | None = None
         self._lease_duration_s = settings.lease_s
         self._held_until = clock.now()
@@ -89,8 +89,8 @@
 
     def _get_pause_s(self) -> float:
         if self._lease_id is None:
-            return _RETRY_PAUSE_S * self._source.uniform(0.5, 1.0)
-        jitter = self._source.uniform(0.8, 1.0)
+            return _RETRY_PAUSE_S * self._rng.uniform(0.5, 1.0)
+        jitter = self._rng.uniform(0.8, 1.0)
         return self._lease_duration_s / _RENEWALS_PER_LEASE * jitter
 
     async def _acquire(self) -> None:
@@ -136,4 +136,4 @@
 
     def _record_lapse(self, detail: str) -> None:
         self._lease_id = None
-        self._ring.record(state.EventKind.LEASE_LAPSED, detail=detail)
+        self._event_ring.record(state.EventKind.LEASE_LAPSED, detail=detail)
--- a/rudderrock/coordination/_lifecycle.py
+++ b/rudderrock/coordination/_lifecycle.py
@@ -46,8 +46,8 @@
     `transitions.MachineError` if the state does not allow it.
     """
 
-    def __init__(self, ring: state.EventRing):
-        self._ring = ring
+    def __init__(self, event_ring: state.EventRing):
+        self._event_ring = event_ring
         self._stopped = asyncio.Event()
         self._machine = transitions.Machine(
             model=self,
@@ -60,7 +60,9 @@
 
     def record(self) -> None:
         """Record the new state; if it is `STOPPED`, wake the waiting tasks."""
-        self._ring.record(state.EventKind.HOST_STATE, detail=self.state.value)
+        self._event_ring.record(
+            state.EventKind.HOST_STATE, detail=self.state.value
+        )
         if self.state is HostState.STOPPED:
             self._stopped.set()
 
--- a/rudderrock/coordination/_membership.py
+++ b/rudderrock/coordination/_membership.py
@@ -60,9 +60,9 @@
 
     Parameters: `me` is this host; `peers` and `host_list` are ports;
     `has_lease` asks the key-value service whether a host has a lease;
-    `get_config` returns the revisions in force, for digests; `on_digest`
-    is called with each digest received; `on_change` is called when the set
-    of hosts has changed; `hybrid` is the hybrid clock that stamps digests.
+    `get_config` returns the revisions in force, for digests; `on_digest` is
+    called with each digest received; `on_change` is called when the set of
+    hosts has changed; `hybrid_clock` is the hybrid clock that stamps digests.
     """
 
     def __init__(
@@ -72,30 +72,30 @@
         host_list: transport.HostListPort | None,
         settings: state.MembershipSettings,
         *,
-        book: shares.LimitShares,
+        limit_shares: shares.LimitShares,
         has_lease: LeaseCheck,
         get_config: Callable[[], ConfigInForce],
         on_digest: Callable[[protocol.Digest], None],
         on_change: Callable[[], None],
         clock: state.Clock,
-        hybrid: state.HybridClock,
-        source: random.Random,
-        ring: state.EventRing,
+        hybrid_clock: state.HybridClock,
+        rng: random.Random,
+        event_ring: state.EventRing,
     ):
         self.me = me
         self.last_contact_at: float | None = None
         self._peers = peers
         self._host_list = host_list
         self._settings = settings
-        self._book = book
+        self._limit_shares = limit_shares
         self._has_lease = has_lease
         self._get_config = get_config
         self._on_digest = on_digest
         self._on_change = on_change
         self._clock = clock
-        self._hybrid = hybrid
-        self._source = source
-        self._ring = ring
+        self._hybrid_clock = hybrid_clock
+        self._rng = rng
+        self._event_ring = event_ring
         self._members: dict[state.HostId, protocol.Member] = {}
         self._updated_at: dict[state.HostId, float] = {}
         self._pending_updates: dict[state.HostId, int] = {}
@@ -115,7 +115,7 @@
         """Return all members, failed ones included, this host first."""
         return [self.me, *self._members.values()]
 
-    def list_sharing(self) -> set[state.HostId]:
+    def list_sharing_hosts(self) -> set[state.HostId]:
         """Return the hosts that limits and connections are divided among.
 
         A host marked as failed keeps its share until it is removed,
@@ -142,18 +142,18 @@
             target = self._pick_target()
             if target is not None:
                 await self._probe(target)
-            pause_s = self._settings.period_s * self._source.uniform(0.8, 1.2)
+            pause_s = self._settings.period_s * self._rng.uniform(0.8, 1.2)
             await asyncio.sleep(pause_s)
 
     async def push_updates(self, fanout: int) -> None:
         """Send a digest to up to `fanout` random peers at once."""
         live = self.list_live()
-        chosen = self._source.sample(live, min(fanout, len(live)))
+        chosen = self._rng.sample(live, min(fanout, len(live)))
         await asyncio.gather(*(self._send_probe(each) for each in chosen))
 
     async def answer_probe(self, probe: protocol.Probe) -> protocol.ProbeReply:
         """Answer a peer's probe, and probe a third host if it asks for one."""
-        self.merge_digest(probe.digest)
+        self.apply_digest(probe.digest)
         reached = True
         if probe.target is not None and probe.target.host != self.me.host:
             reached = await self._send_probe(probe.target)
@@ -167,15 +167,15 @@
         config = self._get_config()
         return protocol.Digest(
             sender=self.me,
-            stamp=self._hybrid.tick(),
+            stamp=self._hybrid_clock.tick(),
             table_revision=config.table_revision,
             table_age_s=min(config.table_age_s, _MAX_TABLE_AGE_S),
             layout_revision=config.layout_revision,
             news=self._pick_updates(),
-            demands=self._book.pick_demands(self._source),
+            demands=self._limit_shares.pick_demands(self._rng),
         )
 
-    def merge_digest(
+    def apply_digest(
         self, digest: protocol.Digest, at: float | None = None
     ) -> None:
         """Merge a digest received from a peer.
@@ -186,9 +186,9 @@
         """
         if at is not None:
             self.last_contact_at = max(at, self.last_contact_at or at)
-        self._hybrid.hear(digest.stamp)
+        self._hybrid_clock.observe(digest.stamp)
         for demand in digest.demands:
-            self._book.hear(demand)
+            self._limit_shares.merge_demand(demand)
         self._merge_member(digest.sender)
         for member in digest.news:
             self._merge_member(member)
@@ -239,7 +239,7 @@
         self._updated_at[member.host] = self._clock.now()
         self._pending_updates[member.host] = self._get_send_count()
         if known is None or known.state is not member.state:
-            self._ring.record(
+            self._event_ring.record(
                 state.EventKind.PEER_STATE,
                 detail=f'{member.host} {member.state.value}',
             )
@@ -250,7 +250,7 @@
         del self._members[host]
         self._updated_at.pop(host, None)
         self._pending_updates.pop(host, None)
-        self._ring.record(
+        self._event_ring.record(
             state.EventKind.PEER_STATE, detail=f'{host} forgotten'
         )
         self._on_change()
@@ -304,7 +304,7 @@
             if member is not None:
                 return member
         self._probe_order = list(self._members)
-        self._source.shuffle(self._probe_order)
+        self._rng.shuffle(self._probe_order)
         if not self._probe_order:
             return None
         return self._members[self._probe_order.pop()]
@@ -331,7 +331,7 @@
             each for each in self.list_live() if each.host != target.host
         ]
         count = min(self._settings.indirect, len(others))
-        helpers = self._source.sample(others, count)
+        helpers = self._rng.sample(others, count)
         reached = await asyncio.gather(
             *(self._send_probe(each, target) for each in helpers)
         )
@@ -354,7 +354,7 @@
         reply = await self._peers.probe(receiver.control, probe, timeout_s)
         match reply:
             case result.Ok(answer):
-                self.merge_digest(answer.digest, sent_at)
+                self.apply_digest(answer.digest, sent_at)
                 return answer.reached
         return False
 
@@ -393,7 +393,7 @@
             self._pending_updates.items(), key=lambda each: -each[1]
         )
         chosen: dict[state.HostId, protocol.Member] = {}
-        for host, sends_left in pending[: protocol.MAX_NEWS]:
+        for host, sends_left in pending[: protocol.MAX_DIGEST_MEMBERS]:
             member = self._members.get(host)
             if member is not None:
                 chosen[host] = member
@@ -401,9 +401,9 @@
                 del self._pending_updates[host]
             else:
                 self._pending_updates[host] = sends_left - 1
-        remaining = protocol.MAX_NEWS - len(chosen)
+        remaining = protocol.MAX_DIGEST_MEMBERS - len(chosen)
         rest = [host for host in self._members if host not in chosen]
-        for host in self._source.sample(rest, min(remaining, len(rest))):
+        for host in self._rng.sample(rest, min(remaining, len(rest))):
             chosen[host] = self._members[host]
         return list(chosen.values())
 
--- a/rudderrock/coordination/_query.py
+++ b/rudderrock/coordination/_query.py
@@ -84,7 +84,7 @@
     ) -> None:
         self.counters.restarts += 1
         self._versions.clear_cache()
-        self._dependencies.ring.record(
+        self._dependencies.event_ring.record(
             state.EventKind.VERSION_RESTART,
             team=state.TeamId(admitted.row.team),
             query=admitted.query_id,
--- a/rudderrock/coordination/_shares.py
+++ b/rudderrock/coordination/_shares.py
@@ -47,7 +47,7 @@
         self._demand_updated_at = clock.now()
         self._host_count = 1
 
-    def note(self, team: state.TeamId, cost: int) -> None:
+    def record_requests(self, team: state.TeamId, cost: int) -> None:
         """Count `cost` shard requests of a team, including refused ones."""
         self._requested[team] += cost
 
@@ -93,7 +93,7 @@
         self._demands[self._host] = demand
         return demand
 
-    def hear(self, demand: protocol.Demand) -> None:
+    def merge_demand(self, demand: protocol.Demand) -> None:
         """Merge the demand report of a peer, received directly or relayed."""
         if demand.host == self._host:
             return
@@ -102,16 +102,16 @@
             self._demands[demand.host] = demand
             self._received_at[demand.host] = self._clock.now()
 
-    def pick_demands(self, source: random.Random) -> list[protocol.Demand]:
+    def pick_demands(self, rng: random.Random) -> list[protocol.Demand]:
         """Return demand reports for one message: this host's and some others.
 
         The others are added in random order while the message has room. Its
         room is a number of rates; each added report counts as one more.
         """
         picked = []
-        rates_left = protocol.MAX_DEMANDS
+        rates_left = protocol.MAX_DIGEST_DEMANDS
         others = [host for host in self._demands if host != self._host]
-        source.shuffle(others)
+        rng.shuffle(others)
         own = self._demands.get(self._host)
         if own is not None:
             picked.append(own)
@@ -165,5 +165,5 @@
     def _get_top_rates(self) -> dict[state.TeamId, float]:
         """Return the highest rates, as many as a message may carry."""
         top = sorted(self._rates.items(), key=lambda each: -each[1])
-        limited = top[: protocol.MAX_DEMANDS - 1]
+        limited = top[: protocol.MAX_DIGEST_DEMANDS - 1]
         return {team: round(rate, 2) for team, rate in limited}
--- a/rudderrock/coordination/_table_editor.py
+++ b/rudderrock/coordination/_table_editor.py
@@ -61,7 +61,7 @@
 class TableEditor:
     """Reads and edits the table for an operator.
 
-    Parameters: `kv` is the port to the key-value service. `source` makes edit
+    Parameters: `kv` is the port to the key-value service. `rng` makes edit
     ids. They must be unique, so the programs for operators pass a
     `random.SystemRandom`.
     """
@@ -70,11 +70,11 @@
         self,
         kv: transport.KvPort,
         clock: state.Clock,
-        source: random.Random,
+        rng: random.Random,
     ):
         self._kv = kv
         self._clock = clock
-        self._source = source
+        self._rng = rng
 
     async def read(
         self,
@@ -85,7 +85,7 @@
 
     def make_edit_id(self) -> state.EditId:
         """Return a new edit id."""
-        return state.EditId(f'{self._source.getrandbits(96):024x}')
+        return state.EditId(f'{self._rng.getrandbits(96):024x}')
 
     async def edit(
         self, change: state.Change, timeout_s: float
@@ -114,7 +114,7 @@
                     continue
             if self._clock.now() + pause_s >= deadline:
                 return EditUncertain('no answer from the key-value service')
-            await asyncio.sleep(pause_s * self._source.uniform(0.5, 1.0))
+            await asyncio.sleep(pause_s * self._rng.uniform(0.5, 1.0))
             pause_s = min(pause_s * 2, _MAX_PAUSE_S)
 
     async def _try_swap(
@@ -161,7 +161,7 @@
 def _check_change(change: state.Change) -> state.Problems:
     if change.row is None:
         return ()
-    checked = state.make_checked(state.TeamRow, dataclasses.asdict(change.row))
+    checked = state.validate(state.TeamRow, dataclasses.asdict(change.row))
     if checked.is_err():
         return checked.unwrap_err()
     if change.row.team != change.team:
--- a/rudderrock/coordination/_upstream_link.py
+++ b/rudderrock/coordination/_upstream_link.py
@@ -57,7 +57,7 @@
     """Lanes to one upstream, with its state and health.
 
     Parameters: `upstream` is its description; `port` opens connections;
-    `ring` records an event for each change of state; `on_free` is called
+    `event_ring` records an event for each change of state; `on_free` is called
     when a lane becomes idle.
 
     `upstream.slots` is how many requests the upstream runs at once. The
@@ -72,8 +72,8 @@
         port: transport.UpstreamPort,
         settings: state.RoutingSettings,
         clock: state.Clock,
-        source: random.Random,
-        ring: state.EventRing,
+        rng: random.Random,
+        event_ring: state.EventRing,
         on_free: Callable[['UpstreamLink'], None],
     ):
         self.upstream = upstream
@@ -83,8 +83,8 @@
         self._port = port
         self._settings = settings
         self._clock = clock
-        self._source = source
-        self._ring = ring
+        self._rng = rng
+        self._event_ring = event_ring
         self._on_free = on_free
         self._idle: list[_IdleLane] = []
         self._idle_check_task: asyncio.Task | None = None
@@ -138,14 +138,14 @@
         return min(len(self._lanes), math.ceil(self.health.limit))
 
     @property
-    def takes_new_work(self) -> bool:
+    def accepts_attempts(self) -> bool:
         """Return whether new attempts may be sent to the upstream."""
         return self.state not in _REFUSING_STATES
 
     @property
     def is_reachable(self) -> bool:
         """Return whether the upstream takes attempts or is expected to."""
-        return self.takes_new_work and self.state is not UpstreamState.DOWN
+        return self.accepts_attempts and self.state is not UpstreamState.DOWN
 
     def get_cost(self, now: float) -> float:
         """Return the expected cost of one more attempt; lower is better."""
@@ -155,8 +155,8 @@
         """Pass an attempt to an idle lane; `is_free` must be true."""
         attempt.upstream = self.upstream.upstream
         attempt.sent_at = self._clock.now()
-        attempt.base_s = self.health.base_s
-        attempt.note_late = self.health.note_late
+        attempt.base_latency_s = self.health.base_latency_s
+        attempt.record_lateness = self.health.record_lateness
         self.in_flight += 1
         self._idle.pop().assignment.set_result(attempt)
 
@@ -174,7 +174,7 @@
         if new_state is self.state or self.state is UpstreamState.CLOSED:
             return
         self.state = new_state
-        self._ring.record(
+        self._event_ring.record(
             state.EventKind.UPSTREAM_STATE,
             upstream=self.upstream.upstream,
             detail=f'{new_state.value}: {detail}',
@@ -201,7 +201,7 @@
                     return connection
                 case result.Err(failure):
                     self._record_unreachable(failure.detail)
-            await asyncio.sleep(pause_s * self._source.uniform(0.5, 1.0))
+            await asyncio.sleep(pause_s * self._rng.uniform(0.5, 1.0))
             pause_s = min(pause_s * 2, self._settings.reconnect_max_s)
 
     async def _run_exchanges(
@@ -274,7 +274,7 @@
         attempt: attempts.Attempt,
     ) -> bool:
         """Run one exchange; return whether the connection can be reused."""
-        if attempt.given_up or self._clock.now() >= attempt.deadline:
+        if attempt.abandoned or self._clock.now() >= attempt.deadline:
             # Nothing is sent for an abandoned attempt or after the deadline,
             # which may also have passed during a pause of the whole process.
             self.in_flight -= 1
--- a/rudderrock/core/__init__.py
+++ b/rudderrock/core/__init__.py
@@ -1,4 +1,4 @@
-"""Identifiers, clocks, random sources and latency estimates.
+"""Identifiers, clocks, random number generators and latency estimates.
 
 Shared by all other packages. Only the standard library and xxhash are
 imported, which keeps the start of small processes fast.
--- a/rudderrock/core/_clock.py
+++ b/rudderrock/core/_clock.py
@@ -1,9 +1,9 @@
-"""Clocks and seeded random sources.
+"""Clocks and seeded random number generators.
 
 Components read time and random numbers only from these. Programs make the
-`Clock` and the composition root the random sources, and both are passed
-down as arguments, so that a scenario that runs on a virtual-time loop with
-a given seed is reproducible.
+`Clock` and the composition root the random number generators, and both are
+passed down as arguments, so that a scenario that runs on a virtual-time loop
+with a given seed is reproducible.
 """
 
 import asyncio
@@ -46,9 +46,9 @@
 
 
 def make_random(seed: int, name: str) -> random.Random:
-    """Return the random source of one named component.
+    """Return the random number generator of one named component.
 
-    Sources with the same seed and different names are independent: an
+    Generators with the same seed and different names are independent: an
     additional draw in one component doesn't change the numbers of another.
 
     >>> make_random(1, 'router').random() == make_random(1, 'router').random()
--- a/rudderrock/core/_latency.py
+++ b/rudderrock/core/_latency.py
@@ -23,30 +23,35 @@
     first. A high percentile of a histogram is biased by them, and takes
     thousands of samples to become stable.
 
-    Parameters: `part` is the fraction of requests that shall exceed the
-    threshold, 0 to 1; `start` is its initial value, `lowest` and `highest`
-    are its bounds, all in seconds.
+    Parameters: `late_fraction` is the fraction of requests that shall exceed
+    the threshold, 0 to 1; `initial_s` is its initial value, `min_s` and
+    `max_s` are its bounds, all in seconds.
     """
 
     def __init__(
-        self, part: float, *, start: float, lowest: float, highest: float
+        self,
+        late_fraction: float,
+        *,
+        initial_s: float,
+        min_s: float,
+        max_s: float,
     ):
-        self._late_fraction = part
-        self._min_s = lowest
-        self._max_s = highest
-        self._threshold_s = start
+        self._late_fraction = late_fraction
+        self._min_s = min_s
+        self._max_s = max_s
+        self._threshold_s = initial_s
         self._count = 0
 
     def get(self) -> float:
         """Return the threshold in seconds."""
         return self._threshold_s
 
-    def note(self, late: bool) -> None:
+    def observe(self, is_late: bool) -> None:
         """Update the threshold by whether one request exceeded it."""
         self._count += 1
         gain = _INITIAL_GAIN / math.sqrt(self._count)
         gain = min(max(gain, _MIN_GAIN), _MAX_GAIN)
-        step = (1.0 - self._late_fraction) if late else -self._late_fraction
+        step = (1.0 - self._late_fraction) if is_late else -self._late_fraction
         threshold_s = self._threshold_s * math.exp(gain * step)
         self._threshold_s = min(max(threshold_s, self._min_s), self._max_s)
 
--- a/rudderrock/experiments/__init__.py
+++ b/rudderrock/experiments/__init__.py
@@ -45,7 +45,7 @@
 from rudderrock.experiments._run import run_on_virtual_time
 from rudderrock.experiments._run import run_virtual
 from rudderrock.experiments._schedules import Call
-from rudderrock.experiments._schedules import list_broken
+from rudderrock.experiments._schedules import list_violations
 from rudderrock.experiments._schedules import run_schedule
 from rudderrock.experiments._schedules import ScheduleResult
 from rudderrock.experiments._table_schedules import run_table_schedule
@@ -88,7 +88,7 @@
     'inject_kv_delay',
     'inject_kv_outage',
     'inject_lost_kv_replies',
-    'list_broken',
+    'list_violations',
     'make_mark',
     'make_report',
     'read_plan',
--- a/rudderrock/experiments/_plan.py
+++ b/rudderrock/experiments/_plan.py
@@ -217,7 +217,7 @@
         if other.is_err():
             return other
         raw['deployment'] = other.unwrap()
-    checked = state.make_checked(Plan, raw)
+    checked = state.validate(Plan, raw)
     return checked.map_err(
         lambda found: '\n'.join(f'{path}: {each}' for each in found)
     )
--- a/rudderrock/experiments/_real.py
+++ b/rudderrock/experiments/_real.py
@@ -36,7 +36,7 @@
     read = state.read_toml(path)
     if read.is_err():
         return read
-    checked = state.make_checked(Targets, read.unwrap())
+    checked = state.validate(Targets, read.unwrap())
     return checked.map_err(
         lambda found: '\n'.join(f'{path}: {each}' for each in found)
     )
--- a/rudderrock/experiments/_schedules.py
+++ b/rudderrock/experiments/_schedules.py
@@ -71,13 +71,13 @@
     seed: int
     outcomes: dict[str, int]
     faults: list[str]
-    broken: list[str]
+    violations: list[str]
 
 
 def run_schedule(seed: int) -> ScheduleResult:
     """Run the schedule of a seed on virtual time and check its guarantees."""
     done, exceptions = runs.run_and_collect_exceptions(_run(seed))
-    return dataclasses.replace(done, broken=done.broken + exceptions)
+    return dataclasses.replace(done, violations=done.violations + exceptions)
 
 
 class _Schedule:
@@ -196,9 +196,9 @@
 async def _freeze(fleet, length, rng):
     """Pause one host: messages to it arrive only after the pause."""
     name = rng.choice(list(fleet.hosts))
-    fleet.freeze(name, True)
+    fleet.set_paused(name, True)
     await asyncio.sleep(length)
-    fleet.freeze(name, False)
+    fleet.set_paused(name, False)
 
 
 # Crashed and stopped hosts stay down.
@@ -280,11 +280,11 @@
             seed=seed,
             outcomes=dict(counted),
             faults=schedule.faults,
-            broken=list_broken(schedule.calls, fleet.list_runs()),
+            violations=list_violations(schedule.calls, fleet.list_runs()),
         )
 
 
-def list_broken(
+def list_violations(
     calls: list[Call],
     all_executions: list[standins.Run],
     shards: int = _SERVICES,
@@ -298,21 +298,23 @@
     for run in all_executions:
         marker = json.loads(bytes(run.request.body))
         by_marker.setdefault(marker, []).append(run)
-    broken = []
+    violations = []
     for call in calls:
         executions = by_marker.get(call.marker, [])
         match call.outcome:
             case protocol.Answered():
-                broken += _check_answer(call, call.outcome, executions, shards)
+                violations += _check_answer(
+                    call, call.outcome, executions, shards
+                )
             case protocol.Refused() if call.key is None and executions:
-                broken.append(f'{call.marker}: refused, yet it ran')
+                violations.append(f'{call.marker}: refused, yet it ran')
     by_key: dict[str, list[Call]] = {}
     for call in calls:
         if call.key is not None:
             by_key.setdefault(call.key, []).append(call)
     for key, repeats in by_key.items():
-        broken += _check_command(key, repeats, by_marker.get(key, []))
-    return broken
+        violations += _check_command(key, repeats, by_marker.get(key, []))
+    return violations
 
 
 def _check_answer(
@@ -321,7 +323,7 @@
     executions: list[standins.Run],
     shards: int,
 ) -> list[str]:
-    broken = []
+    violations = []
     coverage = answer.coverage
     finished = {
         run.request.shard
@@ -329,41 +331,43 @@
         if run.finished and run.request.version == answer.version
     }
     if len(coverage.missing) + coverage.answered != coverage.shards:
-        broken.append(f'{call.marker}: coverage does not add up')
+        violations.append(f'{call.marker}: coverage does not add up')
     if coverage.shards != shards:
-        broken.append(f'{call.marker}: {coverage.shards} shards counted')
+        violations.append(f'{call.marker}: {coverage.shards} shards counted')
     if len(finished - set(coverage.missing)) < coverage.answered:
-        broken.append(f'{call.marker}: counts shards that did not answer')
+        violations.append(f'{call.marker}: counts shards that did not answer')
     for hit in answer.hits:
         document = json.loads(bytes(hit.document))
         if document['echo'] != call.marker:
-            broken.append(f'{call.marker}: has a hit of {document["echo"]}')
+            violations.append(
+                f'{call.marker}: has a hit of {document["echo"]}'
+            )
         if document['shard'] in coverage.missing:
-            broken.append(f'{call.marker}: has a hit of a missing shard')
+            violations.append(f'{call.marker}: has a hit of a missing shard')
         # The stand-ins' hit ids end in VERSION-NUMBER.
         if hit.id.split('-')[-2] != str(answer.version):
-            broken.append(f'{call.marker}: mixes versions')
-    return broken
+            violations.append(f'{call.marker}: mixes versions')
+    return violations
 
 
 def _check_command(
     key: str, repeats: list[Call], executions: list[standins.Run]
 ) -> list[str]:
-    broken = []
+    violations = []
     outcomes = [call.outcome for call in repeats]
     recorded = [each for each in outcomes if _is_recorded(each)]
     if len(executions) > 1:
-        broken.append(f'{key}: ran {len(executions)} times')
+        violations.append(f'{key}: ran {len(executions)} times')
     if recorded and not any(run.finished for run in executions):
-        broken.append(f'{key}: recorded, yet it did not run')
+        violations.append(f'{key}: recorded, yet it did not run')
     if sum(not each.repeat for each in recorded) > 1:
-        broken.append(f'{key}: two calls say that they ran it')
+        violations.append(f'{key}: two calls say that they ran it')
     if len({tuple(hit.id for hit in each.hits) for each in recorded}) > 1:
-        broken.append(f'{key}: recorded with different results')
+        violations.append(f'{key}: recorded with different results')
     refused = all(isinstance(each, protocol.Refused) for each in outcomes)
     if refused and executions:
-        broken.append(f'{key}: refused by all, yet it ran')
-    return broken
+        violations.append(f'{key}: refused by all, yet it ran')
+    return violations
 
 
 def _is_recorded(outcome: protocol.Outcome | None) -> bool:
--- a/rudderrock/experiments/_table_schedules.py
+++ b/rudderrock/experiments/_table_schedules.py
@@ -46,13 +46,13 @@
     seed: int
     outcomes: list[str]
     faults: list[str]
-    broken: list[str]
+    violations: list[str]
 
 
 def run_table_schedule(seed: int) -> TableScheduleResult:
     """Run the table schedule of a seed on virtual time and check it."""
     done, exceptions = runs.run_and_collect_exceptions(_run(seed))
-    return dataclasses.replace(done, broken=done.broken + exceptions)
+    return dataclasses.replace(done, violations=done.violations + exceptions)
 
 
 class _TableSchedule:
@@ -135,7 +135,7 @@
     if name is not None:
         await fleet.crash_host(name)
         await asyncio.sleep(length)
-        fleet.forget_host(name)
+        fleet.remove_from_list(name)
 
 
 async def _start(fleet, length, rng):
@@ -146,17 +146,17 @@
 async def _freeze(fleet, length, rng):
     name = _choose_host(fleet, rng)
     if name is not None:
-        fleet.freeze(name, True)
+        fleet.set_paused(name, True)
         await asyncio.sleep(2 * length)
-        fleet.freeze(name, False)
+        fleet.set_paused(name, False)
 
 
 async def _cut_off(fleet, length, rng):
     name = _choose_host(fleet, rng)
     if name is not None:
-        fleet.cut_off(name, True)
+        fleet.set_isolated(name, True)
         await asyncio.sleep(2 * length)
-        fleet.cut_off(name, False)
+        fleet.set_isolated(name, False)
 
 
 async def _lose_messages(fleet, length, rng):
@@ -189,16 +189,16 @@
         schedule = _TableSchedule(fleet, seed)
         await schedule.run()
         table = (await fleet.editor.read()).unwrap()
-        broken = schedule.regressions
-        broken += _check_edits(schedule.outcomes, table)
-        broken += _check_in_force(fleet, table)
+        violations = schedule.regressions
+        violations += _check_edits(schedule.outcomes, table)
+        violations += _check_in_force(fleet, table)
         return TableScheduleResult(
             seed=seed,
             outcomes=[
                 type(outcome).__name__ for _, outcome in schedule.outcomes
             ],
             faults=schedule.faults,
-            broken=broken,
+            violations=violations,
         )
 
 
@@ -207,20 +207,20 @@
     table: state.Table,
 ) -> list[str]:
     """Return violations between the outcomes of edits and the history."""
-    broken = []
+    violations = []
     for change, outcome in outcomes:
         times = sum(edit.edit_id == change.edit_id for edit in table.history)
         match outcome:
             case coordination.EditAccepted() if times != 1:
-                broken.append(f'accepted, yet it stands {times} times')
+                violations.append(f'accepted, yet it stands {times} times')
             case coordination.EditLost() if times:
-                broken.append('lost, yet it stands')
+                violations.append('lost, yet it stands')
             case coordination.EditUncertain() if times > 1:
-                broken.append(f'uncertain, and it stands {times} times')
+                violations.append(f'uncertain, and it stands {times} times')
     revisions = [edit.revision for edit in table.history]
     if revisions != sorted(set(revisions)):
-        broken.append(f'revisions are out of order: {revisions}')
-    return broken
+        violations.append(f'revisions are out of order: {revisions}')
+    return violations
 
 
 def _check_in_force(
--- a/rudderrock/frontend/_control.py
+++ b/rudderrock/frontend/_control.py
@@ -101,7 +101,7 @@
         return host.config.answer_config(message)
 
     async def events(message: EventsRequest) -> list[state.Event]:
-        return host.ring.list_since(message.since)
+        return host.event_ring.list_since(message.since)
 
     async def status(request: requests.Request) -> responses.Response:
         return body.make_json_response(make_status(host))
@@ -151,16 +151,16 @@
 
 def make_status(host: coordination.EntryHost) -> HostStatus:
     """Return the current status of a host."""
-    age_s = host.config.table.get_age_s()
+    age_s = host.config.table_watcher.get_age_s()
     return HostStatus(
         host=state.HostId(host.settings.host.id),
         zone=state.ZoneId(host.settings.host.zone),
         state=host.lifecycle.state,
         isolated=host.config.is_isolated,
-        table_revision=host.config.table.revision,
+        table_revision=host.config.table_watcher.revision,
         table_age_s=None if age_s == float('inf') else age_s,
-        layout_revision=host.config.layout.revision,
-        in_flight=host.gate.in_flight,
+        layout_revision=host.config.layout_watcher.revision,
+        in_flight=host.admission.in_flight,
         members=host.membership.list_members(),
     )
 
@@ -179,14 +179,14 @@
         'rudderrock_upstream_retries_denied_total': counters.retries_denied,
         'rudderrock_version_restarts_total': counters.restarts,
         'rudderrock_extra_load_ratio': counters.extra_load,
-        'rudderrock_shard_requests_in_flight': host.gate.in_flight,
-        'rudderrock_table_revision': host.config.table.revision,
+        'rudderrock_shard_requests_in_flight': host.admission.in_flight,
+        'rudderrock_table_revision': host.config.table_watcher.revision,
         # The age is infinite until the table is confirmed for the first
         # time. JSON has no infinity.
         'rudderrock_table_age_seconds': min(
-            host.config.table.get_age_s(), 1e9
+            host.config.table_watcher.get_age_s(), 1e9
         ),
-        'rudderrock_layout_revision': host.config.layout.revision,
+        'rudderrock_layout_revision': host.config.layout_watcher.revision,
         'rudderrock_members': len(host.membership.list_members()),
         'rudderrock_ready': int(host.lifecycle.is_ready),
         'rudderrock_isolated': int(host.config.is_isolated),
--- a/rudderrock/gateway/discovery/_synchronizer.py
+++ b/rudderrock/gateway/discovery/_synchronizer.py
@@ -91,7 +91,7 @@
         known_quarantine: quarantine.Quarantine,
         source_era: era.SourceEra,
         clock: core.Clock,
-        chance: random.Random,
+        rng: random.Random,
         events: log.EventLog,
         seeds: Iterable[tuple[str, int]] = (),
     ):
@@ -107,7 +107,7 @@
         self._quarantine = known_quarantine
         self._era = source_era
         self._clock = clock
-        self._random = chance
+        self._rng = rng
         self._events = events
         seeds = list(seeds)
         self._seeds = fleet.make_seed_entries(seeds, hosts.own)
@@ -157,7 +157,7 @@
     async def _ask_seeds(self) -> bool:
         """Ask the seeds in random order until one has fresh data."""
         seeds = list(self._seeds)
-        self._random.shuffle(seeds)
+        self._rng.shuffle(seeds)
         while True:
             for entry in seeds:
                 if await self._ask_seed(entry):
@@ -417,7 +417,7 @@
     async def _read_source(self) -> bool:
         """Read what is due from the source; return whether it answered."""
         self._last_try_at = self._clock.now()
-        self._retry_factor = self._random.uniform(0.5, 1.5)
+        self._retry_factor = self._rng.uniform(0.5, 1.5)
         match await self._source.list_upstreams():
             case result.Err(problem):
                 self._record_source_lost('upstreams', problem.detail)
@@ -523,5 +523,5 @@
         )
 
     async def _pause(self, mean_s: float) -> None:
-        factor = 1.0 + _JITTER * (2 * self._random.random() - 1.0)
+        factor = 1.0 + _JITTER * (2 * self._rng.random() - 1.0)
         await asyncio.sleep(mean_s * factor)
--- a/rudderrock/gateway/forwarding/_forward.py
+++ b/rudderrock/gateway/forwarding/_forward.py
@@ -55,9 +55,9 @@
         if threshold is None:
             threshold = core.HedgeThreshold(
                 HEDGE_FRACTION,
-                start=THRESHOLD_START_FRACTION * route.goal_s,
-                lowest=THRESHOLD_MIN_FRACTION * route.goal_s,
-                highest=THRESHOLD_MAX_FRACTION * route.goal_s,
+                initial_s=THRESHOLD_START_FRACTION * route.goal_s,
+                min_s=THRESHOLD_MIN_FRACTION * route.goal_s,
+                max_s=THRESHOLD_MAX_FRACTION * route.goal_s,
             )
             self._thresholds[key] = threshold
         return threshold
@@ -224,7 +224,7 @@
         self._open_count -= 1
         self._failed_count += not settled.has_answer
         if not settled.is_late and not settled.was_delegated:
-            self._threshold.note(False)
+            self._threshold.observe(False)
         if self._open_count == 0 or not self._can_still_succeed(
             self._failed_count
         ):
@@ -260,7 +260,7 @@
             self._late_recorded = True
             for each in late:
                 each.is_late = True
-                self._threshold.note(True)
+                self._threshold.observe(True)
         if self._has_common_cause(len(late)):
             self._schedule_late_check()
             return
--- a/rudderrock/gateway/forwarding/_gateway.py
+++ b/rudderrock/gateway/forwarding/_gateway.py
@@ -60,7 +60,7 @@
     events: log.EventLog
     metrics: metrics_module.GatewayMetrics
     clock: core.Clock
-    chance: random.Random
+    rng: random.Random
 
 
 class Gateway:
@@ -99,14 +99,14 @@
             config.place,
             config.names,
             dependencies.clock,
-            dependencies.chance,
+            dependencies.rng,
             self._connections,
             self.cold_limits,
             dependencies.hosts.own.host,
             # A random delay keeps hosts from sending canaries at once.
             functools.partial(
                 dependencies.quarantine.has_crashed,
-                lag_s=dependencies.chance.uniform(0.0, canary.CANARY_SPREAD_S),
+                lag_s=dependencies.rng.uniform(0.0, canary.CANARY_SPREAD_S),
             ),
         )
         self.counters = calls.Counters()
--- a/rudderrock/gateway_root.py
+++ b/rudderrock/gateway_root.py
@@ -47,7 +47,7 @@
         events=events,
         metrics=gateway.GatewayMetrics(),
         clock=clock,
-        chance=make_rng('replicas'),
+        rng=make_rng('replicas'),
     )
     changes = gateway.ChangeFeed(
         process_id,
--- a/rudderrock/programs/demo.py
+++ b/rudderrock/programs/demo.py
@@ -122,7 +122,7 @@
 
     async def _start(self) -> None:
         raw = tomllib.loads(_DEPLOYMENT)
-        deployment = state.make_checked(standins.Deployment, raw).unwrap()
+        deployment = state.validate(standins.Deployment, raw).unwrap()
         self._standins = await self._stack.enter_async_context(
             standins.serve_standins(
                 deployment, self._clock, state.make_random(1, 'demo')
@@ -160,7 +160,8 @@
         edit = await self._change(team, base, row)
         began = self._clock.now()
         while any(
-            host.config.table.revision < edit.revision for host in self._hosts
+            host.config.table_watcher.revision < edit.revision
+            for host in self._hosts
         ):
             await asyncio.sleep(0.001)
         elapsed_s = self._clock.now() - began
@@ -294,7 +295,7 @@
         events = [
             event
             for host in self._hosts
-            for event in host.ring.list_since(state.Stamp())
+            for event in host.event_ring.list_since(state.Stamp())
         ]
         events = [each for each in events if each.kind in _SHOWN_KINDS]
         events.sort(key=lambda each: (each.stamp, each.host))
--- a/rudderrock/programs/entry.py
+++ b/rudderrock/programs/entry.py
@@ -52,7 +52,7 @@
 
         def on_signal() -> None:
             if stopping:
-                host.hurry()
+                host.stop_waiting()
             else:
                 stopping.append(asyncio.create_task(host.stop()))
 
--- a/rudderrock/programs/gateway.py
+++ b/rudderrock/programs/gateway.py
@@ -40,15 +40,17 @@
     match platform.read_settings_file(path):
         case result.Err(message):
             exits.fail(message, exits.Exit.USAGE)
-        case result.Ok(boot):
-            core.run_loop(_serve(boot, path))
+        case result.Ok(settings_file):
+            core.run_loop(_serve(settings_file, path))
 
 
-async def _serve(boot: platform.SettingsFile, path: pathlib.Path) -> None:
+async def _serve(
+    settings_file: platform.SettingsFile, path: pathlib.Path
+) -> None:
     loop = asyncio.get_running_loop()
     clock = runtime.make_system_clock()
-    source = platform.StoreSource(boot.store)
-    config = boot.settings
+    source = platform.StoreSource(settings_file.store)
+    config = settings_file.settings
     events = gateway.EventLog(config.host, clock)
     process = gateway_root.make_gateway(
         config, source, clock, secrets.randbits(32), events
--- a/rudderrock/programs/load.py
+++ b/rudderrock/programs/load.py
@@ -86,16 +86,16 @@
     run_one = experiments.run_schedule
     if table:
         run_one = experiments.run_table_schedule
-    broken = 0
+    failures = 0
     outcomes: collections.Counter[str] = collections.Counter()
     for seed in range(first_seed, first_seed + count):
         done = run_one(seed)
         outcomes.update(done.outcomes)
-        if done.broken:
-            broken += 1
-            print(f'seed {seed}: {done.broken}; faults {done.faults}')
-    print(f'{count} schedules, {broken} with a broken promise, {outcomes}')
-    if broken:
+        if done.violations:
+            failures += 1
+            print(f'seed {seed}: {done.violations}; faults {done.faults}')
+    print(f'{count} schedules, {failures} with a broken promise, {outcomes}')
+    if failures:
         raise SystemExit(exits.Exit.FAILED)
 
 
--- a/rudderrock/programs/soak.py
+++ b/rudderrock/programs/soak.py
@@ -53,9 +53,9 @@
             for status, times in sorted(report.statuses.items())
         )
         print(f'seed {number}: {report.checked} requests ({statuses})')
-        for broken in report.broken[:10]:
-            print(f'  BROKEN {broken.promise}: {broken.detail}')
-        if report.broken:
+        for violation in report.violations[:10]:
+            print(f'  BROKEN {violation.guarantee}: {violation.detail}')
+        if report.violations:
             failed.append(number)
     print(f'checked {checked} requests; injected:')
     for name, times in sorted(injected.items()):
@@ -87,7 +87,7 @@
         report = asyncio.run(
             soak.run_seed(seed, length, hosts, path, lethal, returns)
         )
-        if report.broken and keep is not None:
+        if report.violations and keep is not None:
             keep.mkdir(parents=True, exist_ok=True)
             log = path / f'seed-{seed}.log'
             (keep / log.name).write_bytes(log.read_bytes())
--- a/rudderrock/programs/standins.py
+++ b/rudderrock/programs/standins.py
@@ -42,7 +42,7 @@
     read = state.read_toml(deployment)
     if read.is_err():
         exits.fail(read.unwrap_err(), exits.Exit.USAGE)
-    checked = state.make_checked(parts.Deployment, read.unwrap())
+    checked = state.validate(parts.Deployment, read.unwrap())
     if checked.is_err():
         problems = '\n'.join(str(each) for each in checked.unwrap_err())
         exits.fail(problems, exits.Exit.USAGE)
--- a/rudderrock/programs/table.py
+++ b/rudderrock/programs/table.py
@@ -310,7 +310,7 @@
 
 
 def _check_row(fields: dict[str, Any]) -> state.TeamRow:
-    match state.make_checked(state.TeamRow, fields):
+    match state.validate(state.TeamRow, fields):
         case result.Err(problems):
             text = '\n'.join(str(each) for each in problems)
             exits.fail(text, exits.Exit.USAGE)
--- a/rudderrock/protocol/__init__.py
+++ b/rudderrock/protocol/__init__.py
@@ -34,8 +34,8 @@
 from rudderrock.protocol._peers import ConfigRequest
 from rudderrock.protocol._peers import Demand
 from rudderrock.protocol._peers import Digest
-from rudderrock.protocol._peers import MAX_DEMANDS
-from rudderrock.protocol._peers import MAX_NEWS
+from rudderrock.protocol._peers import MAX_DIGEST_DEMANDS
+from rudderrock.protocol._peers import MAX_DIGEST_MEMBERS
 from rudderrock.protocol._peers import Member
 from rudderrock.protocol._peers import MemberState
 from rudderrock.protocol._peers import Probe
@@ -85,9 +85,9 @@
     'LOAD_PATH',
     'Lease',
     'Load',
-    'MAX_DEMANDS',
+    'MAX_DIGEST_DEMANDS',
     'MAX_HITS',
-    'MAX_NEWS',
+    'MAX_DIGEST_MEMBERS',
     'Member',
     'MemberState',
     'MissingReason',
--- a/rudderrock/protocol/_peers.py
+++ b/rudderrock/protocol/_peers.py
@@ -20,9 +20,9 @@
 # replies in each direction), which need at most 24 KB/s.
 #
 # Maximum number of members in a digest.
-MAX_NEWS = 8
+MAX_DIGEST_MEMBERS = 8
 # Maximum number of demand entries in a digest, of all hosts together.
-MAX_DEMANDS = 64
+MAX_DIGEST_DEMANDS = 64
 
 
 class MemberState(enum.Enum):
--- a/rudderrock/root.py
+++ b/rudderrock/root.py
@@ -34,28 +34,28 @@
     """Return one host, which does no work before `run` is awaited.
 
     Must be called inside the running event loop that `clock` reads. `ports`
-    are the clients of the services outside the host; `seed` is the seed of
-    all its random sources; `sink` is called with each event of the host, to
-    write it to the log.
+    are the clients of the services outside the host; `seed` is the seed of all
+    its random number generators; `sink` is called with each event of the host,
+    to write it to the log.
     """
     host_id = state.HostId(settings.host.id)
     hybrid_clock = state.HybridClock(clock)
-    ring = state.EventRing(
+    event_ring = state.EventRing(
         host_id, hybrid_clock, settings.host.event_capacity, sink
     )
 
     # The names are part of the seeds, so a new name changes seeded runs.
-    def make_random_source(name: str):
+    def make_rng(name: str):
         return state.make_random(seed, f'{host_id}/{name}')
 
-    share_book = coordination.LimitShares(host_id, settings.shares, clock)
+    limit_shares = coordination.LimitShares(host_id, settings.shares, clock)
     dispatcher = coordination.Dispatcher(
         state.ZoneId(settings.host.zone),
         ports.upstreams,
         settings,
         clock,
-        make_random_source('dispatch'),
-        ring,
+        make_rng('dispatch'),
+        event_ring,
     )
     runner = coordination.QueryRunner(
         coordination.GatherDependencies(
@@ -63,18 +63,18 @@
             extra_requests=coordination.ExtraRequestBudgets(settings),
             settings=settings,
             clock=clock,
-            source=make_random_source('query'),
-            ring=ring,
+            rng=make_rng('query'),
+            event_ring=event_ring,
         )
     )
     admission = coordination.Admission(
-        settings.admission, share_book, dispatcher, clock
+        settings.admission, limit_shares, dispatcher, clock
     )
     store = coordination.ClaimStore(
         ports.kv,
         settings.claims,
         clock,
-        lambda: len(membership.list_sharing()),
+        lambda: len(membership.list_sharing_hosts()),
     )
     command_runner = coordination.CommandRunner(
         host_id,
@@ -82,8 +82,8 @@
         dispatcher,
         settings,
         clock,
-        make_random_source('claims'),
-        ring,
+        make_rng('claims'),
+        event_ring,
     )
 
     # Some callbacks in this function, among them the next two, use `config`,
@@ -98,7 +98,7 @@
     table_watcher = coordination.KeyWatcher(
         ports.kv,
         coordination.TABLE_KEY,
-        read=coordination.read_table,
+        decode=coordination.read_table,
         get_revision=lambda value: value.revision,
         apply=on_table,
         kinds=(
@@ -107,14 +107,14 @@
         ),
         watch_s=settings.platform.watch_s,
         clock=clock,
-        source=make_random_source('table'),
-        ring=ring,
-        reunite=state.reunite_tables,
+        rng=make_rng('table'),
+        event_ring=event_ring,
+        merge=state.merge_lost_edits,
     )
     layout_watcher = coordination.KeyWatcher(
         ports.kv,
         coordination.LAYOUT_KEY,
-        read=coordination.read_layout,
+        decode=coordination.read_layout,
         get_revision=lambda value: value.revision,
         apply=on_layout,
         kinds=(
@@ -123,8 +123,8 @@
         ),
         watch_s=settings.platform.watch_s,
         clock=clock,
-        source=make_random_source('layout'),
-        ring=ring,
+        rng=make_rng('layout'),
+        event_ring=event_ring,
     )
     local_member = protocol.Member(
         host=host_id,
@@ -137,47 +137,47 @@
         ports.kv,
         local_member,
         settings.membership,
-        lambda: len(membership.list_sharing()),
+        lambda: len(membership.list_sharing_hosts()),
         clock,
-        make_random_source('lease'),
-        ring,
+        make_rng('lease'),
+        event_ring,
     )
     membership = coordination.Membership(
         local_member,
         ports.peers,
         ports.host_list,
         settings.membership,
-        book=share_book,
+        limit_shares=limit_shares,
         has_lease=lease.has_lease,
         get_config=lambda: config.get_config(),
         on_digest=lambda digest: config.on_digest(digest),
-        on_change=lambda: host.on_members(),
+        on_change=lambda: host.on_hosts_changed(),
         clock=clock,
-        hybrid=hybrid_clock,
-        source=make_random_source('members'),
-        ring=ring,
+        hybrid_clock=hybrid_clock,
+        rng=make_rng('members'),
+        event_ring=event_ring,
     )
     config = coordination.Configuration(
         settings,
-        table=table_watcher,
-        layout=layout_watcher,
+        table_watcher=table_watcher,
+        layout_watcher=layout_watcher,
         membership=membership,
         dispatcher=dispatcher,
-        gate=admission,
+        admission=admission,
         peers=ports.peers,
         clock=clock,
-        source=make_random_source('host'),
+        rng=make_rng('host'),
     )
     host = coordination.EntryHost(
         settings,
         clock=clock,
-        source=make_random_source('query ids'),
-        ring=ring,
+        rng=make_rng('query ids'),
+        event_ring=event_ring,
         config=config,
         dispatcher=dispatcher,
         runner=runner,
-        book=share_book,
-        gate=admission,
+        limit_shares=limit_shares,
+        admission=admission,
         command_runner=command_runner,
         membership=membership,
         lease=lease,
--- a/rudderrock/soak/_checks.py
+++ b/rudderrock/soak/_checks.py
@@ -49,7 +49,7 @@
 class Violation:
     """A violated guarantee and the evidence for it."""
 
-    promise: str
+    guarantee: str
     detail: str
 
 
@@ -140,8 +140,8 @@
 def _check_sent(records: Records, sent: Sent, runs) -> list[Violation]:
     violations = []
 
-    def add_violation(promise: str, detail: str) -> None:
-        violations.append(Violation(promise, f'{sent.request_id}: {detail}'))
+    def add_violation(guarantee: str, detail: str) -> None:
+        violations.append(Violation(guarantee, f'{sent.request_id}: {detail}'))
 
     if sent.is_once and len(runs) > 1:
         add_violation('at most once', f'ran {len(runs)} times')
@@ -317,8 +317,8 @@
                 f'{run.request_id} at {upstream}, '
                 f'sent {after_s:.1f} s after the drain'
             )
-            promise = 'no new work to a leaving upstream'
-            violations.append(Violation(promise, detail))
+            guarantee = 'no new work to a leaving upstream'
+            violations.append(Violation(guarantee, detail))
     return violations
 
 
@@ -342,7 +342,9 @@
     ]
     if len(late) <= MAX_LATE_LETHAL:
         return []
-    promise = 'a request that crashes upstreams is kept from them'
+    guarantee = 'a request that crashes upstreams is kept from them'
     return [
-        Violation(promise, f'{len(late)} copies after {deadline:.1f}: {late}')
+        Violation(
+            guarantee, f'{len(late)} copies after {deadline:.1f}: {late}'
+        )
     ]
--- a/rudderrock/soak/_run.py
+++ b/rudderrock/soak/_run.py
@@ -44,7 +44,7 @@
     injected: collections.Counter[str]
     statuses: collections.Counter[int]
     checked: int
-    broken: list[checks.Violation]
+    violations: list[checks.Violation]
 
 
 class Run:
@@ -212,13 +212,13 @@
                 await asyncio.sleep(fault.duration_s)
                 store.refusal = platform_standins.Refusal.NONE
             case kinds.STORE_SLOW:
-                store.slow_s = 0.3
+                store.reply_delay_s = 0.3
                 await asyncio.sleep(fault.duration_s)
-                store.slow_s = 0.0
+                store.reply_delay_s = 0.0
             case kinds.STORE_LOSES_REPLIES:
-                store.lose_answers = True
+                store.drop_replies = True
                 await asyncio.sleep(fault.duration_s)
-                store.lose_answers = False
+                store.drop_replies = False
             case kinds.STORE_COMPACTS_HISTORY:
                 store.drop_history()
             case kinds.STORE_REVOKES_LEASES:
@@ -231,9 +231,9 @@
                 await _apply_proxy_fault(world.proxies[name], fault)
             case kinds.UPSTREAM:
                 model = world.upstreams[name]
-                model.conduct = fault.variant
+                model.fault_mode = fault.variant
                 await asyncio.sleep(fault.duration_s)
-                model.conduct = standins.FaultMode.GOOD
+                model.fault_mode = standins.FaultMode.GOOD
             case kinds.UPSTREAM_RESTARTS:
                 world.upstreams[name].cut_connections()
             case kinds.UPSTREAM_DRAINS:
--- a/rudderrock/soak/_world.py
+++ b/rudderrock/soak/_world.py
@@ -71,7 +71,7 @@
         self.port = find_ports(_PORTS_PER_HOST, self.ip)
         zone = 'north-1' if self.number % 2 else 'south-1'
         self._file.write_text(
-            platform_standins.make_boot(
+            platform_standins.make_settings_file(
                 self.ip,
                 self.port,
                 f'127.0.0.1:{self.proxy.port}',
@@ -220,7 +220,7 @@
         self.store.refusal = platform_standins.Refusal.RESET
         await asyncio.sleep(away_s)
         self.store.refusal = platform_standins.Refusal.NONE
-        self.store.come_back(snapshot)
+        self.store.restore(snapshot)
         era = self.store.era
         await asyncio.sleep(_REWRITE_DELAY_S)
         if self.store.era == era:
@@ -315,7 +315,7 @@
     async def _advance_store(self) -> None:
         """Take snapshots and advance the revision, as heartbeats would."""
         while True:
-            self._snapshots.append(self.store.make_copy())
+            self._snapshots.append(self.store.make_snapshot())
             await asyncio.sleep(_REVISION_PERIOD_S)
             self.store.revision += 1
 
--- a/rudderrock/standins/_fleet.py
+++ b/rudderrock/standins/_fleet.py
@@ -67,7 +67,7 @@
         )
         self.hosts: dict[str, RunningHost] = {}
         self.tokens: dict[str, str] = {}
-        self.source = state.make_random(seed, 'fleet')
+        self.rng = state.make_random(seed, 'fleet')
         self.editor = coordination.TableEditor(
             self.kv, clock, state.make_random(seed, 'editor')
         )
@@ -103,11 +103,11 @@
         table = (await self.editor.read()).unwrap()
         base = table.rows.get(team)
         if team not in self.tokens:
-            self.tokens[team] = state.make_token(team, self.source)
+            self.tokens[team] = state.make_token(team, self.rng)
         hashed = state.hash_token(self.tokens[team], random.Random(0))
         fields.setdefault('token_hashes', (hashed,))
         base_fields = dataclasses.asdict(base) if base else {'team': team}
-        row = state.make_checked(state.TeamRow, {**base_fields, **fields})
+        row = state.validate(state.TeamRow, {**base_fields, **fields})
         change = state.Change(
             edit_id=self.editor.make_edit_id(),
             author='operator',
@@ -164,21 +164,21 @@
         self.peers.remove(running.address)
         await core.end_task(running.task)
 
-    def cut_off(self, name: str, cut: bool) -> None:
+    def set_isolated(self, name: str, isolated: bool) -> None:
         """Disconnect a host from the key-value service and all peers.
 
-        With `cut` False, reconnect it.
+        With `isolated` False, reconnect it.
         """
         running = self.hosts[name]
-        running.kv.cut = cut
+        running.kv.cut = isolated
         for other in self.hosts.values():
             pair = frozenset({running.address, other.address})
-            if cut and other is not running:
+            if isolated and other is not running:
                 self.peers.faults.cut.add(pair)
             else:
                 self.peers.faults.cut.discard(pair)
 
-    def freeze(self, name: str, frozen: bool) -> None:
+    def set_paused(self, name: str, paused: bool) -> None:
         """Pause or resume a host; a paused host receives no replies.
 
         Replies of the key-value service and of upstreams arrive when the
@@ -187,16 +187,16 @@
         running = self.hosts[name]
         pauses = (running.kv.pause, running.upstream_port.pause)
         for pause in pauses:
-            if frozen:
+            if paused:
                 pause.begin()
             else:
                 pause.end()
-        if frozen:
+        if paused:
             self.peers.faults.paused.add(running.address)
         else:
             self.peers.faults.paused.discard(running.address)
 
-    def forget_host(self, name: str) -> None:
+    def remove_from_list(self, name: str) -> None:
         """Remove a crashed host from the platform's host list."""
         self._remove_from_list(name)
 
@@ -214,7 +214,7 @@
         began = self.clock.now()
         async with asyncio.timeout(_READY_TIMEOUT_S):
             while any(
-                running.host.config.table.revision < revision
+                running.host.config.table_watcher.revision < revision
                 for running in self.hosts.values()
                 if not running.task.done()
             ):
@@ -267,7 +267,7 @@
     def make_key(self) -> str:
         """Return a new idempotency key."""
         unix = int(self.clock.wall())
-        return f'{unix:010d}-{self.source.getrandbits(64):016x}'
+        return f'{unix:010d}-{self.rng.getrandbits(64):016x}'
 
     def list_runs(self) -> list[upstreams.Run]:
         """Return the requests that the upstreams have recorded as run."""
@@ -305,7 +305,7 @@
             'platform': {'kv': '127.0.0.1:1'},
             **self._settings,
         }
-        return state.make_checked(state.Settings, raw).unwrap()
+        return state.validate(state.Settings, raw).unwrap()
 
 
 @contextlib.asynccontextmanager
--- a/rudderrock/standins/_kv.py
+++ b/rudderrock/standins/_kv.py
@@ -178,11 +178,11 @@
         if not self.faults.down:
             await self._write(key, protocol.encode(value))
 
-    def make_copy(self) -> KvSnapshot:
+    def make_snapshot(self) -> KvSnapshot:
         """Return a snapshot of all keys, without the leases."""
         return KvSnapshot(dict(self._entries), self._version)
 
-    async def come_back(self, snapshot: KvSnapshot) -> None:
+    async def restore(self, snapshot: KvSnapshot) -> None:
         """Restore the keys of a snapshot, and end an outage.
 
         Later writes are lost, and versions that were assigned after the
--- a/rudderrock/standins/_memory.py
+++ b/rudderrock/standins/_memory.py
@@ -51,11 +51,11 @@
     ) -> protocol.ShardReply:
         """Send a request and return its reply.
 
-        Return `ShardTimeout` if there is none by `control.until`.
+        Return `ShardTimeout` if there is none by `control.read_until`.
         """
         try:
-            async with asyncio.timeout_at(control.until) as abort:
-                control.arm(abort)
+            async with asyncio.timeout_at(control.read_until) as abort:
+                control.set_abort(abort)
                 return await self._exchange(request)
         except TimeoutError:
             return protocol.ShardTimeout()
--- a/rudderrock/standins/_memory_source.py
+++ b/rudderrock/standins/_memory_source.py
@@ -25,9 +25,9 @@
 class MemorySource:
     """An in-memory implementation of `gateway.SourcePort`.
 
-    `is_down` makes calls fail. `is_deaf` drops the events of watches.
-    `is_history_compacted` makes the next watch fail, as if the revision that
-    it starts from had been compacted.
+    `is_down` makes calls fail. With `drops_watch_events` watches receive no
+    events. `is_history_compacted` makes the next watch fail, as if the
+    revision that it starts from had been compacted.
     """
 
     def __init__(self) -> None:
@@ -38,7 +38,7 @@
         self.revision = 1
         self.table_revision = 1
         self.is_down = False
-        self.is_deaf = False
+        self.drops_watch_events = False
         self.is_history_compacted = False
         # Number of times that the source has been restored from a snapshot.
         self.era = 0
@@ -69,8 +69,8 @@
         self.evacuated[zone] = self.revision
         self.table_revision = self.revision
 
-    def give_back(self, zone: core.ZoneId) -> None:
-        """Cancel the evacuation of a zone."""
+    def end_evacuation(self, zone: core.ZoneId) -> None:
+        """End the evacuation of a zone."""
         self.evacuated.pop(zone, None)
         self._advance_revision()
         self.table_revision = self.revision
@@ -85,7 +85,7 @@
         self.is_history_compacted = True
         self._advance_revision()
 
-    def make_copy(self) -> SourceSnapshot:
+    def make_snapshot(self) -> SourceSnapshot:
         """Return a snapshot of the current contents."""
         return SourceSnapshot(
             self.table,
@@ -97,11 +97,11 @@
             self._lease_count,
         )
 
-    def note_other_change(self) -> None:
+    def add_unrelated_revision(self) -> None:
         """Advance the revision without a change that concerns hosts."""
         self._advance_revision()
 
-    def come_back(self, snapshot: SourceSnapshot, cut: bool = True) -> None:
+    def restore(self, snapshot: SourceSnapshot, cut: bool = True) -> None:
         """Restore the contents of a snapshot and increment the era.
 
         Later changes are lost, and revisions and lease numbers that were
@@ -158,7 +158,7 @@
             async with asyncio.timeout(wait_s):
                 while not self.is_history_compacted and (
                     self.table_revision <= after.revision
-                    or self.is_deaf
+                    or self.drops_watch_events
                     or self.is_down
                 ):
                     changed = self._changed
--- a/rudderrock/standins/_wire_upstream.py
+++ b/rudderrock/standins/_wire_upstream.py
@@ -93,7 +93,7 @@
         self.upstream = upstream
         self.records = records
         self.work_s = work_s
-        self.conduct = FaultMode.GOOD
+        self.fault_mode = FaultMode.GOOD
         self.lethal: frozenset[str] = frozenset()
         # The time of each crash and the target of the request that caused it.
         self.crash_log: list[tuple[float, str]] = []
@@ -105,7 +105,7 @@
         self.timed_arrivals: list[tuple[float, str]] = []
         self.open = 0
         self.working = 0
-        self.most_open = 0
+        self.peak_connections = 0
         self._names = names
         self.pauses = pauses
         self.connect_s = connect_s
@@ -124,7 +124,7 @@
     async def serve(self, reader, writer) -> None:
         """Serve one connection, or close it if there are too many."""
         self.open += 1
-        self.most_open = max(self.most_open, self.open)
+        self.peak_connections = max(self.peak_connections, self.open)
         try:
             if self.open <= self.max_connections:
                 await self._serve(reader, writer)
@@ -138,12 +138,12 @@
             head = await wire_server.read_head(reader)
             await self.wait_if_silent()
             at = asyncio.get_running_loop().time()
-            if self.conduct is FaultMode.EARLY_REPLY:
+            if self.fault_mode is FaultMode.EARLY_REPLY:
                 writer.write(_render_reply(400, [], b''))
             body = await reader.readexactly(head.body_length)
             run = self._make_run(at, head, body)
             self.timed_arrivals.append((run.at, run.request_id))
-            if self.conduct is FaultMode.EARLY_REPLY:
+            if self.fault_mode is FaultMode.EARLY_REPLY:
                 continue
             if not await self._handle_request(run, reader, writer):
                 return
@@ -172,7 +172,7 @@
         if expected not in (None, self.upstream):
             writer.write(_render_reply(421, [], b''))
             return True
-        match self.conduct:
+        match self.fault_mode:
             case FaultMode.SHEDDING:
                 writer.write(
                     _render_reply(503, [(self._names.not_run, b'1')], b'')
@@ -220,7 +220,7 @@
         stamp = (names.stamp, f'{self.upstream}.{run.request_id}'.encode())
         body = self._make_body(run.request_id)
         full_reply = _render_reply(200, [echo, stamp], body)
-        match self.conduct:
+        match self.fault_mode:
             case FaultMode.GOOD:
                 writer.write(full_reply)
             case FaultMode.FAILING:
@@ -246,7 +246,7 @@
                 ]
                 writer.write(b'\r\n'.join(lines) + b'\r\n\r\n' + body)
                 await writer.drain()
-                if self.conduct is FaultMode.NO_CONTENT_LENGTH_RESET:
+                if self.fault_mode is FaultMode.NO_CONTENT_LENGTH_RESET:
                     await asyncio.sleep(0.01)
                     return False
                 writer.close()
--- a/rudderrock/standins/platform/__init__.py
+++ b/rudderrock/standins/platform/__init__.py
@@ -7,17 +7,17 @@
 from rudderrock.standins.platform._store import PlatformStore
 from rudderrock.standins.platform._store import Refusal
 from rudderrock.standins.platform._store import StoreSnapshot
-from rudderrock.standins.platform._values import make_boot
 from rudderrock.standins.platform._values import make_config
 from rudderrock.standins.platform._values import make_gather
 from rudderrock.standins.platform._values import make_route
 from rudderrock.standins.platform._values import make_server
+from rudderrock.standins.platform._values import make_settings_file
 
 __all__ = [
     'PlatformStore',
     'Refusal',
     'StoreSnapshot',
-    'make_boot',
+    'make_settings_file',
     'make_config',
     'make_gather',
     'make_route',
--- a/rudderrock/standins/platform/_store.py
+++ b/rudderrock/standins/platform/_store.py
@@ -56,23 +56,23 @@
 class PlatformStore(wire_server.WireServer):
     """Server with items, watches, conditional writes and leases over HTTP.
 
-    `refusal` applies to all calls, and `slow_s` delays each reply in seconds.
-    With `lose_answers` writes are executed but not answered, and with
-    `is_deaf` watches receive no events. `page` is the maximum number of items
-    in a page of a range.
+    `refusal` applies to all calls, and `reply_delay_s` delays each reply in
+    seconds. With `drop_replies` writes are executed but not answered, and with
+    `drops_watch_events` watches receive no events. `page` is the maximum
+    number of items in a page of a range.
     """
 
     def __init__(self, page: int = 500):
         super().__init__()
         self.refusal = Refusal.NONE
-        self.slow_s = 0.0
-        self.lose_answers = False
-        self.is_deaf = False
+        self.reply_delay_s = 0.0
+        self.drop_replies = False
+        self.drops_watch_events = False
         self.page = page
         self.calls: collections.Counter[str] = collections.Counter()
         self.items: dict[str, _Item] = {}
         # Keys whose values are returned as invalid base64.
-        self.spoilt: set[str] = set()
+        self.corrupt_keys: set[str] = set()
         self.revision = 0
         # The number of restores from a snapshot.
         self.era = 0
@@ -108,7 +108,7 @@
         """Evacuate a zone, as the operator does."""
         self.put(f'op/evacuate/{zone}', b'{}')
 
-    def give_back(self, zone: str) -> None:
+    def end_evacuation(self, zone: str) -> None:
         """End the evacuation of a zone, as the operator does."""
         self.remove(f'op/evacuate/{zone}')
 
@@ -136,7 +136,7 @@
         self._watches_cut.set()
         self._watches_cut = asyncio.Event()
 
-    def make_copy(self) -> StoreSnapshot:
+    def make_snapshot(self) -> StoreSnapshot:
         """Return a snapshot of the current content."""
         return StoreSnapshot(
             {
@@ -153,7 +153,7 @@
             self._next_lease,
         )
 
-    def come_back(self, copy: StoreSnapshot) -> None:
+    def restore(self, snapshot: StoreSnapshot) -> None:
         """Restore a snapshot and lose all later changes.
 
         New revisions and lease numbers continue from those of the snapshot,
@@ -164,16 +164,16 @@
         self.era += 1
         self.items = {
             key: dataclasses.replace(entry)
-            for key, entry in copy.items.items()
+            for key, entry in snapshot.items.items()
         }
-        self.revision = copy.revision
-        self._history = list(copy.history)
-        self._oldest_revision = copy.oldest_revision
+        self.revision = snapshot.revision
+        self._history = list(snapshot.history)
+        self._oldest_revision = snapshot.oldest_revision
         self._leases = {
             number: _Lease(entry.ttl_s, now + entry.ttl_s)
-            for number, entry in copy.leases.items()
+            for number, entry in snapshot.leases.items()
         }
-        self._next_lease = copy.next_lease
+        self._next_lease = snapshot.next_lease
         self._watches_cut.set()
         self._watches_cut = asyncio.Event()
 
@@ -209,7 +209,7 @@
         method = head.method
         path, _, query = head.target.partition('?')
         self.calls[f'{method} /{path.split("/")[1]}'] += 1
-        await asyncio.sleep(self.slow_s)
+        await asyncio.sleep(self.reply_delay_s)
         match self.refusal:
             case Refusal.RESET:
                 return False
@@ -224,7 +224,7 @@
         self._expire()
         fields = dict(urllib.parse.parse_qsl(query))
         reply = await self._dispatch(method, path, fields, body)
-        if reply is None or (self.lose_answers and method == 'POST'):
+        if reply is None or (self.drop_replies and method == 'POST'):
             return False
         writer.write(_render_json(*reply, self._era_text))
         return True
@@ -255,7 +255,7 @@
         value = base64.b64encode(item.value).decode()
         return {
             'key': key,
-            'value': '*' if key in self.spoilt else value,
+            'value': '*' if key in self.corrupt_keys else value,
             'revision': item.revision,
             'created_revision': item.created_revision,
             'lease_id': item.lease,
@@ -309,7 +309,7 @@
             changed.cancel()
 
     def _list_events(self, prefix: str, after: int) -> list[dict]:
-        if self.is_deaf:
+        if self.drops_watch_events:
             return []
         events = []
         for key, revision, value, lease in self._history:
--- a/rudderrock/standins/platform/_values.py
+++ b/rudderrock/standins/platform/_values.py
@@ -103,7 +103,7 @@
     }
 
 
-def make_boot(
+def make_settings_file(
     ip: str,
     port: int,
     store: str,
--- a/rudderrock/state/__init__.py
+++ b/rudderrock/state/__init__.py
@@ -17,9 +17,9 @@
 from rudderrock.core import UpstreamId
 from rudderrock.core import ZoneId
 from rudderrock.state._constraints import FORBID_UNKNOWN
-from rudderrock.state._constraints import make_checked
 from rudderrock.state._constraints import Problem
 from rudderrock.state._constraints import Problems
+from rudderrock.state._constraints import validate
 from rudderrock.state._events import Event
 from rudderrock.state._events import EventKind
 from rudderrock.state._events import EventRing
@@ -55,14 +55,14 @@
 from rudderrock.state._table import Edit
 from rudderrock.state._table import HISTORY_LIMIT
 from rudderrock.state._table import MAX_TABLE_BYTES
-from rudderrock.state._table import reunite_tables
+from rudderrock.state._table import merge_lost_edits
 from rudderrock.state._table import RowConflict
 from rudderrock.state._table import Table
 from rudderrock.state._table import TeamRow
 from rudderrock.state._tokens import check_token
+from rudderrock.state._tokens import get_token_team
 from rudderrock.state._tokens import hash_token
 from rudderrock.state._tokens import make_token
-from rudderrock.state._tokens import split_token
 
 __all__ = [
     'AdmissionSettings',
@@ -121,11 +121,11 @@
     'check_table',
     'check_token',
     'hash_token',
-    'make_checked',
+    'validate',
     'make_random',
     'make_token',
     'read_settings',
     'read_toml',
-    'reunite_tables',
-    'split_token',
+    'merge_lost_edits',
+    'get_token_team',
 ]
--- a/rudderrock/state/_constraints.py
+++ b/rudderrock/state/_constraints.py
@@ -51,7 +51,7 @@
     return pydantic.TypeAdapter(cls)
 
 
-def make_checked(cls: type[T], raw: Any) -> result.Result[T, Problems]:
+def validate(cls: type[T], raw: Any) -> result.Result[T, Problems]:
     """Return an instance of `cls`, or all problems of the input.
 
     `raw` consists of plain dicts, lists and scalars, such as the output of a
--- a/rudderrock/state/_events.py
+++ b/rudderrock/state/_events.py
@@ -46,7 +46,7 @@
             self._last = Stamp(self._last.wall, self._last.count + 1)
         return self._last
 
-    def hear(self, stamp: Stamp) -> None:
+    def observe(self, stamp: Stamp) -> None:
         """Advance the clock to the stamp of a received message.
 
         A stamp more than `MAX_DRIFT_S` ahead of the wall time is ignored.
--- a/rudderrock/state/_settings.py
+++ b/rudderrock/state/_settings.py
@@ -343,7 +343,7 @@
         case result.Err(message):
             return result.Err(message)
         case result.Ok(raw):
-            checked = constraints.make_checked(Settings, raw)
+            checked = constraints.validate(Settings, raw)
             return checked.map_err(
                 lambda problems: '\n'.join(
                     f'{path}: {problem}' for problem in problems
--- a/rudderrock/state/_table.py
+++ b/rudderrock/state/_table.py
@@ -157,7 +157,7 @@
     return result.Ok(Table(revision=revision, rows=rows, history=history))
 
 
-def reunite_tables(kept: Table, found: Table) -> Table | None:
+def merge_lost_edits(kept: Table, found: Table) -> Table | None:
     """Return the table that restores lost edits in the key-value service.
 
     `kept` is the table that this host has in force; `found` is the table in
@@ -208,7 +208,7 @@
     """
     problems: list[constraints.Problem] = []
     for team, row in table.rows.items():
-        match constraints.make_checked(TeamRow, dataclasses.asdict(row)):
+        match constraints.validate(TeamRow, dataclasses.asdict(row)):
             case result.Err(found):
                 problems.extend(_add_key_prefix(team, found))
             case result.Ok(_):
--- a/rudderrock/state/_tokens.py
+++ b/rudderrock/state/_tokens.py
@@ -18,18 +18,18 @@
 _SALT_BYTES = 16
 
 
-def make_token(team: core.TeamId, source: random.Random) -> str:
+def make_token(team: core.TeamId, rng: random.Random) -> str:
     """Return a new random token for a team.
 
-    The token should be shown once, and only its hash stored. `source` must
+    The token should be shown once, and only its hash stored. `rng` must
     be a `random.SystemRandom` outside tests.
     """
-    return f'{team}.{source.randbytes(_SECRET_BYTES).hex()}'
+    return f'{team}.{rng.randbytes(_SECRET_BYTES).hex()}'
 
 
-def hash_token(token: str, source: random.Random) -> str:
+def hash_token(token: str, rng: random.Random) -> str:
     """Return the salted hash of a token, in the form the table stores."""
-    salt = source.randbytes(_SALT_BYTES).hex()
+    salt = rng.randbytes(_SALT_BYTES).hex()
     return f'{salt}${_digest(salt, token)}'
 
 
@@ -46,7 +46,7 @@
     return matched
 
 
-def split_token(token: str) -> result.Result[core.TeamId, str]:
+def get_token_team(token: str) -> result.Result[core.TeamId, str]:
     """Return the team named in a token, or an error if it is malformed.
 
     The secret isn't checked.
--- a/rudderrock/transport/_ports.py
+++ b/rudderrock/transport/_ports.py
@@ -74,8 +74,8 @@
 class AbortHandle(Protocol):
     """Handle to abort an exchange in flight.
 
-    `asyncio.Timeout` implements it: a connection creates one and passes it
-    to `ExchangeControl.arm`. Rescheduling it to the current time aborts the
+    `asyncio.Timeout` implements it: a connection creates one and passes it to
+    `ExchangeControl.set_abort`. Rescheduling it to the current time aborts the
     exchange.
     """
 
@@ -87,10 +87,10 @@
     """Deadline of an exchange, and the receiver of its abort handle."""
 
     @property
-    def until(self) -> float:
+    def read_until(self) -> float:
         """Return the loop time until which the reply is read."""
 
-    def arm(self, abort: AbortHandle) -> None:
+    def set_abort(self, abort: AbortHandle) -> None:
         """Receive the abort handle of an exchange that is about to start."""
 
 
--- a/rudderrock/transport/_upstream.py
+++ b/rudderrock/transport/_upstream.py
@@ -35,8 +35,8 @@
         """
         body = protocol.encode(request)
         try:
-            async with asyncio.timeout_at(control.until) as abort:
-                control.arm(abort)
+            async with asyncio.timeout_at(control.read_until) as abort:
+                control.set_abort(abort)
                 raw = await self._connection.post(protocol.SHARD_PATH, body)
         except TimeoutError:
             return protocol.ShardTimeout()
