--- a/features/history_simulation.py
+++ b/features/history_simulation.py
@@ -164,7 +164,7 @@
         self._discard_facts(lambda pair: pair[1].endswith(f'/{zone}'))
         if zone in self._evacuated:
             self._evacuated.discard(zone)
-            self._source.give_back(zone)
+            self._source.end_evacuation(zone)
         else:
             self._evacuated.add(zone)
             self._source.evacuate(zone)
@@ -210,7 +210,7 @@
         self._source.is_down = True
         await asyncio.sleep(away_s)
         self._source.is_down = False
-        self._source.come_back(snapshot)
+        self._source.restore(snapshot)
         self._restored_at = asyncio.get_running_loop().time()
         self._start_task(self._rewrite(self._source.era))
 
@@ -226,7 +226,7 @@
             if zone in self._evacuated - self._source.evacuated.keys():
                 self._source.evacuate(zone)
             elif zone in self._source.evacuated.keys() - self._evacuated:
-                self._source.give_back(zone)
+                self._source.end_evacuation(zone)
         for name in UPSTREAMS:
             await asyncio.sleep(HEARTBEAT_INTERVAL_S / len(UPSTREAMS))
             entry = self._entries.get(name)
@@ -256,7 +256,7 @@
 
     async def _take_snapshots(self) -> None:
         while True:
-            self._snapshots.append(self._source.make_copy())
+            self._snapshots.append(self._source.make_snapshot())
             await asyncio.sleep(SNAPSHOT_INTERVAL_S)
 
     async def _observe_hosts(self) -> None:
--- a/features/steps/adapter.py
+++ b/features/steps/adapter.py
@@ -58,7 +58,7 @@
 
 @given(r'a settings file with the field "([^"]+)" as "([^"]+)"')
 def make_file_with_field(context, field, value):
-    text = platform_standins.make_boot(
+    text = platform_standins.make_settings_file(
         '10.0.0.1', 8104, '%s:%d' % _STORE, **{field: value}
     )
     write_settings_file(context, text)
@@ -77,7 +77,7 @@
     present_fields = {
         name: value for name, value in fields.items() if value != 'none'
     }
-    text = platform_standins.make_boot(
+    text = platform_standins.make_settings_file(
         '10.0.0.1', 8104, '%s:%d' % _STORE, **present_fields
     )
     write_settings_file(context, text)
@@ -96,7 +96,9 @@
 
 @given(r'a settings file without the field "([^"]+)"')
 def make_file_without_field(context, field):
-    text = platform_standins.make_boot('10.0.0.1', 8104, '%s:%d' % _STORE)
+    text = platform_standins.make_settings_file(
+        '10.0.0.1', 8104, '%s:%d' % _STORE
+    )
     lines = text.splitlines(keepends=True)
     kept = [line for line in lines if not line.startswith(f'{field}=')]
     write_settings_file(context, ''.join(kept))
@@ -223,7 +225,7 @@
 
 @step(r'the store takes ([\d.]+) seconds for a reply')
 def set_reply_delay(context, seconds):
-    context.store.slow_s = float(seconds)
+    context.store.reply_delay_s = float(seconds)
 
 
 @given(r'(\d+) servers are registered, (\d+) of them draining')
@@ -442,7 +444,9 @@
 
 @given(r'a gateway over the store')
 def start_over_store(context):
-    text = platform_standins.make_boot('10.0.0.1', 8104, '%s:%d' % _STORE)
+    text = platform_standins.make_settings_file(
+        '10.0.0.1', 8104, '%s:%d' % _STORE
+    )
     write_settings_file(context, text)
     settings_file = platform.read_settings_file(context.settings_path).ok_value
 
--- a/features/steps/canaries.py
+++ b/features/steps/canaries.py
@@ -61,7 +61,8 @@
 def crash_upstreams(context, count):
     context.request_quarantine = quarantine.make_quarantine(context, 'h1')
     incarnations = [
-        core.UpstreamLife(f'u{number}/0') for number in range(int(count))
+        core.UpstreamIncarnation(f'u{number}/0')
+        for number in range(int(count))
     ]
     began = context.loop.time()
     context.request_quarantine.record_crash(
@@ -100,7 +101,7 @@
 )
 def end_canary(context, counts):
     context.canary.record_lost()
-    context.canary.record_checked(core.UpstreamLife('u9/0'), True)
+    context.canary.record_checked(core.UpstreamIncarnation('u9/0'), True)
     context.copies = start_waiting(make_canary(context), counts)
 
 
@@ -229,7 +230,9 @@
     harness = gateway_steps.get(context)
     for each in harness.source.endpoints.values():
         if each.zone == 'north-2':
-            harness.upstreams[each.upstream].conduct = standins.Conduct.SILENT
+            harness.upstreams[
+                each.upstream
+            ].fault_mode = standins.FaultMode.SILENT
 
 
 @when(r'a gateway of the first zone is asked for "([^"]+)"')
--- a/features/steps/connecting.py
+++ b/features/steps/connecting.py
@@ -114,7 +114,7 @@
 
 
 async def _open_and_wait(address):
-    connection = transport.OwnedConnection(address)
+    connection = transport.HttpConnection(address)
     try:
         await connection.open()
         await asyncio.get_running_loop().create_future()
@@ -123,7 +123,7 @@
 
 
 async def _post_and_close(address):
-    connection = transport.OwnedConnection(address)
+    connection = transport.HttpConnection(address)
     try:
         await connection.post('/', b'{}')
     finally:
--- a/features/steps/copies.py
+++ b/features/steps/copies.py
@@ -22,7 +22,7 @@
 
 @when(r'a snapshot of the source is made')
 def make_snapshot(context):
-    context.snapshot = gateway_steps.get(context).source.make_copy()
+    context.snapshot = gateway_steps.get(context).source.make_snapshot()
 
 
 @when(r'the routes are written again (\d+) times?')
@@ -40,7 +40,7 @@
     source.is_down = True
     run(context, asyncio.sleep(float(seconds)))
     source.is_down = False
-    source.come_back(context.snapshot)
+    source.restore(context.snapshot)
 
 
 @then(
@@ -68,7 +68,7 @@
 @when(r'the store is restored from a snapshot of its present state')
 def restore_store(context):
     async def restore():
-        context.store.come_back(context.store.make_copy())
+        context.store.restore(context.store.make_snapshot())
 
     run(context, restore())
 
@@ -83,16 +83,16 @@
 )
 def restore_between_pages(context):
     store = context.store
-    snapshot = store.make_copy()
+    snapshot = store.make_snapshot()
 
     async def list_pages():
         listing = asyncio.create_task(context.source.list_upstreams())
         while store.calls['GET /kv-range'] < 2:
             await asyncio.sleep(0.001)
-        store.come_back(snapshot)
+        store.restore(snapshot)
         return await listing
 
-    store.slow_s = 0.05
+    store.reply_delay_s = 0.05
     adapter_steps.call(context, list_pages())
 
 
@@ -167,13 +167,13 @@
 @when(r'the source is restored from the snapshot without ending the watches')
 def restore_without_ending_watches(context):
     source = gateway_steps.get(context).source
-    source.come_back(context.snapshot, cut=False)
+    source.restore(context.snapshot, cut=False)
 
 
 @when(r'(\d+) unrelated entries are written')
 def write_unrelated(context, count):
     for _ in range(int(count)):
-        gateway_steps.get(context).source.note_other_change()
+        gateway_steps.get(context).source.add_unrelated_revision()
 
 
 @when(r'"([^"]+)" registers again with the same entry')
@@ -186,7 +186,7 @@
     r'"([^"]+)" registers again with the same entry just after a new snapshot'
 )
 def register_after_snapshot(context, upstream):
-    earlier = gateway_steps.get(context).source.make_copy()
+    earlier = gateway_steps.get(context).source.make_snapshot()
     register_again(context, upstream)
     context.snapshot = earlier
 
--- a/features/steps/entries.py
+++ b/features/steps/entries.py
@@ -61,7 +61,7 @@
 @given(r"a server's entry has a value that is not base64")
 def put_entry_with_invalid_base64(context):
     put_entry(context, b'')
-    context.store.spoilt.add('servers/i-odd')
+    context.store.corrupt_keys.add('servers/i-odd')
 
 
 @then(
@@ -231,7 +231,7 @@
 )
 def watch_evacuation(context, operation, zone):
     store = context.store
-    change = store.give_back if operation == 'gives' else store.evacuate
+    change = store.end_evacuation if operation == 'gives' else store.evacuate
     watch_during(context, lambda: change(zone))
 
 
--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -303,7 +303,7 @@
     if conduct == 'restarted':
         restart(context, upstream)
         return
-    bench.upstreams[upstream].conduct = standins.Conduct(conduct)
+    bench.upstreams[upstream].fault_mode = standins.FaultMode(conduct)
 
 
 @given(r'"([^"]+)" replies to every request twice, the second time late')
@@ -315,7 +315,7 @@
 def set_shard_conduct(context, number, conduct):
     for name, model in get(context).upstreams.items():
         if name.startswith(f'shard-{number}-'):
-            model.conduct = standins.Conduct(conduct)
+            model.fault_mode = standins.FaultMode(conduct)
 
 
 @given(r'the near upstream of shard (\d+) is (\w+)')
@@ -326,7 +326,7 @@
 @given(r'every upstream is (\w+)')
 def set_all_conduct(context, conduct):
     for model in get(context).upstreams.values():
-        model.conduct = standins.Conduct(conduct)
+        model.fault_mode = standins.FaultMode(conduct)
 
 
 def restart(context, upstream):
@@ -372,14 +372,14 @@
 
 @when(r'the source sends no events to its watches')
 def drop_watch_events(context):
-    get(context).source.is_deaf = True
+    get(context).source.drops_watch_events = True
 
 
 @when(r'the source compacts its history and ends its watches')
 def drop_history(context):
     source = get(context).source
     source.drop_history()
-    source.is_deaf = False
+    source.drops_watch_events = False
 
 
 @when(r'the source is (down|back)')
--- a/features/steps/gateway_checks.py
+++ b/features/steps/gateway_checks.py
@@ -255,7 +255,7 @@
 @then(r'the shard never had more than (\d+) connections')
 def check_connections(context, limit):
     model = get(context).upstreams['shard-0-0']
-    assert 1 < model.most_open <= int(limit), model.most_open
+    assert 1 < model.peak_connections <= int(limit), model.peak_connections
 
 
 @then(r'no request was cut')
--- a/features/steps/processes.py
+++ b/features/steps/processes.py
@@ -24,8 +24,8 @@
 from rudderrock import standins
 from rudderrock import state
 from rudderrock import transport
-from rudderrock.programs import _caller as caller
-from rudderrock.programs import _operator as operators
+from rudderrock.programs import _caller_client as caller_client
+from rudderrock.programs import _operator_client as operator_client
 from rudderrock.programs import _runtime as runtime
 
 use_step_matcher('re')
@@ -124,7 +124,7 @@
         )
 
     async def wait_until_ready(self, number):
-        client = operators.OperatorClient(_OPERATOR)
+        client = operator_client.OperatorClient(_OPERATOR)
         for _ in range(_READY_TRIES):
             status = await client.get_status(self.controls[number])
             match status:
@@ -179,7 +179,7 @@
         )
 
     async def _call(self, host, marker, key, send):
-        client = caller.CallerClient(self.callers[host], self.token)
+        client = caller_client.CallerClient(self.callers[host], self.token)
         raw = result.Err(None)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(_CALL_TIMEOUT_S):
@@ -212,8 +212,8 @@
                 protocol.decode(protocol.Recorded, body).unwrap()
             )
         case result.Ok(transport.RawReply(body=body)):
-            problem = protocol.decode(protocol.Problem, body).unwrap()
-            if problem.outcome is protocol.Ran.NOT_RUN:
+            problem = protocol.decode(protocol.ProblemDetails, body).unwrap()
+            if problem.outcome is protocol.ExecutionStatus.NOT_RUN:
                 return protocol.Refused(
                     reason=protocol.RefusalReason.UPSTREAM,
                     detail=problem.detail,
@@ -286,7 +286,7 @@
         for model in processes.served.models.values()
         for each in model.runs
     ]
-    broken = experiments.list_broken(processes.calls, runs, _SERVICES)
+    broken = experiments.list_violations(processes.calls, runs, _SERVICES)
     assert not broken, broken
     kinds = [type(call.outcome).__name__ for call in processes.calls]
     assert kinds.count('Answered') > 50, kinds
@@ -295,7 +295,7 @@
 
 @then('no command ran twice, and none that was refused ran')
 def check_commands(context):
-    """What `list_broken` has checked; here, that there was any to check."""
+    """What `list_violations` checked; here, that it had any to check."""
     recorded = [
         call
         for call in context.processes.calls
--- a/features/steps/schedules.py
+++ b/features/steps/schedules.py
@@ -28,7 +28,7 @@
 @given('commands are run without a claim')
 def claim_nothing(context):
     async def claim(self, key, claim, until):
-        return coordination.Won()
+        return coordination.ClaimGranted()
 
     patch = mock.patch.object(coordination.ClaimStore, 'claim', claim)
     context.stack.enter_context(patch)
@@ -80,14 +80,14 @@
 
 @then('no promise was broken')
 def check_none_broken(context):
-    broken = {each.seed: each.broken for each in context.schedules}
+    broken = {each.seed: each.violations for each in context.schedules}
     broken = {seed: found for seed, found in broken.items() if found}
     assert not broken, broken
 
 
 @then('some promise was broken')
 def check_some_broken(context):
-    assert any(each.broken for each in context.schedules)
+    assert any(each.violations for each in context.schedules)
 
 
 @then('answers, refusals, records and unknowns were all seen')
--- a/features/steps/sockets.py
+++ b/features/steps/sockets.py
@@ -19,8 +19,8 @@
 from rudderrock import standins
 from rudderrock import state
 from rudderrock import transport
+from rudderrock.programs import _host_server as host_server
 from rudderrock.programs import _runtime as runtime
-from rudderrock.programs import _serving as serving
 
 use_step_matcher('re')
 
@@ -43,12 +43,12 @@
 class _Ticket:
     """Gives an exchange time enough, and lets it be given up."""
 
-    until = float('inf')
+    read_until = float('inf')
 
     def __init__(self):
         self.abort = None
 
-    def arm(self, abort):
+    def set_abort(self, abort):
         self.abort = abort
 
 
@@ -142,7 +142,7 @@
     async def close(self):
         """Keep the connection: the lock is off."""
 
-    patch = mock.patch.object(transport.OwnedConnection, 'close', close)
+    patch = mock.patch.object(transport.HttpConnection, 'close', close)
     context.stack.enter_context(patch)
 
 
@@ -257,7 +257,7 @@
         intake=_INTAKE,
     )
     opened = await context.stack.enter_async_context(
-        serving.open_host(settings, _SECRETS)
+        host_server.open_host(settings, _SECRETS)
     )
     context.served = opened.unwrap()
     context.host = context.served.host
@@ -377,7 +377,9 @@
 def check_problem(context, status):
     assert _read_status(context.reply) == int(status), context.reply
     problem = _read_body(context.reply)
-    assert problem['outcome'] == protocol.Ran.NOT_RUN.value, problem
+    assert problem['outcome'] == protocol.ExecutionStatus.NOT_RUN.value, (
+        problem
+    )
     assert problem['status'] == int(status), problem
 
 
--- a/rudderrock/coordination/_admission.py
+++ b/rudderrock/coordination/_admission.py
@@ -35,12 +35,12 @@
     def __init__(
         self,
         settings: state.AdmissionSettings,
-        book: shares.ShareBook,
+        limit_shares: shares.LimitShares,
         dispatcher: dispatch.Dispatcher,
         clock: state.Clock,
     ):
         self._settings = settings
-        self._book = book
+        self._limit_shares = limit_shares
         self._dispatcher = dispatcher
         self._clock = clock
         self._usage_by_team: dict[state.TeamId, _TeamUsage] = {}
@@ -55,8 +55,8 @@
         `release` when the work ends, whatever its outcome.
         """
         team = state.TeamId(row.team)
-        self._book.note(team, cost)
-        fraction = self._book.update_fraction(team)
+        self._limit_shares.record_requests(team, cost)
+        fraction = self._limit_shares.update_fraction(team)
         usage = self._get_usage(row, fraction)
         refusal = (
             self._check_concurrency(row.concurrency * fraction, usage, cost)
@@ -81,7 +81,9 @@
         """Return the number of admitted shard requests still in flight."""
         return self._in_flight
 
-    def forget_teams(self, rows: dict[state.TeamId, state.TeamRow]) -> None:
+    def remove_absent_teams(
+        self, rows: dict[state.TeamId, state.TeamRow]
+    ) -> None:
         """Remove the state of idle teams that are not in the table."""
         for team, usage in list(self._usage_by_team.items()):
             if team not in rows and not usage.in_flight:
@@ -108,8 +110,8 @@
             return None
         return protocol.Refused(
             reason=protocol.RefusalReason.CONCURRENCY,
-            detail=f'{usage.in_flight} shard requests of the team are in '
-            f'flight; {limit:.0f} are allowed at this host',
+            detail=f'{usage.in_flight} shard requests are in flight and '
+            f'{limit:.0f} are allowed at this host',
             retry_after_s=_BUSY_RETRY_AFTER_S,
         )
 
@@ -118,7 +120,7 @@
             return None
         return protocol.Refused(
             reason=protocol.RefusalReason.OVERLOAD,
-            detail='this host is at its limit of shard requests in flight',
+            detail='this host has as much in flight as it may',
             retry_after_s=_BUSY_RETRY_AFTER_S,
         )
 
@@ -130,7 +132,7 @@
             return None
         return protocol.Refused(
             reason=protocol.RefusalReason.RATE,
-            detail=f'{cost} shard requests exceed the rate limit of the team',
+            detail=f'{cost} shard requests are above the rate allowed',
             retry_after_s=max(wait_s, _MIN_RETRY_AFTER_S),
         )
 
@@ -147,15 +149,15 @@
         if not self._settings.refuse_late:
             return None
         left_s = deadline - self._clock.now()
-        for service in self._dispatcher.list_waiting():
+        for service in self._dispatcher.list_queued_services():
             queued = service.queue.count(state.TeamId(row.team))
             wait_s = service.estimate_wait_s(row)
             allowed_s = left_s * self._settings.queue_fraction
             if queued >= self._settings.max_queued or wait_s > allowed_s:
                 return protocol.Refused(
                     reason=protocol.RefusalReason.DEADLINE,
-                    detail=f'would wait {wait_s:.3f} s for {service.shard}; '
-                    f'at most {max(allowed_s, 0):.3f} s is allowed',
+                    detail=f'would wait {wait_s:.3f} s for {service.shard} '
+                    f'and may wait {max(allowed_s, 0):.3f} s',
                     retry_after_s=max(wait_s - allowed_s, _MIN_RETRY_AFTER_S),
                 )
         return None
--- a/rudderrock/coordination/_operators.py
+++ b/rudderrock/coordination/_table_editor.py
@@ -14,7 +14,7 @@
 from rudderrock import protocol
 from rudderrock import state
 from rudderrock import transport
-from rudderrock.coordination import _follow as follow
+from rudderrock.coordination import _key_watcher as key_watcher
 
 _INITIAL_PAUSE_S = 0.05
 _MAX_PAUSE_S = 1.0
@@ -61,7 +61,7 @@
 class TableEditor:
     """Reads and edits the table for an operator.
 
-    Parameters: `kv` is the port to the key-value service. `source` makes edit
+    Parameters: `kv` is the port to the key-value service. `rng` makes edit
     ids. They must be unique, so the programs for operators pass a
     `random.SystemRandom`.
     """
@@ -70,22 +70,22 @@
         self,
         kv: transport.KvPort,
         clock: state.Clock,
-        source: random.Random,
+        rng: random.Random,
     ):
         self._kv = kv
         self._clock = clock
-        self._source = source
+        self._rng = rng
 
     async def read(
         self,
     ) -> result.Result[state.Table, str]:
         """Return the current table of the key-value service."""
-        entry = await self._kv.get(follow.TABLE_KEY)
+        entry = await self._kv.get(key_watcher.TABLE_KEY)
         return entry.map_err(lambda err: err.detail).and_then(_decode_table)
 
     def make_edit_id(self) -> state.EditId:
         """Return a new edit id."""
-        return state.EditId(f'{self._source.getrandbits(96):024x}')
+        return state.EditId(f'{self._rng.getrandbits(96):024x}')
 
     async def edit(
         self, change: state.Change, timeout_s: float
@@ -100,26 +100,26 @@
             return EditInvalid(problems)
         deadline = self._clock.now() + timeout_s
         pause_s = _INITIAL_PAUSE_S
-        entry: protocol.Entry | None = None
+        entry: protocol.KvEntry | None = None
         while True:
             if entry is None:
-                read = await self._kv.get(follow.TABLE_KEY)
+                read = await self._kv.get(key_watcher.TABLE_KEY)
                 entry = read.ok()
             if entry is not None:
                 outcome = await self._try_swap(change, entry)
-                if not isinstance(outcome, protocol.Entry | None):
+                if not isinstance(outcome, protocol.KvEntry | None):
                     return outcome
                 entry = outcome
                 if entry is not None:
                     continue
             if self._clock.now() + pause_s >= deadline:
                 return EditUncertain('no answer from the key-value service')
-            await asyncio.sleep(pause_s * self._source.uniform(0.5, 1.0))
+            await asyncio.sleep(pause_s * self._rng.uniform(0.5, 1.0))
             pause_s = min(pause_s * 2, _MAX_PAUSE_S)
 
     async def _try_swap(
-        self, change: state.Change, entry: protocol.Entry
-    ) -> EditOutcome | protocol.Entry | None:
+        self, change: state.Change, entry: protocol.KvEntry
+    ) -> EditOutcome | protocol.KvEntry | None:
         """Try one swap.
 
         Return the outcome, the newer entry that conflicts with it, or None
@@ -141,7 +141,7 @@
             return EditInvalid((state.Problem('table', _TOO_LARGE),))
         swapped = await self._kv.swap(
             protocol.SwapRequest(
-                key=follow.TABLE_KEY, value=value, expected=entry.version
+                key=key_watcher.TABLE_KEY, value=value, expected=entry.version
             )
         )
         match swapped:
@@ -152,7 +152,7 @@
         return None
 
 
-def _decode_table(entry: protocol.Entry) -> result.Result[state.Table, str]:
+def _decode_table(entry: protocol.KvEntry) -> result.Result[state.Table, str]:
     if entry.value is None:
         return result.Ok(state.Table())
     return protocol.decode(state.Table, entry.value)
@@ -161,7 +161,7 @@
 def _check_change(change: state.Change) -> state.Problems:
     if change.row is None:
         return ()
-    checked = state.make_checked(state.TeamRow, dataclasses.asdict(change.row))
+    checked = state.validate(state.TeamRow, dataclasses.asdict(change.row))
     if checked.is_err():
         return checked.unwrap_err()
     if change.row.team != change.team:
--- a/rudderrock/gateway/discovery/_synchronizer.py
+++ b/rudderrock/gateway/discovery/_synchronizer.py
@@ -92,7 +92,7 @@
         known_quarantine: quarantine.Quarantine,
         source_era: era.SourceEra,
         clock: core.Clock,
-        chance: random.Random,
+        rng: random.Random,
         events: log.EventLog,
         seeds: Iterable[tuple[str, int]] = (),
     ):
@@ -108,7 +108,7 @@
         self._quarantine = known_quarantine
         self._era = source_era
         self._clock = clock
-        self._random = chance
+        self._rng = rng
         self._events = events
         seeds = list(seeds)
         self._seeds = fleet.make_seed_entries(seeds, hosts.own)
@@ -160,7 +160,7 @@
     async def _ask_seeds(self) -> bool:
         """Ask the seeds in random order until one has fresh data."""
         seeds = list(self._seeds)
-        self._random.shuffle(seeds)
+        self._rng.shuffle(seeds)
         while True:
             for entry in seeds:
                 if await self._ask_seed(entry):
@@ -437,7 +437,7 @@
         have failed.
         """
         self._last_try_at = self._clock.now()
-        self._retry_factor = self._random.uniform(0.5, 1.5)
+        self._retry_factor = self._rng.uniform(0.5, 1.5)
         match await self._source.list_upstreams():
             case result.Err(problem):
                 self._record_source_lost('upstreams', problem.detail)
@@ -543,5 +543,5 @@
         )
 
     async def _pause(self, mean_s: float) -> None:
-        factor = 1.0 + _JITTER * (2 * self._random.random() - 1.0)
+        factor = 1.0 + _JITTER * (2 * self._rng.random() - 1.0)
         await asyncio.sleep(mean_s * factor)
--- a/rudderrock/gateway/forwarding/_delegate.py
+++ b/rudderrock/gateway/forwarding/_delegate.py
@@ -142,7 +142,7 @@
     stamps: list[bytes]
     body: bytes
     missing: frozenset[routing.ServiceName]
-    crashed_upstreams: tuple[core.UpstreamLife, ...] | None = None
+    crashed_upstreams: tuple[core.UpstreamIncarnation, ...] | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -469,7 +469,7 @@
 
 
 def make_crashed_header(
-    incarnations: Iterable[core.UpstreamLife],
+    incarnations: Iterable[core.UpstreamIncarnation],
 ) -> tuple[bytes, bytes]:
     """Return the header that lists upstreams that crashed in a query."""
     return CRASHED_UPSTREAMS, ','.join(incarnations).encode()
@@ -477,13 +477,13 @@
 
 def parse_crashed_header(
     reply: messages.Reply,
-) -> tuple[core.UpstreamLife, ...] | None:
+) -> tuple[core.UpstreamIncarnation, ...] | None:
     """Return upstreams that crashed in a query, or None if not given."""
     header_value = reply.get_header(CRASHED_UPSTREAMS)
     if header_value is None:
         return None
     return tuple(
-        core.UpstreamLife(incarnation)
+        core.UpstreamIncarnation(incarnation)
         for incarnation in _split_list(header_value)
     )
 
--- a/rudderrock/gateway/forwarding/_forward.py
+++ b/rudderrock/gateway/forwarding/_forward.py
@@ -45,19 +45,19 @@
 
     def __init__(self) -> None:
         self._thresholds: dict[
-            tuple[routing.RouteName, float], core.LatePoint
+            tuple[routing.RouteName, float], core.HedgeThreshold
         ] = {}
 
-    def get(self, route: routing.Route) -> core.LatePoint:
+    def get(self, route: routing.Route) -> core.HedgeThreshold:
         """Return the hedge threshold of a route."""
         key = (route.name, route.goal_s)
         threshold = self._thresholds.get(key)
         if threshold is None:
-            threshold = core.LatePoint(
+            threshold = core.HedgeThreshold(
                 HEDGE_FRACTION,
-                start=THRESHOLD_START_FRACTION * route.goal_s,
-                lowest=THRESHOLD_MIN_FRACTION * route.goal_s,
-                highest=THRESHOLD_MAX_FRACTION * route.goal_s,
+                initial_s=THRESHOLD_START_FRACTION * route.goal_s,
+                min_s=THRESHOLD_MIN_FRACTION * route.goal_s,
+                max_s=THRESHOLD_MAX_FRACTION * route.goal_s,
             )
             self._thresholds[key] = threshold
         return threshold
@@ -103,7 +103,7 @@
         context: calls.ForwardingContext,
         call: calls.Call,
         services: tuple[routing.ServiceName, ...],
-        threshold: core.LatePoint,
+        threshold: core.HedgeThreshold,
         scope: QueryScope,
         delegation: delegate.Delegation | None = None,
     ):
@@ -226,7 +226,7 @@
         self._open_count -= 1
         self._failed_count += not settled.has_answer
         if not settled.is_late and not settled.was_delegated:
-            self._threshold.note(False)
+            self._threshold.observe(False)
         if self._open_count == 0 or not self._can_still_succeed(
             self._failed_count
         ):
@@ -265,7 +265,7 @@
             self._late_recorded = True
             for each in late:
                 each.is_late = True
-                self._threshold.note(True)
+                self._threshold.observe(True)
         if self._has_common_cause(len(late)):
             self._schedule_late_check()
             return
@@ -321,7 +321,7 @@
     context: calls.ForwardingContext,
     call: calls.Call,
     service: routing.ServiceName,
-    threshold: core.LatePoint,
+    threshold: core.HedgeThreshold,
 ) -> results.Result:
     """Forward a call to one service and return its answer.
 
--- a/rudderrock/gateway/forwarding/_gateway.py
+++ b/rudderrock/gateway/forwarding/_gateway.py
@@ -61,7 +61,7 @@
     events: log.EventLog
     metrics: metrics_module.GatewayMetrics
     clock: core.Clock
-    chance: random.Random
+    rng: random.Random
 
 
 class Gateway:
@@ -100,14 +100,14 @@
             config.place,
             config.names,
             dependencies.clock,
-            dependencies.chance,
+            dependencies.rng,
             self._connections,
             self.cold_limits,
             dependencies.hosts.own.host,
             # A random delay keeps hosts from sending canaries at once.
             functools.partial(
                 dependencies.quarantine.has_crashed,
-                lag_s=dependencies.chance.uniform(0.0, canary.CANARY_SPREAD_S),
+                lag_s=dependencies.rng.uniform(0.0, canary.CANARY_SPREAD_S),
             ),
         )
         self.counters = calls.Counters()
@@ -365,7 +365,7 @@
         self,
         call: calls.Call,
         scatter: routing.Scatter,
-        threshold: core.LatePoint,
+        threshold: core.HedgeThreshold,
         rank: int,
     ) -> results.Result:
         """Delegate a wide query to a host with capacity, or run it here."""
@@ -395,7 +395,7 @@
         self,
         call: calls.Call,
         scatter: routing.Scatter,
-        threshold: core.LatePoint,
+        threshold: core.HedgeThreshold,
         rank: int,
     ) -> results.Result:
         """Run a query over shards if admission control allows it."""
--- a/rudderrock/gateway/forwarding/_gather.py
+++ b/rudderrock/gateway/forwarding/_gather.py
@@ -25,7 +25,7 @@
     context: calls.ForwardingContext,
     call: calls.Call,
     scatter: routing.Scatter,
-    threshold: core.LatePoint,
+    threshold: core.HedgeThreshold,
     delegation: delegate.Delegation,
 ) -> results.Result:
     """Forward a call to every shard and merge the records of the answers."""
@@ -61,7 +61,7 @@
     context: calls.ForwardingContext,
     call: calls.Call,
     scatter: routing.Scatter,
-    threshold: core.LatePoint,
+    threshold: core.HedgeThreshold,
     shards: tuple[routing.ServiceName, ...],
     min_answers: int,
 ) -> results.Result:
@@ -89,7 +89,7 @@
     names: header_names.HeaderNames,
     request_id: bytes,
     shards: tuple[routing.ServiceName, ...],
-    crashed: list[core.UpstreamLife],
+    crashed: list[core.UpstreamIncarnation],
 ) -> results.Result:
     """Return a part without any answer, for a quarantined request.
 
--- a/rudderrock/programs/demo.py
+++ b/rudderrock/programs/demo.py
@@ -24,10 +24,10 @@
 from rudderrock import standins
 from rudderrock import state
 from rudderrock import transport
-from rudderrock.programs import _caller as caller
+from rudderrock.programs import _caller_client as caller_client
+from rudderrock.programs import _host_server as host_server
 from rudderrock.programs import _logs as logs
 from rudderrock.programs import _runtime as runtime
-from rudderrock.programs import _serving as serving
 
 _SECRETS = frontend.Secrets(
     peer='demo peer secret', operator='demo operator secret'
@@ -122,7 +122,7 @@
 
     async def _start(self) -> None:
         raw = tomllib.loads(_DEPLOYMENT)
-        deployment = state.make_checked(standins.Deployment, raw).unwrap()
+        deployment = state.validate(standins.Deployment, raw).unwrap()
         self._standins = await self._stack.enter_async_context(
             standins.serve_standins(
                 deployment, self._clock, state.make_random(1, 'demo')
@@ -160,7 +160,8 @@
         edit = await self._change(team, base, row)
         began = self._clock.now()
         while any(
-            host.config.table.revision < edit.revision for host in self._hosts
+            host.config.table_watcher.revision < edit.revision
+            for host in self._hosts
         ):
             await asyncio.sleep(0.001)
         elapsed_s = self._clock.now() - began
@@ -201,7 +202,7 @@
                 host_list=self._standins.host_list_address,
             ),
         )
-        context = serving.open_host(settings, _SECRETS)
+        context = host_server.open_host(settings, _SECRETS)
         opened = await self._stack.enter_async_context(context)
         host = opened.unwrap().host
         self._hosts.append(host)
@@ -225,7 +226,9 @@
             clients = []
             for host in self._hosts:
                 address = host.settings.host.callers
-                client = caller.CallerClient(address, self._tokens[team])
+                client = caller_client.CallerClient(
+                    address, self._tokens[team]
+                )
                 stack.push_async_callback(client.close)
                 clients.append(client)
             async with asyncio.TaskGroup() as group:
@@ -236,7 +239,7 @@
     async def _call(
         self,
         team: str,
-        clients: list[caller.CallerClient],
+        clients: list[caller_client.CallerClient],
         number: int,
     ) -> None:
         """Send a query to a ready host, as a load balancer would."""
@@ -292,7 +295,7 @@
         events = [
             event
             for host in self._hosts
-            for event in host.ring.list_since(state.Stamp())
+            for event in host.event_ring.list_since(state.Stamp())
         ]
         events = [each for each in events if each.kind in _SHOWN_KINDS]
         events.sort(key=lambda each: (each.stamp, each.host))
--- a/rudderrock/protocol/__init__.py
+++ b/rudderrock/protocol/__init__.py
@@ -6,7 +6,7 @@
 from rudderrock.protocol._caller import Coverage
 from rudderrock.protocol._caller import IDEMPOTENCY_HEADER
 from rudderrock.protocol._caller import MAX_HITS
-from rudderrock.protocol._caller import MissReason
+from rudderrock.protocol._caller import MissingReason
 from rudderrock.protocol._caller import Outcome
 from rudderrock.protocol._caller import Query
 from rudderrock.protocol._caller import QUERY_PATH
@@ -17,11 +17,11 @@
 from rudderrock.protocol._codec import decode
 from rudderrock.protocol._codec import encode
 from rudderrock.protocol._kv import ABSENT
-from rudderrock.protocol._kv import Entry
 from rudderrock.protocol._kv import GET_PATH
 from rudderrock.protocol._kv import GetRequest
 from rudderrock.protocol._kv import GRANT_PATH
 from rudderrock.protocol._kv import GrantRequest
+from rudderrock.protocol._kv import KvEntry
 from rudderrock.protocol._kv import Lease
 from rudderrock.protocol._kv import RENEW_PATH
 from rudderrock.protocol._kv import REVOKE_PATH
@@ -34,20 +34,20 @@
 from rudderrock.protocol._peers import ConfigRequest
 from rudderrock.protocol._peers import Demand
 from rudderrock.protocol._peers import Digest
-from rudderrock.protocol._peers import MAX_DEMANDS
-from rudderrock.protocol._peers import MAX_NEWS
+from rudderrock.protocol._peers import MAX_DIGEST_DEMANDS
+from rudderrock.protocol._peers import MAX_DIGEST_MEMBERS
 from rudderrock.protocol._peers import Member
 from rudderrock.protocol._peers import MemberState
 from rudderrock.protocol._peers import Probe
 from rudderrock.protocol._peers import PROBE_PATH
 from rudderrock.protocol._peers import ProbeReply
 from rudderrock.protocol._peers import SECRET_HEADER
+from rudderrock.protocol._problems import ExecutionStatus
 from rudderrock.protocol._problems import HttpReply
 from rudderrock.protocol._problems import JSON_TYPE
 from rudderrock.protocol._problems import make_http_reply
-from rudderrock.protocol._problems import Problem
 from rudderrock.protocol._problems import PROBLEM_TYPE
-from rudderrock.protocol._problems import Ran
+from rudderrock.protocol._problems import ProblemDetails
 from rudderrock.protocol._upstream import Hit
 from rudderrock.protocol._upstream import Load
 from rudderrock.protocol._upstream import LOAD_PATH
@@ -72,7 +72,7 @@
     'Coverage',
     'Demand',
     'Digest',
-    'Entry',
+    'ExecutionStatus',
     'GET_PATH',
     'GRANT_PATH',
     'GetRequest',
@@ -81,27 +81,27 @@
     'HttpReply',
     'IDEMPOTENCY_HEADER',
     'JSON_TYPE',
+    'KvEntry',
     'LOAD_PATH',
     'Lease',
     'Load',
-    'MAX_DEMANDS',
+    'MAX_DIGEST_DEMANDS',
     'MAX_HITS',
-    'MAX_NEWS',
+    'MAX_DIGEST_MEMBERS',
     'Member',
     'MemberState',
-    'MissReason',
+    'MissingReason',
     'Outcome',
     'PROBE_PATH',
     'PROBLEM_TYPE',
     'Probe',
     'ProbeReply',
-    'Problem',
+    'ProblemDetails',
     'QUERY_PATH',
     'Query',
     'REJECTION_STATUS',
     'RENEW_PATH',
     'REVOKE_PATH',
-    'Ran',
     'Recorded',
     'RefusalReason',
     'Refused',
--- a/rudderrock/standins/_memory.py
+++ b/rudderrock/standins/_memory.py
@@ -47,15 +47,15 @@
     async def exchange(
         self,
         request: protocol.ShardRequest,
-        ticket: transport.ExchangeTicket,
+        control: transport.ExchangeControl,
     ) -> protocol.ShardReply:
         """Send a request and return its reply.
 
-        Return `ShardTimeout` if there is none by `ticket.until`.
+        Return `ShardTimeout` if there is none by `control.read_until`.
         """
         try:
-            async with asyncio.timeout_at(ticket.until) as abort:
-                ticket.arm(abort)
+            async with asyncio.timeout_at(control.read_until) as abort:
+                control.set_abort(abort)
                 return await self._exchange(request)
         except TimeoutError:
             return protocol.ShardTimeout()
--- a/rudderrock/standins/platform/__init__.py
+++ b/rudderrock/standins/platform/__init__.py
@@ -6,18 +6,18 @@
 
 from rudderrock.standins.platform._store import PlatformStore
 from rudderrock.standins.platform._store import Refusal
-from rudderrock.standins.platform._store import StoreCopy
-from rudderrock.standins.platform._values import make_boot
+from rudderrock.standins.platform._store import StoreSnapshot
 from rudderrock.standins.platform._values import make_config
 from rudderrock.standins.platform._values import make_gather
 from rudderrock.standins.platform._values import make_route
 from rudderrock.standins.platform._values import make_server
+from rudderrock.standins.platform._values import make_settings_file
 
 __all__ = [
     'PlatformStore',
     'Refusal',
-    'StoreCopy',
-    'make_boot',
+    'StoreSnapshot',
+    'make_settings_file',
     'make_config',
     'make_gather',
     'make_route',
--- a/rudderrock/transport/_owned.py
+++ b/rudderrock/transport/_http_connection.py
@@ -48,7 +48,7 @@
     detail: str
 
 
-class OwnedConnection:
+class HttpConnection:
     """A kept-alive HTTP/1.1 connection, used by one task at a time.
 
     Parameters: `address` is `IP:port`; `connect_timeout_s` is in seconds;
@@ -91,7 +91,7 @@
                 )
             opened = True
         except TimeoutError:
-            return result.Err(ExchangeFailed('connect timed out'))
+            return result.Err(ExchangeFailed('connecting timed out'))
         except _CONNECTION_ERRORS as exc:
             return result.Err(ExchangeFailed(repr(exc)))
         finally:
--- a/rudderrock/transport/_upstream.py
+++ b/rudderrock/transport/_upstream.py
@@ -6,7 +6,7 @@
 
 from rudderrock import protocol
 from rudderrock import state
-from rudderrock.transport import _owned as owned
+from rudderrock.transport import _http_connection as http_connection
 from rudderrock.transport import _ports as ports
 
 _REJECTION_STATUSES = frozenset(protocol.REJECTION_STATUS.values())
@@ -15,7 +15,7 @@
 class HttpUpstreamConnection:
     """A kept-alive HTTP connection to an upstream, owned by one task."""
 
-    def __init__(self, connection: owned.OwnedConnection):
+    def __init__(self, connection: http_connection.HttpConnection):
         self._connection = connection
 
     @property
@@ -24,19 +24,19 @@
         return self._connection.is_usable
 
     async def exchange(
-        self, request: protocol.ShardRequest, ticket: ports.ExchangeTicket
+        self, request: protocol.ShardRequest, control: ports.ExchangeControl
     ) -> protocol.ShardReply:
         """Send a request and return its complete reply.
 
         Return `ShardLost` after a failure, and `ShardTimeout` after the
-        deadline or an abort. The owner of the ticket may abort the exchange
+        deadline or an abort. The owner of `control` may abort the exchange
         at any time. This closes the connection, by which the upstream
         detects the abort.
         """
         body = protocol.encode(request)
         try:
-            async with asyncio.timeout_at(ticket.until) as abort:
-                ticket.arm(abort)
+            async with asyncio.timeout_at(control.read_until) as abort:
+                control.set_abort(abort)
                 raw = await self._connection.post(protocol.SHARD_PATH, body)
         except TimeoutError:
             return protocol.ShardTimeout()
@@ -52,7 +52,7 @@
 
 
 def read_shard_reply(
-    request: protocol.ShardRequest, raw: owned.RawReply
+    request: protocol.ShardRequest, raw: http_connection.RawReply
 ) -> protocol.ShardReply:
     """Return the decoded reply, or `ShardLost` if it can't be used.
 
@@ -68,7 +68,7 @@
         return protocol.ShardLost(True, f'unexpected status {raw.status}')
     match decoded:
         case result.Err(detail):
-            return protocol.ShardLost(True, f'invalid reply: {detail}')
+            return protocol.ShardLost(True, f'unreadable reply: {detail}')
         case result.Ok(reply):
             return check_shard_reply(request, reply)
 
@@ -101,7 +101,7 @@
         self, upstream: state.Upstream
     ) -> result.Result[HttpUpstreamConnection, ports.ConnectFailed]:
         """Return an open connection that is ready for an exchange."""
-        connection = owned.OwnedConnection(
+        connection = http_connection.HttpConnection(
             upstream.address, connect_timeout_s=self._connect_timeout_s
         )
         opened = await connection.open()
