--- a/features/processes.feature
+++ b/features/processes.feature
@@ -1,19 +1,19 @@
 @sockets
-Feature: Promises hold over separate processes that are killed and frozen
+Feature: Invariants hold while entry processes are killed and frozen
 
-  # Entry hosts are processes of their own here, the stand-ins are in this
-  # one, so their records can be read. Nothing asserts how long things take.
+  # The entry hosts run in processes of their own. The stand-ins run in the
+  # test process so that their records can be read. No step asserts durations.
 
-  Scenario: one host is killed, one frozen and thawed, one stopped as planned
-    Given 4 entry hosts as processes before 6 services
-    When callers send queries and commands to all of them
+  Scenario: one host is killed, one frozen and resumed, and one shut down gracefully
+    Given 4 entry hosts as processes in front of 6 services
+    When callers send queries and commands to all hosts
     And host 1 is killed
     And host 2 is frozen for 10 seconds
-    And host 3 is told to stop
-    And the callers are done
-    Then every answer tells the truth, by the upstreams' records
-    And no command ran twice, and none that was refused ran
-    And host 3 has exited with code 0 and cut nothing
+    And host 3 receives SIGTERM and exits
+    And the callers have finished
+    Then every outcome agrees with the upstreams' records
+    And no command ran twice and no refused command ran
+    And host 3 has exited with code 0 and cut off no request
     And host 2 answers again
     When the key-value service is down and host 1 is started again
-    Then host 1 answers, with what its peers gave it
+    Then host 1 answers with the state that its peers sent
--- a/features/schedules.feature
+++ b/features/schedules.feature
@@ -1,26 +1,26 @@
-Feature: Every promise holds under random faults
+Feature: Invariants hold under random faults
 
-  # `rudderrock-load fuzz` runs as many more as wanted. A seed that breaks a
-  # promise gets an example of its own here.
+  # `rudderrock-load fuzz` runs further seeds. A seed that violates an
+  # invariant is added here as an example.
 
-  Scenario: 150 random schedules break no promise
+  Scenario: 150 random fault schedules violate no invariant
     When the schedules of seeds 1 to 150 are run
-    Then no promise was broken
-    And answers, refusals, records and unknowns were all seen
+    Then no invariant was violated
+    And answered, refused, recorded and unknown outcomes all occurred
 
-  Scenario: 60 random schedules of edits and faults between hosts
+  Scenario: 60 random schedules of table edits and host faults violate no invariant
     When the table schedules of seeds 1 to 60 are run
-    Then no promise was broken
+    Then no invariant was violated
 
-  Scenario: the checks see a host that goes back to an older table
-    Given hosts now and then put the first table they had in force again
+  Scenario: the checks detect a host that reverts to an older table
+    Given hosts sometimes revert to the first table that they applied
     When the table schedules of seeds 1 to 10 are run
-    Then some promise was broken
+    Then some invariant was violated
 
-  Scenario Outline: the checks see a promise that is broken: <fault>
+  Scenario Outline: the checks detect a violated invariant: <fault>
     Given <fault>
     When the schedules of seeds 1 to 20 are run
-    Then some promise was broken
+    Then some invariant was violated
 
     Examples:
       | fault                                  |
--- a/features/settings.feature
+++ b/features/settings.feature
@@ -1,12 +1,12 @@
-Feature: Settings are checked at start, and documented
+Feature: Settings are validated and documented
 
-  Scenario: the example is right
+  Scenario: the example file is valid
     When the settings file "examples/entry.toml" is read
     Then it is accepted
 
-  Scenario Outline: a wrong setting is named with what is allowed
+  Scenario Outline: the message for an invalid setting names it and what is allowed
     When the settings file "examples/entry.toml" is read with <change>
-    Then it is refused, naming <words>
+    Then it is rejected with a message that contains <words>
 
     Examples:
       | change                            | words                               |
@@ -18,14 +18,14 @@
       | membership.period_s = 0           | membership.period_s, greater, 0     |
       | hosts.id = "x"                    | hosts, did you mean, host           |
 
-  Scenario: all problems are told at once
+  Scenario: all errors are reported at once
     When the settings file "examples/entry.toml" is read with hedging.budget = 2
     And with drain.bound_s = -1 as well
-    Then it is refused, naming hedging.budget, drain.bound_s
+    Then it is rejected with a message that contains hedging.budget, drain.bound_s
 
-  Scenario: the reference of settings is what the code says
+  Scenario: the settings reference matches the code
     Then "docs/settings.md" is up to date
 
-  Scenario: the pages name every program, event and refusal
+  Scenario: the pages name every program, metric, event, exit code and refusal
     Then "docs/operators.md" names every program, metric, event and exit code
-    And "docs/callers.md" names every refusal and every reason of a miss
+    And "docs/callers.md" names every refusal reason and every reason for a missing shard
--- a/features/soak.feature
+++ b/features/soak.feature
@@ -1,56 +1,60 @@
 @sockets
-Feature: The soak of real processes finds no broken promise
+Feature: Soaks of real processes violate no invariant
 
-  # `rudderrock-soak run` plays as many seeds as wanted. A seed that broke a
-  # promise gets an example of its own here, with a line on the cause. Nothing
-  # asserts how long things take.
+  # `rudderrock-soak run` runs further seeds. A seed that violated an invariant
+  # is added here as an example, with a note on the cause. No step asserts
+  # durations.
 
   Scenario Outline: a short seeded soak: seed <seed>
     When the soak plays seed <seed> for 5 seconds with 3 hosts
-    Then it found no broken promise
+    Then it found no violated invariant
 
     Examples:
       | seed |
       | 1    |
       | 7    |
 
-  Scenario Outline: a short seeded soak in which the store comes back from copies: seed <seed>
+  Scenario Outline: a short seeded soak in which the store is restored from snapshots: seed <seed>
     When the soak plays seed <seed> for 12 seconds with 4 hosts and 2 returns
-    Then it found no broken promise
+    Then it found no violated invariant
 
     Examples:
       | seed |
       | 3    |
       | 11   |
 
-  # Both: the two hosts of a zone had started again, one asked the other, which
-  # read the source and asked the first, and neither heard from the other zone
-  # which request crashes upstreams. Copies of it reached some in a calm moment.
-  Scenario Outline: a seed that broke a promise: seed <seed>
+  # Guards against restarted hosts that never learn which request crashes
+  # upstreams. Both hosts of a zone had restarted. One asked the other, which
+  # read the source and asked the first, so neither asked the other zone.
+  # Copies of the request then reached upstreams while no unplanned
+  # fault was active.
+  Scenario Outline: quarantine after both hosts of a zone restart: seed <seed>
     When the soak plays seed <seed> for 12 seconds with 4 hosts
-    Then it found no broken promise
+    Then it found no violated invariant
 
     Examples:
       | seed |
       | 2012 |
       | 2016 |
 
-  # Two copies that came to one host within 10 ms were both tried late.
-  Scenario Outline: a seed whose copies came together: seed <seed>
+  # Guards against late attempts of a lethal request: of two copies that
+  # reached one host within 10 ms, both were sent to upstreams although the
+  # request should have been quarantined.
+  Scenario Outline: simultaneous copies of a lethal request: seed <seed>
     When the soak plays seed <seed> for 12 seconds with 4 hosts
-    Then it found no broken promise
+    Then it found no violated invariant
 
     Examples:
       | seed |
       | 3203 |
 
-  Scenario: more lethal requests leave the rest of a plan as it was
-    Then plans of 50 seeds with 3 lethal requests have all faults of those with 1, and 2 lethal requests more
+  Scenario: more lethal requests leave the other faults of a plan unchanged
+    Then plans of 50 seeds with 3 lethal requests have all faults of plans with 1, plus 2 lethal requests
 
-  Scenario Outline: the soak's checks see a broken promise: <promise>
-    Given the records of a soak in which nothing is wrong
+  Scenario Outline: the soak's checks detect a violated invariant: <promise>
+    Given the records of a soak without violations
     When <what>
-    Then the checks say "<promise>"
+    Then the checks report only "<promise>"
 
     Examples:
       | promise                            | what                                  |
@@ -71,22 +75,23 @@
       | a table change is in force         | a version is in force at a host 4 seconds late |
       | no new work to a leaving upstream  | an upstream runs what came 4 seconds after it drained |
 
-  # Seed 2116: a part of a query, hedged at the host that had it, was asked again
-  # by the other, which had seen no sign of it in time on a busy machine.
-  Scenario: the soak's checks pass a request that two upstreams ran, one of them twice
-    Given the records of a soak in which nothing is wrong
+  # Seed 2116, on a busy machine: the host that ran a part of a query hedged
+  # it. The host that had delegated the part received no interim reply in time
+  # and sent the part again.
+  Scenario: the soak's checks accept a request that two upstreams ran, one of them twice
+    Given the records of a soak without violations
     When a request ran twice at one upstream and once at another
-    Then the checks say nothing
+    Then the checks report nothing
 
-  # Seed 3203: the last canary of a request comes when its service has an
-  # upstream to spare again, 4.2 s after the one before in this log (170.97 s and
-  # 175.20 s). The users allow three retries later than 4 s after the third
-  # crash; the check allowed none.
-  Scenario: the soak's checks pass the canaries that a lethal request may have
-    Given the records of a soak in which nothing is wrong
+  # Guards against a check that is too strict: it accepted no copy more than
+  # 4 s after the third crash, although three retries are allowed by then. A
+  # canary waits until its service has an upstream to spare. With seed 3203 the
+  # last one came 4.2 s after the previous one (at 170.97 s and 175.20 s).
+  Scenario: the soak's checks accept the allowed canaries of a lethal request
+    Given the records of a soak without violations
     When 3 copies of a lethal request come late
-    Then the checks say nothing
+    Then the checks report nothing
 
-  Scenario: the soak's checks pass what is right
-    Given the records of a soak in which nothing is wrong
-    Then the checks say nothing
+  Scenario: the soak's checks accept records without violations
+    Given the records of a soak without violations
+    Then the checks report nothing
--- a/features/steps/commands.py
+++ b/features/steps/commands.py
@@ -47,7 +47,7 @@
     assert len(_list_writes(context)) == 1
 
 
-@then('the command ran once in all')
+@then('the command ran once in total')
 def check_once_in_all(context):
     assert len(_list_writes(context)) == 1
 
@@ -56,12 +56,12 @@
     return context.bench.fleet.kv.count_keys('rudderrock/claims/')
 
 
-@then('claims are kept')
+@then('claims are stored')
 def check_claims_kept(context):
     assert _count_claims(context) > 0
 
 
-@then('no claims are kept')
+@then('no claims are stored')
 def check_claims_gone(context):
     assert _count_claims(context) == 0
 
@@ -89,7 +89,7 @@
     run(context, send_all())
 
 
-@then(r'all of the (\d+) commands ran once')
+@then(r'all (\d+) commands ran once')
 def check_all_ran(context, count):
     recorded = [
         outcome
@@ -100,6 +100,6 @@
     assert len(_list_writes(context)) == int(count)
 
 
-@then(r'the key-value service got at most (\d+) writes a second')
+@then(r'the key-value service received at most (\d+) writes a second')
 def check_write_rate(context, most):
     assert context.write_rate <= int(most), context.write_rate
--- a/features/steps/common.py
+++ b/features/steps/common.py
@@ -20,12 +20,12 @@
     return context.loop.run_until_complete(coroutine)
 
 
-@given(r'(\d+) hosts? before (\d+) services?')
+@given(r'(\d+) hosts? in front of (\d+) services?')
 def start_fleet(context, hosts, services):
     run(context, context.bench.start(int(hosts), int(services)))
 
 
-@given(r'(\d+) hosts? before (\d+) services? with settings')
+@given(r'(\d+) hosts? in front of (\d+) services? with settings')
 def start_fleet_with(context, hosts, services):
     settings: dict[str, dict] = {}
     for row in context.table:
@@ -65,7 +65,8 @@
 
 
 @when(
-    r'"([^"]+)" asks ([\d.]+) times a second for ([\d.]+) seconds, meanwhile'
+    r'"([^"]+)" asks ([\d.]+) times a second for ([\d.]+) seconds, in the '
+    r'background'
 )
 def ask_meanwhile(context, team, rate, seconds):
     async def start():
@@ -115,7 +116,7 @@
     assert outcome.reason is protocol.RefusalReason(reason), outcome
 
 
-@then('no upstream has run anything')
+@then('no upstream has run a request')
 def check_nothing_ran(context):
     if context.bench.fleet is not None:
         assert context.bench.fleet.list_runs() == []
@@ -124,7 +125,7 @@
     assert not any(runs), runs
 
 
-@then(r"every upstream's record agrees with what was reported")
+@then("the upstreams' records match the reported outcomes")
 def check_records(context):
     """Each shard that was counted ran, at the version reported."""
     ran = {
@@ -155,7 +156,7 @@
     assert extra <= float(percent) / 100, extra
 
 
-@then(r'it took about (\d+) ms')
+@then(r'the query took about (\d+) ms')
 def check_duration(context, millis):
     seen = context.bench.seen[-1]
     passed = seen.ended - seen.began
--- a/features/steps/hedges.py
+++ b/features/steps/hedges.py
@@ -49,16 +49,16 @@
 
 
 @given(
-    r'(\d+) gateways before (\d+) shards with a near replica that pauses and '
-    r'a far one that takes ([\d.]+) seconds for a connection'
+    r'(\d+) gateways in front of (\d+) shards with a local replica that '
+    r'pauses and a remote one that takes ([\d.]+) seconds to connect'
 )
 def start_one_far(context, gateways, shards, seconds):
     start(context, int(gateways), int(shards), 1, float(seconds))
 
 
 @given(
-    r'(\d+) gateways before (\d+) shards with a near replica that pauses and '
-    r'(\d+) far ones that take ([\d.]+) seconds for a connection'
+    r'(\d+) gateways in front of (\d+) shards with a local replica that '
+    r'pauses and (\d+) remote ones that take ([\d.]+) seconds to connect'
 )
 def start_more_far(context, gateways, shards, far, seconds):
     start(context, int(gateways), int(shards), int(far), float(seconds))
@@ -72,7 +72,7 @@
     ]
 
 
-@then(r'every answer is whole or lacks the shards that it says')
+@then('every answer is complete or reports its missing shards')
 def check_coverage(context):
     for _, _, reply in context.answers:
         assert reply.status == 200, reply
@@ -81,7 +81,7 @@
         assert len(set(stamps)) + missing == len(context.shards), reply
 
 
-@then(r'all answers together lack at most (\d+) shards')
+@then(r'at most (\d+) shards are missing from all answers together')
 def check_missing(context, most):
     missing = list_missing(context)
     assert sum(missing) <= int(most), (sum(missing), missing)
@@ -94,8 +94,8 @@
 
 
 @then(
-    r'each gateway has a connection to (\d+) far replica of each shard, or '
-    r'to 2 of at most (\d+) shards'
+    r'each gateway is connected to (\d+) remote replica of each shard, or to '
+    r'2 for at most (\d+) shards'
 )
 def check_far(context, count, most):
     upstreams = gateway_steps.get(context).upstreams
--- a/features/steps/load.py
+++ b/features/steps/load.py
@@ -17,7 +17,7 @@
 
 
 @given(
-    r'(\d+) shards of (\d+) replicas that pause for ([\d.]+) seconds each '
+    r'(\d+) shards of (\d+) replicas that pause for ([\d.]+) seconds every '
     r'([\d.]+) seconds'
 )
 def add_pausing(context, count, replicas, length_s, every_s):
@@ -41,7 +41,10 @@
     )
 
 
-@then(r'([\d.]+) of the answers come by the goal of ([\d.]+) seconds')
+@then(
+    r'at least ([\d.]+) of the answers meet the latency goal of ([\d.]+) '
+    r'seconds'
+)
 def check_in_time(context, part, goal_s):
     in_time = [
         each
@@ -54,7 +57,7 @@
     )
 
 
-@then(r'they lack ([\d.]+) of the shards or less')
+@then(r'at most ([\d.]+) of the shards are missing from the answers')
 def check_lacking(context, part):
     missing = sum(
         int(each.headers['rudderrock-missing-parts']) for each in context.load
@@ -63,7 +66,9 @@
     assert missing <= float(part) * shards, (missing, shards)
 
 
-@then(r'no shard got more than ([\d.]+) extra requests a query, and (\d+)')
+@then(
+    r'no shard received more than ([\d.]+) extra requests per query plus (\d+)'
+)
 def check_extra_load(context, ratio, slack):
     bench = gateway_steps.get(context)
     queries = len(context.load)
--- a/features/steps/platform.py
+++ b/features/steps/platform.py
@@ -76,7 +76,7 @@
     context.outcomes = run(context, edit_both())
 
 
-@then("one edit was accepted and the other saw the winner's row")
+@then('one edit was accepted and the other was rejected with the accepted row')
 def check_race(context):
     accepted = [
         each
@@ -98,7 +98,7 @@
     context.bench.fleet.kv.faults.lose_replies = int(count)
 
 
-@then('the edit stands once in the history')
+@then('the history contains the edit once')
 def check_once(context):
     table = run(context, context.bench.fleet.editor.read()).unwrap()
     same = [
@@ -114,7 +114,10 @@
         context.bench.fleet.hosts[name].kv.cut = True
 
 
-@when('the key-value service goes down as soon as one host has it')
+@when(
+    'the key-value service goes down as soon as the edit is in force on one '
+    'host'
+)
 def down_after_first(context):
     async def wait():
         hosts = context.bench.fleet.hosts.values()
@@ -133,7 +136,7 @@
     run(context, context.bench.fleet.kv.set_down(True))
 
 
-@when('the key-value service comes back')
+@when('the key-value service is available again')
 def kv_up(context):
     run(context, context.bench.fleet.kv.set_down(False))
 
@@ -147,20 +150,23 @@
     run(context, start())
 
 
-@when('the table of the key-value service is put aside')
+@when('the table in the key-value service is backed up')
 def put_aside(context):
     entry = run(context, context.bench.fleet.kv.get(coordination.TABLE_KEY))
     context.aside = entry.unwrap().value
 
 
-@when('the table that was put aside is restored')
+@when('the table is restored from the backup')
 def restore(context):
     table = protocol.decode(state.Table, context.aside).unwrap()
     kv = context.bench.fleet.kv
     run(context, kv.put_unless_down(coordination.TABLE_KEY, table))
 
 
-@when(r'the key-value service is copied and (\d+) other keys are written')
+@when(
+    r'a snapshot of the key-value service is taken and (\d+) other keys are '
+    r'written'
+)
 def copy_kv(context, count):
     kv = context.bench.fleet.kv
     context.kv_copy = kv.make_copy()
@@ -168,7 +174,10 @@
         run(context, kv.put_unless_down(f'other/{number}', state.Table()))
 
 
-@when(r'the key-value service comes back from the copy after (\d+) seconds?')
+@when(
+    r'the key-value service is restored from the snapshot after an outage of '
+    r'(\d+) seconds?'
+)
 def come_back(context, seconds):
     kv = context.bench.fleet.kv
     run(context, kv.set_down(True))
@@ -176,13 +185,13 @@
     run(context, kv.come_back(context.kv_copy))
 
 
-@then(r'the service has "([^"]+)" of "([^"]+)" at (\d+)')
+@then(r'the key-value service stores "([^"]+)" of "([^"]+)" as (\d+)')
 def check_at_service(context, field, team, value):
     table = run(context, context.bench.fleet.editor.read()).unwrap()
     assert getattr(table.rows[team], field) == float(value), table
 
 
-@then(r'one host has said "([^"]+)"')
+@then(r'exactly one host has recorded "([^"]+)"')
 def check_said_once(context, kind):
     said = [
         each
@@ -194,8 +203,8 @@
 
 
 @then(
-    r'(\d+) runs of edits and copies of the table end with all edits that '
-    r'were accepted'
+    r'(\d+) random sequences of edits and restores of the table keep all '
+    r'accepted edits'
 )
 def check_reunited(context, runs):
     for seed in range(int(runs)):
@@ -250,7 +259,10 @@
     return state.apply_change(table, change, 1.0).unwrap()
 
 
-@when(r'somebody writes a table with "([^"]+)" of "([^"]+)" at (\d+)')
+@when(
+    r'a table with "([^"]+)" of "([^"]+)" at (\d+) is written directly to the '
+    r'key-value service'
+)
 def write_bad_table(context, field, team, value):
     fleet = context.bench.fleet
     table = run(context, fleet.editor.read()).unwrap()
@@ -273,13 +285,13 @@
     return [event.kind.value for event in events]
 
 
-@then(r'every host has said "([^"]+)"')
+@then(r'every host has recorded "([^"]+)"')
 def check_all_said(context, kind):
     for running in _list_running(context):
         assert kind in _list_kinds(running), _list_kinds(running)
 
 
-@then(r'host "([^"]+)" has said "([^"]+)"')
+@then(r'host "([^"]+)" has recorded "([^"]+)"')
 def check_said(context, name, kind):
     kinds = _list_kinds(context.bench.fleet.hosts[name])
     assert kind in kinds, kinds
@@ -296,7 +308,7 @@
     context.bench.fleet.hosts[name].kv.cut = False
 
 
-@when(r'host "([^"]+)" is joined again')
+@when(r'host "([^"]+)" is reconnected')
 def join_again(context, name):
     context.bench.fleet.cut_off(name, False)
 
@@ -306,19 +318,19 @@
     context.bench.fleet.freeze(name, True)
 
 
-@when(r'host "([^"]+)" goes on')
+@when(r'host "([^"]+)" is resumed')
 def go_on(context, name):
     context.bench.fleet.freeze(name, False)
 
 
-@then(r'host "([^"]+)" does not believe in its lease')
+@then(r'host "([^"]+)" does not hold its lease')
 def check_no_lease(context, name):
     assert not context.bench.fleet.hosts[name].host.lease.is_held
 
 
 @when(
-    r'"([^"]+)" asks (\d+) times a second for (\d+) seconds, '
-    r'as a balancer does'
+    r'"([^"]+)" asks (\d+) times a second for (\d+) seconds through a load '
+    r'balancer, in the background'
 )
 def ask_balanced(context, team, rate, seconds):
     """Send to the hosts that said they were ready a second ago."""
@@ -349,7 +361,7 @@
     ]
 
 
-@when(r'hosts "([^"]+)" are stopped as planned')
+@when(r'hosts "([^"]+)" are shut down gracefully')
 def stop_hosts(context, names):
     fleet = context.bench.fleet
 
@@ -361,7 +373,7 @@
     run(context, stop_all())
 
 
-@then(r'hosts "([^"]+)" have ended')
+@then(r'hosts "([^"]+)" have stopped')
 def check_ended(context, names):
     for name in _names(names):
         running = context.bench.fleet.hosts[name]
@@ -375,12 +387,12 @@
     run(context, context.bench.fleet.crash_host(name))
 
 
-@when(r'''the platform's list drops "([^"]+)"''')
+@when(r'host "([^"]+)" is removed from the host list')
 def drop_from_list(context, name):
     context.bench.fleet.forget_host(name)
 
 
-@then(r'the others hold "([^"]+)" to have failed')
+@then(r'the other hosts report "([^"]+)" as failed')
 def check_failed(context, name):
     for running in _list_running(context):
         states = {
@@ -390,7 +402,7 @@
         assert states[name] is protocol.MemberState.FAILED, states
 
 
-@then(r'the others share limits with (\d+) hosts')
+@then(r'the other hosts share limits among (\d+) hosts')
 def check_sharing(context, count):
     for running in _list_running(context):
         sharing = running.host.membership.list_sharing()
@@ -402,7 +414,7 @@
     context.bench.fleet.peers.faults.lose = int(percent) / 100
 
 
-@then('no host is held to have failed')
+@then('no host has been reported as failed')
 def check_none_failed(context):
     events = context.bench.list_events(state.EventKind.PEER_STATE)
     failed = [each for each in events if each.detail.endswith('failed')]
@@ -448,7 +460,10 @@
         assert model.refused_connections == 0, model.refused_connections
 
 
-@when(r'host "([^"]+)" is cancelled, and again while it closes')
+@when(
+    r'the task of host "([^"]+)" is cancelled, and cancelled again while it '
+    r'closes'
+)
 def cancel_twice(context, name):
     async def cancel():
         task = context.bench.fleet.hosts[name].task
@@ -460,7 +475,7 @@
     run(context, cancel())
 
 
-@then('no upstream has a connection open')
+@then('no upstream has an open connection')
 def check_none_open(context):
     models = context.bench.fleet.models.values()
     assert all(model.peak_connections for model in models)
--- a/features/steps/processes.py
+++ b/features/steps/processes.py
@@ -222,7 +222,7 @@
     return None
 
 
-@given(r'(\d+) entry hosts as processes before 6 services')
+@given(r'(\d+) entry hosts as processes in front of 6 services')
 def start_processes(context, hosts):
     folder = context.stack.enter_context(contextlib.ExitStack())
     path = folder.enter_context(tempfile.TemporaryDirectory())
@@ -230,7 +230,7 @@
     run(context, context.processes.open(context.stack, int(hosts)))
 
 
-@when('callers send queries and commands to all of them')
+@when('callers send queries and commands to all hosts')
 def start_load(context):
     async def start():
         load = context.processes.send_all(14.0 + _LOAD_TAIL_S)
@@ -261,7 +261,7 @@
     run(context, freeze())
 
 
-@when(r'host (\d+) is told to stop')
+@when(r'host (\d+) receives SIGTERM and exits')
 def stop_host(context, number):
     async def stop():
         processes = context.processes
@@ -273,12 +273,12 @@
     run(context, stop())
 
 
-@when('the callers are done')
+@when('the callers have finished')
 def end_load(context):
     run(context, context.processes.load)
 
 
-@then("every answer tells the truth, by the upstreams' records")
+@then("every outcome agrees with the upstreams' records")
 def check_truth(context):
     processes = context.processes
     runs = [
@@ -293,7 +293,7 @@
     context.runs = runs
 
 
-@then('no command ran twice, and none that was refused ran')
+@then('no command ran twice and no refused command ran')
 def check_commands(context):
     """What `list_broken` has checked; here, that there was any to check."""
     recorded = [
@@ -305,7 +305,7 @@
     assert any(call.outcome.repeat for call in recorded)
 
 
-@then(r'host (\d+) has exited with code 0 and cut nothing')
+@then(r'host (\d+) has exited with code 0 and cut off no request')
 def check_exit(context, number):
     processes = context.processes
     assert processes.running[int(number)].returncode == 0
@@ -339,6 +339,6 @@
     run(context, restart())
 
 
-@then(r'host (\d+) answers, with what its peers gave it')
+@then(r'host (\d+) answers with the state that its peers sent')
 def check_restarted(context, number):
     check_answers(context, number)
--- a/features/steps/schedules.py
+++ b/features/steps/schedules.py
@@ -49,7 +49,7 @@
     context.stack.enter_context(patch)
 
 
-@given('hosts now and then put the first table they had in force again')
+@given('hosts sometimes revert to the first table that they applied')
 def go_back(context):
     apply_table = coordination.Configuration.apply_table
     seen = collections.defaultdict(list)
@@ -78,19 +78,19 @@
     context.schedules = [experiments.run_schedule(seed) for seed in seeds]
 
 
-@then('no promise was broken')
+@then('no invariant was violated')
 def check_none_broken(context):
     broken = {each.seed: each.broken for each in context.schedules}
     broken = {seed: found for seed, found in broken.items() if found}
     assert not broken, broken
 
 
-@then('some promise was broken')
+@then('some invariant was violated')
 def check_some_broken(context):
     assert any(each.broken for each in context.schedules)
 
 
-@then('answers, refusals, records and unknowns were all seen')
+@then('answered, refused, recorded and unknown outcomes all occurred')
 def check_all_kinds(context):
     outcomes = collections.Counter()
     for each in context.schedules:
--- a/features/steps/settings.py
+++ b/features/steps/settings.py
@@ -54,7 +54,7 @@
     assert context.settings.is_ok(), context.settings
 
 
-@then('it is refused, naming (.+)')
+@then(r'it is rejected with a message that contains (.+)')
 def check_refused_naming(context, words):
     match context.settings:
         case result.Err(message):
@@ -87,7 +87,10 @@
     _check_named(path, words)
 
 
-@then(r'"([^"]+)" names every refusal and every reason of a miss')
+@then(
+    r'"([^"]+)" names every refusal reason and every reason for a missing '
+    r'shard'
+)
 def check_callers_page(context, path):
     words = [reason.value for reason in protocol.RefusalReason]
     words += [reason.value for reason in protocol.MissReason]
--- a/features/steps/soak.py
+++ b/features/steps/soak.py
@@ -36,7 +36,7 @@
     )
 
 
-@then(r'it found no broken promise')
+@then('it found no violated invariant')
 def check_soak(context):
     assert not context.report.broken, context.report.broken
     assert context.report.statuses[200] > 50, context.report
@@ -66,7 +66,7 @@
     return dataclasses.replace(sent, **fields)
 
 
-@given(r'the records of a soak in which nothing is wrong')
+@given('the records of a soak without violations')
 def make_all(context):
     shards = {f's-{number}': f'shard-{number}' for number in range(4)}
     services = {
@@ -242,20 +242,20 @@
     context.records.sent[0].status = 0
 
 
-@then(r'the checks say "([^"]+)"')
+@then(r'the checks report only "([^"]+)"')
 def check_found(context, promise):
     found = {each.promise for each in checks.check_records(context.records)}
     assert found == {promise}, found
 
 
-@then(r'the checks say nothing')
+@then('the checks report nothing')
 def check_clean(context):
     assert not checks.check_records(context.records)
 
 
 @then(
     r'plans of (\d+) seeds with (\d+) lethal requests have all faults of '
-    r'those with 1, and (\d+) lethal requests more'
+    r'plans with 1, plus (\d+) lethal requests'
 )
 def check_plans(context, seeds, lethal, more):
     for seed in range(int(seeds)):
--- a/features/steps/sockets.py
+++ b/features/steps/sockets.py
@@ -126,7 +126,7 @@
     start_upstream(context, cross=False)
 
 
-@given('an upstream that crosses answers')
+@given('an upstream that swaps answers')
 def start_crossing(context):
     start_upstream(context, cross=True)
 
@@ -215,18 +215,18 @@
     ]
 
 
-@then('some request got the answer of another')
+@then("some request received another request's answer")
 def check_crossed(context):
     assert _list_crossed(context), context.replies
 
 
-@then('no request got the answer of another')
+@then("no request received another request's answer")
 def check_apart(context):
     assert len(context.replies) == 20
     assert not _list_crossed(context), _list_crossed(context)
 
 
-@given('a host over sockets before 3 services')
+@given('a host over sockets in front of 3 services')
 def start_host(context):
     run(context, _start_host(context))
 
@@ -323,7 +323,7 @@
     send_http(context, 'POST', protocol.QUERY_PATH, context.token, body)
 
 
-@when("anyone reads the metrics without the operators' secret")
+@when('the metrics are read without the operator secret')
 def read_metrics(context):
     send_http(context, 'GET', frontend.METRICS_PATH, None, b'', control=True)
 
@@ -356,13 +356,13 @@
     return json.loads(reply.partition(b'\r\n\r\n')[2])
 
 
-@when('a caller sends half a head and waits')
+@when('a caller sends part of a request head and waits')
 def send_half_head(context):
     data = b'POST /v1/query HTTP/1.1\r\nhost: x\r\nx-slow: '
     context.reply = run(context, _talk(context.served.callers, data))
 
 
-@when('a caller sends a head without end')
+@when('a caller sends a request head that is too long')
 def send_endless_head(context):
     data = b'POST /v1/query HTTP/1.1\r\n' + b'x-long: ' + b'y' * 8000
     context.reply = run(context, _talk(context.served.callers, data))
@@ -373,7 +373,7 @@
     assert _read_status(context.reply) == int(status), context.reply
 
 
-@then(r'the reply has status (\d+) and says that nothing ran')
+@then(r'the reply has status (\d+) and reports that nothing ran')
 def check_problem(context, status):
     assert _read_status(context.reply) == int(status), context.reply
     problem = _read_body(context.reply)
@@ -394,7 +394,7 @@
     assert sum(model.received for model in context.models.values()) == 3
 
 
-@then('with the secret they read "(.+)"')
+@then(r'the metrics read with the operator secret contain "(.+)"')
 def check_metrics(context, line):
     secret = _SECRETS.operator
     send_http(context, 'GET', frontend.METRICS_PATH, secret, b'', control=True)
--- a/features/steps/timeline.py
+++ b/features/steps/timeline.py
@@ -25,7 +25,7 @@
     context.rings = {**known, name: (clock, hybrid, ring)}
 
 
-@given(r'host "([^"]+)" whose clock is right')
+@given(r'host "([^"]+)" whose clock is accurate')
 def add_right(context, name):
     _add_host(context, name, 0.0)
 
@@ -36,7 +36,8 @@
 
 
 @when(
-    r'"([^"]+)" records a cause and tells "([^"]+)", which records an effect'
+    r'"([^"]+)" records a cause and sends its stamp to "([^"]+)", which '
+    r'records an effect'
 )
 def tell(context, one, other):
     _, _, ring = context.rings[one]
@@ -64,7 +65,7 @@
     assert ahead < int(seconds), ahead
 
 
-@when(r'"([^"]+)" records (\d+) events at one instant')
+@when(r'"([^"]+)" records (\d+) events at the same instant')
 def record_many(context, name, count):
     _, _, ring = context.rings[name]
     context.events = [
@@ -72,7 +73,7 @@
     ]
 
 
-@then('their stamps are all different and in order')
+@then('their stamps are unique and in order')
 def check_stamps(context):
     stamps = [event.stamp for event in context.events]
     assert stamps == sorted(set(stamps)), stamps[:5]
@@ -91,7 +92,7 @@
         return self._read(clock) + asleep
 
 
-@given(r'a loop as the programs have it, and a timer in ([\d.]+) seconds')
+@given(r"the programs' event loop and a timer due in ([\d.]+) seconds")
 def make_program_loop(context, seconds):
     context.machine = SuspendedMachine()
     patch = mock.patch.object(time, 'clock_gettime', context.machine.read)
@@ -116,13 +117,13 @@
     assert context.rung == [1]
 
 
-@then(r'its clock says that ([\d.]+) seconds have passed')
+@then(r"the loop's clock has advanced by ([\d.]+) seconds")
 def check_slept(context, seconds):
     passed = context.slept_clock.now() - context.slept_from
     assert float(seconds) <= passed < float(seconds) + 1.0, passed
 
 
-@then(r'its wall time is right')
+@then("the loop's wall time is correct")
 def check_wall(context):
     # The time of day of a machine goes on while it is suspended.
     right = time.time() + context.machine.slept
--- a/features/timeline.feature
+++ b/features/timeline.feature
@@ -1,9 +1,9 @@
-Feature: The time line shows no effect before its cause
+Feature: The time line shows causes before their effects
 
   Scenario Outline: hosts whose clocks differ by <skew> seconds
-    Given host "a" whose clock is right
+    Given host "a" whose clock is accurate
     And host "b" whose clock is <skew> seconds off
-    When "a" records a cause and tells "b", which records an effect
+    When "a" records a cause and sends its stamp to "b", which records an effect
     Then the effect comes after the cause in the merged order
     And the stamp of "b" is less than 61 seconds ahead of its clock
 
@@ -14,22 +14,23 @@
       | -5   |
       | -59  |
 
-  Scenario: a clock that is far ahead does not drag the others along
+  Scenario: a clock that is far ahead does not advance the stamps of other hosts
     Given host "a" whose clock is 3600 seconds off
-    And host "b" whose clock is right
-    When "a" records a cause and tells "b", which records an effect
+    And host "b" whose clock is accurate
+    When "a" records a cause and sends its stamp to "b", which records an effect
     Then the stamp of "b" is less than 1 second ahead of its clock
 
-  Scenario: many events of one instant keep their order
-    Given host "a" whose clock is right
-    When "a" records 1000 events at one instant
-    Then their stamps are all different and in order
+  Scenario: events of the same instant keep their order
+    Given host "a" whose clock is accurate
+    When "a" records 1000 events at the same instant
+    Then their stamps are unique and in order
 
-  # On the monotonic clock the timer had not run, and ages, leases and wall
-  # time were 7.5 s behind from then on.
-  Scenario: a host that was suspended knows how long
-    Given a loop as the programs have it, and a timer in 5 seconds
+  # Guards against a loop clock that stops during a suspension: on the
+  # monotonic clock the timer did not run, and ages, leases and wall time
+  # stayed 7.5 s behind.
+  Scenario: the clock of a host includes the time for which it was suspended
+    Given the programs' event loop and a timer due in 5 seconds
     When the machine is suspended for 7.5 seconds
     Then the timer has run
-    And its clock says that 7.5 seconds have passed
-    And its wall time is right
+    And the loop's clock has advanced by 7.5 seconds
+    And the loop's wall time is correct
