--- a/features/__init__.py
+++ b/features/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted scenarios, run by `python -m features.run`."""
+"""Scenarios, run by `python -m features.run`."""
--- a/features/bench.py
+++ b/features/bench.py
@@ -1,4 +1,4 @@
-"""What the steps of a scenario share: the fleet and what was seen."""
+"""Fixture of a scenario: a fleet of hosts and the outcomes of its queries."""
 
 import asyncio
 import contextlib
@@ -16,24 +16,24 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Seen:
-    """One request and its outcome; times in seconds of the loop."""
+class CompletedQuery:
+    """A query and its outcome. Times are in seconds of the loop's clock."""
 
     team: str
     outcome: protocol.Outcome
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
 
 
 class Bench:
-    """A fleet under test and the outcomes that its callers got."""
+    """A fleet under test and the outcomes of the queries sent to it."""
 
     def __init__(self, stack: contextlib.AsyncExitStack):
         self.fleet: standins.MemoryFleet | None = None
-        self.seen: list[Seen] = []
+        self.completed: list[CompletedQuery] = []
         self.notes: dict[str, object] = {}
         self._stack = stack
-        self._load: list[asyncio.Task] = []
+        self._load_tasks: list[asyncio.Task] = []
 
     async def start(
         self,
@@ -41,11 +41,11 @@
         services: int,
         seed: int = 1,
         settings: dict | None = None,
-        **shape,
+        **group_fields,
     ) -> None:
-        """Start hosts in front of one collection, `members`."""
+        """Start hosts in front of the collection `members`."""
         group = standins.Group(
-            collection='members', services=services, **shape
+            collection='members', services=services, **group_fields
         )
         deployment = standins.Deployment(
             name='bench', hosts=hosts, network=NETWORK, groups=[group]
@@ -55,22 +55,24 @@
         )
 
     async def set_row(self, team: str, **fields) -> None:
-        """Set a team's row and wait until it is in force everywhere."""
+        """Set a team's row and wait until it is in force on all hosts."""
         edit = await self.fleet.set_row(team, **fields)
         await self.fleet.wait_until_in_force(edit.revision)
 
     async def ask(self, team: str, host: str = 'h1') -> protocol.Outcome:
-        """Send one query and keep what was seen of it."""
-        began = self.fleet.clock.now()
+        """Send a query, record its outcome and return the outcome."""
+        started_at = self.fleet.clock.now()
         outcome = await self.fleet.query(host, team, 'members')
-        ended = self.fleet.clock.now()
-        self.seen.append(Seen(team, outcome, began, ended))
+        ended_at = self.fleet.clock.now()
+        self.completed.append(
+            CompletedQuery(team, outcome, started_at, ended_at)
+        )
         return outcome
 
     async def ask_at_rate(
         self, team: str, rate: float, seconds: float, hosts: list[str]
     ) -> None:
-        """Send queries at a steady rate, whatever comes back, to the end."""
+        """Send queries at a fixed rate and wait until all have completed."""
         tasks = []
         for number in range(round(rate * seconds)):
             host = hosts[number % len(hosts)]
@@ -81,46 +83,48 @@
     def start_load(
         self, team: str, rate: float, seconds: float, hosts: list[str]
     ) -> None:
-        """Send queries beside what the scenario does next."""
+        """Start sending queries in the background."""
         load = self.ask_at_rate(team, rate, seconds, hosts)
-        self.keep_load(asyncio.create_task(load))
+        self.add_load(asyncio.create_task(load))
 
-    def keep_load(self, load: asyncio.Task) -> None:
-        """Keep load under way for `end_load` to wait for."""
-        self._load.append(load)
+    def add_load(self, load: asyncio.Task) -> None:
+        """Register a load task that `end_load` waits for."""
+        self._load_tasks.append(load)
 
     async def end_load(self) -> None:
-        """Wait until all load that was started has been answered."""
-        await asyncio.gather(*self._load)
-        self._load.clear()
+        """Wait until all registered load has completed."""
+        await asyncio.gather(*self._load_tasks)
+        self._load_tasks.clear()
 
-    def list_answers(self, team: str | None = None) -> list[Seen]:
-        """Return what was answered, of one team or of all."""
+    def list_answers(self, team: str | None = None) -> list[CompletedQuery]:
+        """Return the answered queries of one team, or of all teams."""
         return [
-            seen
-            for seen in self.seen
-            if isinstance(seen.outcome, protocol.Answered)
-            and team in (None, seen.team)
+            each
+            for each in self.completed
+            if isinstance(each.outcome, protocol.Answered)
+            and team in (None, each.team)
         ]
 
     def get_percentile(self, percentile: float, team: str) -> float:
-        """Return a percentile of a team's answered latency, in seconds."""
+        """Return a latency percentile of a team's answers, in seconds."""
         times = sorted(
-            seen.ended - seen.began for seen in self.list_answers(team)
+            each.ended_at - each.started_at for each in self.list_answers(team)
         )
         return times[math.ceil(percentile / 100 * len(times)) - 1]
 
     def get_extra_load(self) -> float:
-        """Return extra upstream requests as a part of those asked for."""
-        counters = [
+        """Return the ratio of hedges and retries to shard requests."""
+        host_counters = [
             running.host.runner.counters
             for running in self.fleet.hosts.values()
         ]
-        shards = sum(each.shards for each in counters)
-        return sum(each.hedges + each.retries for each in counters) / shards
+        shards = sum(each.shards for each in host_counters)
+        return (
+            sum(each.hedges + each.retries for each in host_counters) / shards
+        )
 
     def list_events(self, kind: state.EventKind) -> list[state.Event]:
-        """Return the events of a kind of all hosts."""
+        """Return the events of one kind that the hosts have recorded."""
         return [
             event
             for running in self.fleet.hosts.values()
--- a/features/environment.py
+++ b/features/environment.py
@@ -1,6 +1,7 @@
-"""Each scenario gets its own loop and its own exit stack.
+"""Set up an event loop and an exit stack for each scenario.
 
-The loop's time is virtual, but for scenarios over real sockets.
+The loop's time is virtual, except in scenarios tagged `sockets`, which use
+real sockets.
 """
 
 import asyncio
@@ -14,50 +15,50 @@
 
 from features import bench
 
-# How long a scenario over real sockets may take to close what it opened, in
-# seconds of real time: one that hangs is a failure, not a run without an end.
-CLOSE_S = 60.0
+# Limit on closing a scenario over real sockets, in real time, so that a
+# scenario that hangs fails instead of blocking the run.
+CLOSE_TIMEOUT_S = 60.0
 
 
 def before_all(context):
-    """Leave out what uvicorn says of watches that a scenario's end cuts."""
+    """Suppress uvicorn's errors on watches that the end of a scenario cuts."""
     logging.getLogger('uvicorn').setLevel(logging.CRITICAL)
 
 
 def before_scenario(context, scenario):
-    """Make the loop and what the steps share."""
+    """Create the event loop and the objects that the steps share."""
     warnings.simplefilter('ignore', async_solipsism.ResolutionWarning)
     if 'sockets' in scenario.effective_tags:
         context.loop = asyncio.new_event_loop()
     else:
         context.loop = async_solipsism.EventLoop()
-    context.crashes = []
+    context.unhandled_errors = []
     context.loop.set_exception_handler(
-        lambda _, found: context.crashes.append(found)
+        lambda _, error: context.unhandled_errors.append(error)
     )
     context.stack = contextlib.AsyncExitStack()
     context.bench = bench.Bench(context.stack)
 
 
 def after_scenario(context, scenario):
-    """Close what the scenario opened, whether it passed or not."""
-    is_real = 'sockets' in scenario.effective_tags
-    limit_s = CLOSE_S if is_real else None
-    context.loop.run_until_complete(_close(context.stack, limit_s))
+    """Close all resources of the scenario and check for unhandled errors."""
+    uses_sockets = 'sockets' in scenario.effective_tags
+    timeout_s = CLOSE_TIMEOUT_S if uses_sockets else None
+    context.loop.run_until_complete(_close(context.stack, timeout_s))
     context.loop.close()
     gc.collect()
-    # A task that died of an exception that nobody expected is a failure,
-    # whatever the steps saw.
-    assert not context.crashes, context.crashes
+    # An unhandled exception in a task fails the scenario even if all of its
+    # steps passed.
+    assert not context.unhandled_errors, context.unhandled_errors
 
 
-async def _close(stack, limit_s):
-    """Close what a scenario opened; if that hangs, say what is waited for."""
+async def _close(stack, timeout_s):
+    """Close the exit stack; after a timeout, print the remaining tasks."""
     try:
-        async with asyncio.timeout(limit_s):
+        async with asyncio.timeout(timeout_s):
             await stack.aclose()
     except TimeoutError:
         for task in asyncio.all_tasks():
-            print(f'still there, cancelled {task.cancelling()} times:')
+            print(f'still running, cancelled {task.cancelling()} times:')
             task.print_stack(file=sys.stdout)
         raise
--- a/features/run.py
+++ b/features/run.py
@@ -1,8 +1,8 @@
-"""Run all scenarios and close with one plain line of counts.
+"""Run scenarios and print the numbers of passed and failed ones.
 
-The counts are of scenarios. The exit code is 1 if any failed, or if none
-was run. Scenarios that KNOWN-RED.txt lists are printed and passed over: one
-line each, `name | cause | issue`.
+The exit code is 1 if a scenario failed or none was run. Failures of scenarios
+listed in KNOWN-RED.txt, one `name | cause | issue` per line, are printed but
+not counted.
 """
 
 import pathlib
@@ -16,27 +16,27 @@
 
 
 def read_known_red(text: str) -> dict[str, str]:
-    """Return the cause and issue of each scenario that is known to fail."""
+    """Return the cause and issue of each known failure by scenario name."""
     known = {}
     for line in text.splitlines():
-        name, _, why = line.partition('|')
-        if why.strip():
-            known[name.strip()] = why.strip()
+        name, _, reason = line.partition('|')
+        if reason.strip():
+            known[name.strip()] = reason.strip()
     return known
 
 
 def main() -> int:
-    """Run what the command line names, or everything."""
+    """Run the features on the command line, or all; return the exit code."""
     config = configuration.Configuration(sys.argv[1:] or ['features'])
     config.format = ['plain']
-    run = runner.Runner(config)
-    run.run()
+    test_runner = runner.Runner(config)
+    test_runner.run()
     known = {}
     if KNOWN_RED.exists():
         known = read_known_red(KNOWN_RED.read_text(encoding='utf-8'))
     passed = 0
     failed = 0
-    for feature in run.features:
+    for feature in test_runner.features:
         for scenario in feature.walk_scenarios():
             if scenario.status is model_type.Status.passed:
                 passed += 1
--- a/features/soak.feature
+++ b/features/soak.feature
@@ -26,8 +26,8 @@
   # Guards against restarted hosts that never learn which request crashes
   # upstreams. Both hosts of a zone had restarted. One asked the other, which
   # read the source and asked the first, so neither asked the other zone.
-  # Copies of the request then reached upstreams while no unplanned
-  # fault was active.
+  # Copies of the request then reached upstreams while no unplanned fault was
+  # active.
   Scenario Outline: quarantine after both hosts of a zone restart: seed <seed>
     When the soak plays seed <seed> for 12 seconds with 4 hosts
     Then it found no violated invariant
--- a/features/steps/commands.py
+++ b/features/steps/commands.py
@@ -1,4 +1,4 @@
-"""Steps that send commands, and read what ran and what is claimed."""
+"""Steps that send commands and check their runs and claims."""
 
 import asyncio
 
@@ -48,7 +48,7 @@
 
 
 @then('the command ran once in total')
-def check_once_in_all(context):
+def check_once_in_total(context):
     assert len(_list_writes(context)) == 1
 
 
@@ -62,7 +62,7 @@
 
 
 @then('no claims are stored')
-def check_claims_gone(context):
+def check_no_claims(context):
     assert _count_claims(context) == 0
 
 
@@ -74,7 +74,7 @@
     hosts = list(fleet.hosts)
 
     async def send_all():
-        began = fleet.clock.now()
+        started_at = fleet.clock.now()
         writes = fleet.kv.writes
         tasks = []
         for number in range(int(rate) * int(seconds)):
@@ -83,8 +83,8 @@
             tasks.append(asyncio.create_task(command))
             await asyncio.sleep(1.0 / int(rate))
         context.outcomes = await asyncio.gather(*tasks)
-        passed = fleet.clock.now() - began
-        context.write_rate = (fleet.kv.writes - writes) / passed
+        elapsed_s = fleet.clock.now() - started_at
+        context.write_rate = (fleet.kv.writes - writes) / elapsed_s
 
     run(context, send_all())
 
@@ -101,5 +101,5 @@
 
 
 @then(r'the key-value service received at most (\d+) writes a second')
-def check_write_rate(context, most):
-    assert context.write_rate <= int(most), context.write_rate
+def check_write_rate(context, limit):
+    assert context.write_rate <= int(limit), context.write_rate
--- a/features/steps/common.py
+++ b/features/steps/common.py
@@ -1,4 +1,4 @@
-"""Steps that set up a fleet, pass time, send requests and check outcomes."""
+"""Steps that start a fleet, advance time, send queries and check outcomes."""
 
 import asyncio
 import json
@@ -12,11 +12,11 @@
 
 use_step_matcher('re')
 
-_TOLERANCE_S = 0.02
+_DURATION_TOLERANCE_S = 0.02
 
 
 def run(context, coroutine):
-    """Run a coroutine on the scenario's virtual-time loop."""
+    """Run a coroutine on the scenario's event loop and return its result."""
     return context.loop.run_until_complete(coroutine)
 
 
@@ -26,11 +26,11 @@
 
 
 @given(r'(\d+) hosts? in front of (\d+) services? with settings')
-def start_fleet_with(context, hosts, services):
+def start_fleet_with_settings(context, hosts, services):
     settings: dict[str, dict] = {}
     for row in context.table:
-        part, _, key = row['setting'].partition('.')
-        settings.setdefault(part, {})[key] = json.loads(row['value'])
+        section, _, key = row['setting'].partition('.')
+        settings.setdefault(section, {})[key] = json.loads(row['value'])
     bench = context.bench
     run(context, bench.start(int(hosts), int(services), settings=settings))
 
@@ -41,7 +41,7 @@
 
 
 @given(r'the team "([^"]+)" with')
-def add_team_with(context, team):
+def add_team_with_fields(context, team):
     fields = {row['field']: json.loads(row['value']) for row in context.table}
     run(context, context.bench.set_row(team, **fields))
 
@@ -68,7 +68,7 @@
     r'"([^"]+)" asks ([\d.]+) times a second for ([\d.]+) seconds, in the '
     r'background'
 )
-def ask_meanwhile(context, team, rate, seconds):
+def ask_in_background(context, team, rate, seconds):
     async def start():
         hosts = list(context.bench.fleet.hosts)
         context.bench.start_load(team, float(rate), float(seconds), hosts)
@@ -83,7 +83,7 @@
 
 @then(r'the answer covers (\d+) of (\d+) shards')
 def check_coverage(context, answered, shards):
-    outcome = context.bench.seen[-1].outcome
+    outcome = context.bench.completed[-1].outcome
     assert isinstance(outcome, protocol.Answered), outcome
     coverage = outcome.coverage
     assert coverage.shards == int(shards), coverage
@@ -93,25 +93,25 @@
 
 @then(r'shard "([^"]+)" is missing because "([^"]+)"')
 def check_missing(context, shard, reason):
-    missing = context.bench.seen[-1].outcome.coverage.missing
+    missing = context.bench.completed[-1].outcome.coverage.missing
     assert missing[shard] is protocol.MissReason(reason), missing
 
 
 @then('every answer covers all shards')
 def check_full_coverage(context):
     answers = context.bench.list_answers()
-    assert len(answers) == len(context.bench.seen) > 0, [
-        seen.outcome
-        for seen in context.bench.seen
-        if not isinstance(seen.outcome, protocol.Answered)
+    assert len(answers) == len(context.bench.completed) > 0, [
+        query.outcome
+        for query in context.bench.completed
+        if not isinstance(query.outcome, protocol.Answered)
     ][:3]
-    for seen in answers:
-        assert seen.outcome.coverage.fraction == 1.0, seen
+    for query in answers:
+        assert query.outcome.coverage.fraction == 1.0, query
 
 
 @then(r'the request is refused as "([^"]+)"')
 def check_refused(context, reason):
-    outcome = context.bench.seen[-1].outcome
+    outcome = context.bench.completed[-1].outcome
     assert isinstance(outcome, protocol.Refused), outcome
     assert outcome.reason is protocol.RefusalReason(reason), outcome
 
@@ -127,8 +127,8 @@
 
 @then("the upstreams' records match the reported outcomes")
 def check_records(context):
-    """Each shard that was counted ran, at the version reported."""
-    ran = {
+    """Check that upstreams ran the answered shards at that version."""
+    finished = {
         (run.request.request_id.rpartition('.')[0], run.request.shard)
         for run in context.bench.fleet.list_runs()
         if run.finished
@@ -137,27 +137,31 @@
         run.request.request_id.rpartition('.')[0]: run.request.version
         for run in context.bench.fleet.list_runs()
     }
-    for seen in context.bench.list_answers():
-        outcome = seen.outcome
+    for query in context.bench.list_answers():
+        outcome = query.outcome
         assert versions[outcome.query] == outcome.version
-        counted = [pair for pair in ran if pair[0] == outcome.query]
-        assert len(counted) >= outcome.coverage.answered
+        answered_shards = [
+            pair for pair in finished if pair[0] == outcome.query
+        ]
+        assert len(answered_shards) >= outcome.coverage.answered
 
 
 @then(r'the (\d+)th percentile of "([^"]+)" is under (\d+) ms')
-def check_percentile(context, percentile, team, millis):
-    found = context.bench.get_percentile(float(percentile), team)
-    assert found < int(millis) / 1000, found
+def check_percentile(context, percentile, team, limit_ms):
+    latency_s = context.bench.get_percentile(float(percentile), team)
+    assert latency_s < int(limit_ms) / 1000, latency_s
 
 
 @then(r'extra upstream load is at most ([\d.]+) percent')
 def check_extra_load(context, percent):
-    extra = context.bench.get_extra_load()
-    assert extra <= float(percent) / 100, extra
+    extra_load = context.bench.get_extra_load()
+    assert extra_load <= float(percent) / 100, extra_load
 
 
 @then(r'the query took about (\d+) ms')
-def check_duration(context, millis):
-    seen = context.bench.seen[-1]
-    passed = seen.ended - seen.began
-    assert abs(passed - int(millis) / 1000) < _TOLERANCE_S, passed
+def check_duration(context, expected_ms):
+    query = context.bench.completed[-1]
+    elapsed_s = query.ended_at - query.started_at
+    assert abs(elapsed_s - int(expected_ms) / 1000) < _DURATION_TOLERANCE_S, (
+        elapsed_s
+    )
--- a/features/steps/load.py
+++ b/features/steps/load.py
@@ -1,4 +1,4 @@
-"""Steps that play load with faults, and check what callers get."""
+"""Steps that send load during faults and check the answers."""
 
 from behave import given
 from behave import then
@@ -11,16 +11,17 @@
 
 use_step_matcher('re')
 
-# Pauses begin this part of their period after one another, so that upstreams
-# that follow one another seldom pause together (the golden ratio's fraction).
-_PHASE_PART = 0.618
+# Offset between the pauses of consecutive upstreams, as a fraction of the
+# period. With the fractional part of the golden ratio, consecutive upstreams
+# seldom pause at the same time.
+_PHASE_STEP = 0.618
 
 
 @given(
     r'(\d+) shards of (\d+) replicas that pause for ([\d.]+) seconds every '
     r'([\d.]+) seconds'
 )
-def add_pausing(context, count, replicas, length_s, every_s):
+def add_pausing_shards(context, count, replicas, length_s, period_s):
     bench = gateway_steps.get(context)
     context.shards += gateway_steps.add_shards(
         context, int(count), int(replicas), work_s=0.02
@@ -28,8 +29,8 @@
     for number, model in enumerate(bench.upstreams.values()):
         model.pauses = standins.Pauses(
             float(length_s),
-            float(every_s),
-            number * _PHASE_PART * float(every_s),
+            float(period_s),
+            number * _PHASE_STEP * float(period_s),
         )
 
 
@@ -45,25 +46,25 @@
     r'at least ([\d.]+) of the answers meet the latency goal of ([\d.]+) '
     r'seconds'
 )
-def check_in_time(context, part, goal_s):
+def check_latency_goal(context, fraction, goal_s):
     in_time = [
         each
         for each in context.load
         if each.status == 200 and each.elapsed <= float(goal_s)
     ]
-    assert len(in_time) >= float(part) * len(context.load), (
+    assert len(in_time) >= float(fraction) * len(context.load), (
         len(in_time),
         len(context.load),
     )
 
 
 @then(r'at most ([\d.]+) of the shards are missing from the answers')
-def check_lacking(context, part):
+def check_missing_fraction(context, fraction):
     missing = sum(
         int(each.headers['rudderrock-missing-parts']) for each in context.load
     )
     shards = len(context.shards) * len(context.load)
-    assert missing <= float(part) * shards, (missing, shards)
+    assert missing <= float(fraction) * shards, (missing, shards)
 
 
 @then(
--- a/features/steps/platform.py
+++ b/features/steps/platform.py
@@ -1,4 +1,4 @@
-"""Steps on the table, the key-value service and the life of hosts."""
+"""Steps on the table, the key-value service and the lifecycle of hosts."""
 
 import asyncio
 import dataclasses
@@ -20,7 +20,7 @@
 _POLL_S = 0.005
 
 
-def _names(text):
+def _split_names(text):
     return [name.strip() for name in text.split(',')]
 
 
@@ -48,14 +48,14 @@
 @then(r'it is in force on every host within (\d+) seconds?')
 def check_in_force(context, seconds):
     fleet = context.bench.fleet
-    passed = run(context, fleet.wait_until_in_force(context.edit.revision))
-    assert passed <= int(seconds), passed
+    elapsed_s = run(context, fleet.wait_until_in_force(context.edit.revision))
+    assert elapsed_s <= int(seconds), elapsed_s
 
 
 @when(
     r'two operators set "([^"]+)" of "([^"]+)" to (\d+) and to (\d+) at once'
 )
-def race(context, field, team, one, other):
+def edit_concurrently(context, field, team, one, other):
     editor = context.bench.fleet.editor
 
     async def edit(value):
@@ -83,13 +83,13 @@
         for each in context.outcomes
         if isinstance(each, coordination.EditAccepted)
     ]
-    lost = [
+    rejected = [
         each
         for each in context.outcomes
         if isinstance(each, coordination.EditLost)
     ]
-    assert len(accepted) == len(lost) == 1, context.outcomes
-    assert lost[0].current == accepted[0].edit.row, lost
+    assert len(accepted) == len(rejected) == 1, context.outcomes
+    assert rejected[0].current == accepted[0].edit.row, rejected
     context.edit = accepted[0].edit
 
 
@@ -99,7 +99,7 @@
 
 
 @then('the history contains the edit once')
-def check_once(context):
+def check_edit_once(context):
     table = run(context, context.bench.fleet.editor.read()).unwrap()
     same = [
         edit for edit in table.history if edit.edit_id == context.edit.edit_id
@@ -109,8 +109,8 @@
 
 
 @given(r'hosts "([^"]+)" are cut off from the key-value service')
-def cut_from_kv(context, names):
-    for name in _names(names):
+def cut_off_from_kv(context, names):
+    for name in _split_names(names):
         context.bench.fleet.hosts[name].kv.cut = True
 
 
@@ -118,7 +118,7 @@
     'the key-value service goes down as soon as the edit is in force on one '
     'host'
 )
-def down_after_first(context):
+def stop_kv_after_first_host(context):
     async def wait():
         hosts = context.bench.fleet.hosts.values()
         while all(
@@ -132,12 +132,12 @@
 
 
 @when('the key-value service goes down')
-def kv_down(context):
+def stop_kv(context):
     run(context, context.bench.fleet.kv.set_down(True))
 
 
 @when('the key-value service is available again')
-def kv_up(context):
+def resume_kv(context):
     run(context, context.bench.fleet.kv.set_down(False))
 
 
@@ -151,14 +151,14 @@
 
 
 @when('the table in the key-value service is backed up')
-def put_aside(context):
+def back_up_table(context):
     entry = run(context, context.bench.fleet.kv.get(coordination.TABLE_KEY))
-    context.aside = entry.unwrap().value
+    context.table_backup = entry.unwrap().value
 
 
 @when('the table is restored from the backup')
-def restore(context):
-    table = protocol.decode(state.Table, context.aside).unwrap()
+def restore_table(context):
+    table = protocol.decode(state.Table, context.table_backup).unwrap()
     kv = context.bench.fleet.kv
     run(context, kv.put_unless_down(coordination.TABLE_KEY, table))
 
@@ -167,9 +167,9 @@
     r'a snapshot of the key-value service is taken and (\d+) other keys are '
     r'written'
 )
-def copy_kv(context, count):
+def snapshot_kv(context, count):
     kv = context.bench.fleet.kv
-    context.kv_copy = kv.make_copy()
+    context.kv_snapshot = kv.make_copy()
     for number in range(int(count)):
         run(context, kv.put_unless_down(f'other/{number}', state.Table()))
 
@@ -178,77 +178,78 @@
     r'the key-value service is restored from the snapshot after an outage of '
     r'(\d+) seconds?'
 )
-def come_back(context, seconds):
+def restore_kv(context, seconds):
     kv = context.bench.fleet.kv
     run(context, kv.set_down(True))
     run(context, asyncio.sleep(float(seconds)))
-    run(context, kv.come_back(context.kv_copy))
+    run(context, kv.come_back(context.kv_snapshot))
 
 
 @then(r'the key-value service stores "([^"]+)" of "([^"]+)" as (\d+)')
-def check_at_service(context, field, team, value):
+def check_stored_field(context, field, team, value):
     table = run(context, context.bench.fleet.editor.read()).unwrap()
     assert getattr(table.rows[team], field) == float(value), table
 
 
 @then(r'exactly one host has recorded "([^"]+)"')
-def check_said_once(context, kind):
-    said = [
+def check_recorded_once(context, kind):
+    recorded = [
         each
         for running in _list_running(context)
-        for each in _list_kinds(running)
+        for each in _list_event_kinds(running)
         if each == kind
     ]
-    assert len(said) == 1, said
+    assert len(recorded) == 1, recorded
 
 
 @then(
     r'(\d+) random sequences of edits and restores of the table keep all '
     r'accepted edits'
 )
-def check_reunited(context, runs):
-    for seed in range(int(runs)):
-        check_one_reunion(random.Random(seed))
+def check_merges(context, count):
+    for seed in range(int(count)):
+        check_merge(random.Random(seed))
 
 
-def check_one_reunion(chance):
-    """Edit a table at a service that loses edits, before two hosts."""
+def check_merge(rng):
+    """Check that two hosts restore the edits that their service loses."""
     service = state.Table()
-    copies = [service]
+    snapshots = [service]
     hosts = [service, service]
     accepted = []
     for number in range(8):
         accepted.append(f'edit-{number}')
-        service = edit_once(service, accepted[-1], chance)
-        copies.append(service)
-        if chance.random() < 0.3:
-            # A host had the edit before it was lost, so it can come back.
-            hosts[0] = take_table(hosts[0], service)
-            service = chance.choice(copies)
-        for place in chance.sample([0, 1], chance.randrange(3)):
-            hosts[place] = take_table(hosts[place], service)
-            again = state.reunite_tables(hosts[place], service)
-            if again is not None:
-                service = hosts[place] = again
-        hosts[0] = take_table(hosts[0], service)
-        again = state.reunite_tables(hosts[0], service)
-        if again is not None:
-            service = hosts[0] = again
-    found = [each.edit_id for each in service.history]
-    assert sorted(found) == sorted(accepted), found
+        service = apply_random_edit(service, accepted[-1], rng)
+        snapshots.append(service)
+        if rng.random() < 0.3:
+            # One host reads the edit before the service loses it, so that
+            # it can be restored from that host.
+            hosts[0] = apply_read_table(hosts[0], service)
+            service = rng.choice(snapshots)
+        for index in rng.sample([0, 1], rng.randrange(3)):
+            hosts[index] = apply_read_table(hosts[index], service)
+            merged = state.reunite_tables(hosts[index], service)
+            if merged is not None:
+                service = hosts[index] = merged
+        hosts[0] = apply_read_table(hosts[0], service)
+        merged = state.reunite_tables(hosts[0], service)
+        if merged is not None:
+            service = hosts[0] = merged
+    edit_ids = [each.edit_id for each in service.history]
+    assert sorted(edit_ids) == sorted(accepted), edit_ids
     assert state.reunite_tables(service, service) is None
 
 
-def take_table(table, found):
-    """Return what a host has in force after it has read a table."""
-    return found if found.revision > table.revision else table
+def apply_read_table(table, read):
+    """Return the table in force on a host after it has read another one."""
+    return read if read.revision > table.revision else table
 
 
-def edit_once(table, edit_id, chance):
-    """Return the table after one more edit."""
-    team = state.TeamId(chance.choice(['desk', 'kiosk']))
+def apply_random_edit(table, edit_id, rng):
+    """Return the table after a random edit of a row."""
+    team = state.TeamId(rng.choice(['desk', 'kiosk']))
     base = table.rows.get(team)
-    row = state.TeamRow(team=team, weight=chance.randrange(1, 9))
+    row = state.TeamRow(team=team, weight=rng.randrange(1, 9))
     change = state.Change(
         edit_id=state.EditId(edit_id),
         author='test',
@@ -263,14 +264,14 @@
     r'a table with "([^"]+)" of "([^"]+)" at (\d+) is written directly to the '
     r'key-value service'
 )
-def write_bad_table(context, field, team, value):
+def write_invalid_table(context, field, team, value):
     fleet = context.bench.fleet
     table = run(context, fleet.editor.read()).unwrap()
     row = dataclasses.replace(table.rows[team], **{field: int(value)})
-    bad = dataclasses.replace(
+    invalid = dataclasses.replace(
         table, revision=table.revision + 1, rows={**table.rows, team: row}
     )
-    run(context, fleet.kv.put_unless_down(coordination.TABLE_KEY, bad))
+    run(context, fleet.kv.put_unless_down(coordination.TABLE_KEY, invalid))
 
 
 @then(r'"([^"]+)" of "([^"]+)" is (\d+) on every host')
@@ -280,20 +281,20 @@
         assert getattr(row, field) == int(value), row
 
 
-def _list_kinds(running):
+def _list_event_kinds(running):
     events = running.host.ring.list_since(state.Stamp())
     return [event.kind.value for event in events]
 
 
 @then(r'every host has recorded "([^"]+)"')
-def check_all_said(context, kind):
+def check_all_recorded(context, kind):
     for running in _list_running(context):
-        assert kind in _list_kinds(running), _list_kinds(running)
+        assert kind in _list_event_kinds(running), _list_event_kinds(running)
 
 
 @then(r'host "([^"]+)" has recorded "([^"]+)"')
-def check_said(context, name, kind):
-    kinds = _list_kinds(context.bench.fleet.hosts[name])
+def check_recorded(context, name, kind):
+    kinds = _list_event_kinds(context.bench.fleet.hosts[name])
     assert kind in kinds, kinds
 
 
@@ -303,13 +304,13 @@
 
 
 @when(r'host "([^"]+)" is cut off from its peers')
-def cut_from_peers(context, name):
+def cut_off_from_peers(context, name):
     context.bench.fleet.cut_off(name, True)
     context.bench.fleet.hosts[name].kv.cut = False
 
 
 @when(r'host "([^"]+)" is reconnected')
-def join_again(context, name):
+def reconnect(context, name):
     context.bench.fleet.cut_off(name, False)
 
 
@@ -319,7 +320,7 @@
 
 
 @when(r'host "([^"]+)" is resumed')
-def go_on(context, name):
+def resume(context, name):
     context.bench.fleet.freeze(name, False)
 
 
@@ -333,7 +334,7 @@
     r'balancer, in the background'
 )
 def ask_balanced(context, team, rate, seconds):
-    """Send to the hosts that said they were ready a second ago."""
+    """Send queries to the hosts that were ready one second ago."""
     bench = context.bench
 
     async def ask_all():
@@ -341,14 +342,14 @@
         ready = list(bench.fleet.hosts)
         for number in range(int(rate) * int(seconds)):
             if number % int(rate) == 0:
-                seen, ready = ready, _list_ready(context)
-            host = seen[number % len(seen)]
+                targets, ready = ready, _list_ready(context)
+            host = targets[number % len(targets)]
             tasks.append(asyncio.create_task(bench.ask(team, host)))
             await asyncio.sleep(1.0 / int(rate))
         await asyncio.gather(*tasks)
 
     async def start():
-        bench.keep_load(asyncio.create_task(ask_all()))
+        bench.add_load(asyncio.create_task(ask_all()))
 
     run(context, start())
 
@@ -367,15 +368,15 @@
 
     async def stop_all():
         await asyncio.gather(
-            *(fleet.stop_host(name) for name in _names(names))
+            *(fleet.stop_host(name) for name in _split_names(names))
         )
 
     run(context, stop_all())
 
 
 @then(r'hosts "([^"]+)" have stopped')
-def check_ended(context, names):
-    for name in _names(names):
+def check_stopped(context, names):
+    for name in _split_names(names):
         running = context.bench.fleet.hosts[name]
         assert running.task.done() and running.task.exception() is None
         stopped = coordination.HostState.STOPPED
@@ -422,16 +423,16 @@
 
 
 @when(r'"([^"]+)" asks (\d+) times a second for (\d+) seconds at "([^"]+)"')
-def ask_at(context, team, rate, seconds, hosts):
+def ask_hosts(context, team, rate, seconds, hosts):
     load = context.bench.ask_at_rate(
-        team, float(rate), float(seconds), _names(hosts)
+        team, float(rate), float(seconds), _split_names(hosts)
     )
     run(context, load)
 
 
-def _get_admitted(context, rate, seconds):
+def _get_admitted_percent(context, rate, seconds):
     shards = sum(
-        seen.outcome.coverage.shards for seen in context.bench.list_answers()
+        each.outcome.coverage.shards for each in context.bench.list_answers()
     )
     return 100 * shards / (int(rate) * int(seconds))
 
@@ -439,16 +440,16 @@
 @then(
     r'at most (\d+) percent of the rate (\d+) was admitted over (\d+) seconds'
 )
-def check_at_most(context, percent, rate, seconds):
-    admitted = _get_admitted(context, rate, seconds)
+def check_admitted_at_most(context, percent, rate, seconds):
+    admitted = _get_admitted_percent(context, rate, seconds)
     assert admitted <= int(percent), admitted
 
 
 @then(
     r'at least (\d+) percent of the rate (\d+) was admitted over (\d+) seconds'
 )
-def check_at_least(context, percent, rate, seconds):
-    admitted = _get_admitted(context, rate, seconds)
+def check_admitted_at_least(context, percent, rate, seconds):
+    admitted = _get_admitted_percent(context, rate, seconds)
     assert admitted >= int(percent), admitted
 
 
--- a/features/steps/processes.py
+++ b/features/steps/processes.py
@@ -1,4 +1,4 @@
-"""Steps with entry hosts as processes of their own."""
+"""Steps that run entry hosts in processes of their own."""
 
 import asyncio
 import contextlib
@@ -30,29 +30,29 @@
 
 use_step_matcher('re')
 
-_OPERATOR = 'operator secret of this scenario'
+_OPERATOR_SECRET = 'operator secret of this scenario'
 _SERVICES = 6
-_QUERY_GAP_S = 0.02
-_READY_TRIES = 600
+_CALL_INTERVAL_S = 0.02
+_READY_ATTEMPTS = 600
 _CALL_TIMEOUT_S = 5.0
-_LOAD_TAIL_S = 3.0
+_LOAD_MARGIN_S = 3.0
 
 
-class _Processes:
-    """Entry hosts under test, and the calls that were made to them."""
+class _EntryProcesses:
+    """Entry hosts in processes of their own, and the calls sent to them."""
 
     def __init__(self, folder: pathlib.Path):
         self.folder = folder
-        self.served = None
+        self.standins = None
         self.running = {}
-        self.callers = {}
-        self.controls = {}
+        self.caller_addresses = {}
+        self.control_addresses = {}
         self.calls = []
-        self.cut = []
+        self.cut_off_hosts = []
         self.stopping = set()
         self.token = ''
-        self.source = random.Random(5)
-        self.load = None
+        self.rng = random.Random(5)
+        self.load_task = None
 
     async def open(self, stack, hosts):
         deployment = standins.Deployment(
@@ -67,15 +67,17 @@
                 )
             ],
         )
-        self.served = await stack.enter_async_context(
+        self.standins = await stack.enter_async_context(
             standins.serve_standins(
                 deployment, runtime.make_system_clock(), random.Random(1)
             )
         )
-        kv = self.served.kv
-        await standins.publish(kv, coordination.LAYOUT_KEY, self.served.layout)
-        self.token = state.make_token('desk', self.source)
-        hashed = state.hash_token(self.token, self.source)
+        kv = self.standins.kv
+        await standins.publish(
+            kv, coordination.LAYOUT_KEY, self.standins.layout
+        )
+        self.token = state.make_token('desk', self.rng)
+        hashed = state.hash_token(self.token, self.rng)
         row = state.TeamRow(
             team='desk',
             token_hashes=(hashed,),
@@ -84,15 +86,15 @@
         )
         table = state.Table(revision=1, rows={'desk': row})
         await standins.publish(kv, coordination.TABLE_KEY, table)
-        stack.push_async_callback(self._end_all)
+        stack.push_async_callback(self._kill_all)
         for number in range(1, hosts + 1):
-            self.callers[number] = _find_free_address()
-            self.controls[number] = _find_free_address()
-            self.served.host_list.hosts.append(
+            self.caller_addresses[number] = _find_free_address()
+            self.control_addresses[number] = _find_free_address()
+            self.standins.host_list.hosts.append(
                 transport.ListedHost(
                     host=f'h{number}',
                     zone='north-1',
-                    control=self.controls[number],
+                    control=self.control_addresses[number],
                 )
             )
             await self.start(number)
@@ -103,15 +105,15 @@
         path = self.folder / f'h{number}.toml'
         path.write_text(
             f'[host]\nid = "h{number}"\nzone = "north-1"\n'
-            f'callers = "{self.callers[number]}"\n'
-            f'control = "{self.controls[number]}"\n'
-            f'[platform]\nkv = "{self.served.kv_address}"\n'
-            f'host_list = "{self.served.host_list_address}"\n'
+            f'callers = "{self.caller_addresses[number]}"\n'
+            f'control = "{self.control_addresses[number]}"\n'
+            f'[platform]\nkv = "{self.standins.kv_address}"\n'
+            f'host_list = "{self.standins.host_list_address}"\n'
             '[drain]\nbalancer_lag_s = 0.5\n'
         )
         secrets = {
             'RUDDERROCK_PEER_SECRET': 'peer secret of this scenario',
-            'RUDDERROCK_OPERATOR_SECRET': _OPERATOR,
+            'RUDDERROCK_OPERATOR_SECRET': _OPERATOR_SECRET,
         }
         self.running[number] = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -124,18 +126,18 @@
         )
 
     async def wait_until_ready(self, number):
-        client = operators.OperatorClient(_OPERATOR)
-        for _ in range(_READY_TRIES):
-            status = await client.get_status(self.controls[number])
+        client = operators.OperatorClient(_OPERATOR_SECRET)
+        for _ in range(_READY_ATTEMPTS):
+            status = await client.get_status(self.control_addresses[number])
             match status:
-                case result.Ok(known):
-                    if known.state is coordination.HostState.SERVING:
+                case result.Ok(host_status):
+                    if host_status.state is coordination.HostState.SERVING:
                         return
             await asyncio.sleep(0.05)
-        raise AssertionError(f'host {number} never became ready')
+        raise AssertionError(f'host {number} did not become ready')
 
     async def send_all(self, seconds):
-        """Send queries and commands, with repeats, to every host."""
+        """Send queries and commands, some of them repeated, to all hosts."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         keys = []
@@ -143,22 +145,22 @@
             number = 0
             while loop.time() < end:
                 number += 1
-                host = 1 + number % len(self.callers)
+                host = 1 + number % len(self.caller_addresses)
                 if host in self.stopping:
-                    # As a balancer that has seen the host's readiness fall.
+                    # A load balancer removes a host that is no longer ready.
                     continue
                 if number % 5 == 0:
-                    if not keys or self.source.random() < 0.5:
+                    if not keys or self.rng.random() < 0.5:
                         keys.append(self._make_key())
-                    key = self.source.choice(keys)
+                    key = self.rng.choice(keys)
                     group.create_task(self._command(host, key))
                 else:
                     group.create_task(self._query(host, f'q{number}'))
-                await asyncio.sleep(_QUERY_GAP_S)
+                await asyncio.sleep(_CALL_INTERVAL_S)
 
     def _make_key(self):
-        unix = int(runtime.make_system_clock().wall())
-        return f'{unix:010d}-{self.source.getrandbits(64):016x}'
+        unix_s = int(runtime.make_system_clock().wall())
+        return f'{unix_s:010d}-{self.rng.getrandbits(64):016x}'
 
     async def _query(self, host, marker):
         query = protocol.Query(
@@ -179,18 +181,18 @@
         )
 
     async def _call(self, host, marker, key, send):
-        client = caller.CallerClient(self.callers[host], self.token)
-        raw = result.Err(None)
+        client = caller.CallerClient(self.caller_addresses[host], self.token)
+        reply = result.Err(None)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(_CALL_TIMEOUT_S):
-                raw = await send(client)
+                reply = await send(client)
         await client.close()
-        outcome = _read_outcome(raw)
+        outcome = _read_outcome(reply)
         if outcome is None:
-            self.cut.append(host)
+            self.cut_off_hosts.append(host)
         self.calls.append(experiments.Call(marker, key, outcome))
 
-    async def _end_all(self):
+    async def _kill_all(self):
         for process in self.running.values():
             if process.returncode is None:
                 process.kill()
@@ -204,8 +206,8 @@
     return address
 
 
-def _read_outcome(raw):
-    match raw:
+def _read_outcome(reply):
+    match reply:
         case result.Ok(transport.RawReply(status=200, body=body)):
             answered = protocol.decode(protocol.Answered, body)
             return answered.ok() or (
@@ -226,15 +228,15 @@
 def start_processes(context, hosts):
     folder = context.stack.enter_context(contextlib.ExitStack())
     path = folder.enter_context(tempfile.TemporaryDirectory())
-    context.processes = _Processes(pathlib.Path(path))
+    context.processes = _EntryProcesses(pathlib.Path(path))
     run(context, context.processes.open(context.stack, int(hosts)))
 
 
 @when('callers send queries and commands to all hosts')
 def start_load(context):
     async def start():
-        load = context.processes.send_all(14.0 + _LOAD_TAIL_S)
-        context.processes.load = asyncio.create_task(load)
+        load = context.processes.send_all(14.0 + _LOAD_MARGIN_S)
+        context.processes.load_task = asyncio.create_task(load)
         await asyncio.sleep(1.0)
 
     run(context, start())
@@ -265,7 +267,7 @@
 def stop_host(context, number):
     async def stop():
         processes = context.processes
-        processes.cut.clear()
+        processes.cut_off_hosts.clear()
         processes.running[int(number)].send_signal(signal.SIGTERM)
         processes.stopping.add(int(number))
         await processes.running[int(number)].wait()
@@ -275,15 +277,15 @@
 
 @when('the callers have finished')
 def end_load(context):
-    run(context, context.processes.load)
+    run(context, context.processes.load_task)
 
 
 @then("every outcome agrees with the upstreams' records")
-def check_truth(context):
+def check_outcomes(context):
     processes = context.processes
     runs = [
         each
-        for model in processes.served.models.values()
+        for model in processes.standins.models.values()
         for each in model.runs
     ]
     broken = experiments.list_broken(processes.calls, runs, _SERVICES)
@@ -295,7 +297,11 @@
 
 @then('no command ran twice and no refused command ran')
 def check_commands(context):
-    """What `list_broken` has checked; here, that there was any to check."""
+    """Check that commands were recorded and repeated.
+
+    `list_broken` has checked already that none ran twice and that none ran
+    after a refusal.
+    """
     recorded = [
         call
         for call in context.processes.calls
@@ -309,7 +315,7 @@
 def check_exit(context, number):
     processes = context.processes
     assert processes.running[int(number)].returncode == 0
-    assert int(number) not in processes.cut, processes.cut
+    assert int(number) not in processes.cut_off_hosts, processes.cut_off_hosts
 
 
 @then(r'host (\d+) answers again')
@@ -320,7 +326,7 @@
 
 
 async def _ask_until_answered(processes, number):
-    for _ in range(_READY_TRIES):
+    for _ in range(_READY_ATTEMPTS):
         await processes._query(number, 'again')
         outcome = processes.calls[-1].outcome
         if isinstance(outcome, protocol.Answered):
@@ -333,7 +339,7 @@
 @when(r'the key-value service is down and host (\d+) is started again')
 def restart_in_outage(context, number):
     async def restart():
-        await context.processes.served.kv.set_down(True)
+        await context.processes.standins.kv.set_down(True)
         await context.processes.start(int(number))
 
     run(context, restart())
--- a/features/steps/schedules.py
+++ b/features/steps/schedules.py
@@ -1,4 +1,4 @@
-"""Steps that run random fault schedules and break locks on purpose."""
+"""Steps that run random fault schedules and disable safeguards."""
 
 import collections
 import dataclasses
@@ -17,7 +17,7 @@
 
 
 @given('answers are accepted whosever they are')
-def accept_any(context):
+def accept_any_reply(context):
     def accept(request, reply):
         return reply
 
@@ -26,7 +26,7 @@
 
 
 @given('commands are run without a claim')
-def claim_nothing(context):
+def grant_all_claims(context):
     async def claim(self, key, claim, until):
         return coordination.Won()
 
@@ -35,7 +35,7 @@
 
 
 @given('coverage counts what was asked for')
-def count_all(context):
+def report_full_coverage(context):
     run = coordination.QueryRunner.run
 
     async def overstate(self, ticket, collection):
@@ -50,17 +50,17 @@
 
 
 @given('hosts sometimes revert to the first table that they applied')
-def go_back(context):
+def revert_tables(context):
     apply_table = coordination.Configuration.apply_table
-    seen = collections.defaultdict(list)
+    applied = collections.defaultdict(list)
 
-    def apply_some_old(self, table):
-        seen[self].append(table)
-        old = len(seen[self]) % 5 == 0
-        apply_table(self, seen[self][0] if old else table)
+    def apply_or_revert(self, table):
+        applied[self].append(table)
+        reverts = len(applied[self]) % 5 == 0
+        apply_table(self, applied[self][0] if reverts else table)
 
     patch = mock.patch.object(
-        coordination.Configuration, 'apply_table', apply_some_old
+        coordination.Configuration, 'apply_table', apply_or_revert
     )
     context.stack.enter_context(patch)
 
@@ -79,14 +79,14 @@
 
 
 @then('no invariant was violated')
-def check_none_broken(context):
+def check_no_violation(context):
     broken = {each.seed: each.broken for each in context.schedules}
     broken = {seed: found for seed, found in broken.items() if found}
     assert not broken, broken
 
 
 @then('some invariant was violated')
-def check_some_broken(context):
+def check_violation(context):
     assert any(each.broken for each in context.schedules)
 
 
@@ -95,5 +95,5 @@
     outcomes = collections.Counter()
     for each in context.schedules:
         outcomes.update(each.outcomes)
-    wanted = {'Answered', 'Refused', 'Recorded', 'Unknown'}
-    assert wanted <= set(outcomes), outcomes
+    expected = {'Answered', 'Refused', 'Recorded', 'Unknown'}
+    assert expected <= set(outcomes), outcomes
--- a/features/steps/settings.py
+++ b/features/steps/settings.py
@@ -1,4 +1,4 @@
-"""Steps on settings files and on the pages that describe them."""
+"""Steps that read settings files and check the reference pages."""
 
 import json
 import pathlib
@@ -32,11 +32,11 @@
 @when(r'the settings file "([^"]+)" is read with (\S+) = (.+)')
 def read_changed(context, path, key, value):
     context.raw = tomllib.loads((_ROOT / path).read_text())
-    change(context, key, value)
+    set_value(context, key, value)
 
 
 @when(r'with (\S+) = (.+) as well')
-def change(context, key, value):
+def set_value(context, key, value):
     part, _, name = key.partition('.')
     context.raw.setdefault(part, {})[name] = json.loads(value)
     with tempfile.TemporaryDirectory() as folder:
@@ -55,7 +55,7 @@
 
 
 @then(r'it is rejected with a message that contains (.+)')
-def check_refused_naming(context, words):
+def check_message(context, words):
     match context.settings:
         case result.Err(message):
             for word in words.split(', '):
@@ -65,7 +65,7 @@
 
 
 @then(r'"([^"]+)" is up to date')
-def check_reference(context, path):
+def check_settings_page(context, path):
     assert (_ROOT / path).read_text() == settings_page.make_page()
 
 
--- a/features/steps/soak.py
+++ b/features/steps/soak.py
@@ -1,4 +1,4 @@
-"""Steps that play the soak and that break its records on purpose."""
+"""Steps that run soaks and that alter the records of a soak."""
 
 import dataclasses
 import pathlib
@@ -43,12 +43,12 @@
 
 
 def make_run(request_id, method='GET', target='/moved/1', body=b''):
-    """Return a run at an upstream."""
+    """Return a record of a request that an upstream ran."""
     return standins.WireRun(1.0, request_id, method, target, {}, body)
 
 
 def make_sent(request_id, target, at, **fields):
-    """Return a request that got a good answer from i-1."""
+    """Return a record of a request that upstream i-1 answered."""
     sent = checks.Sent(
         request_id=request_id,
         method='GET',
@@ -67,7 +67,7 @@
 
 
 @given('the records of a soak without violations')
-def make_all(context):
+def make_valid_records(context):
     shards = {f's-{number}': f'shard-{number}' for number in range(4)}
     services = {
         'i-1': 'moved-0',
@@ -88,7 +88,7 @@
         headers={'x-part-stamps': stamps, 'x-missing-parts': '0'},
         reply=gateway.merge_records(records, checks.TOP_K),
     )
-    once = make_sent(
+    sent_once = make_sent(
         'q2',
         '/once/2',
         2.0,
@@ -101,7 +101,7 @@
     runs.append(('o-1', make_run('q2', 'POST', '/once/2', b'note')))
     runs += [(name, make_run('q3', target='/all/3')) for name in shards]
     context.records = checks.Records(
-        sent=[make_sent('q1', '/moved/1', 1.0), once, gathered],
+        sent=[make_sent('q1', '/moved/1', 1.0), sent_once, gathered],
         runs=runs,
         arrivals={'moved-0': [(1.0, 'q1')], 'once': [(2.0, 'q2')]},
         shard_sets=[
@@ -118,23 +118,23 @@
 
 @when(r'a request that may run once ran twice')
 def run_twice(context):
-    again = make_run('q2', 'POST', '/once/2', b'note')
-    context.records.runs.append(('o-2', again))
+    second_run = make_run('q2', 'POST', '/once/2', b'note')
+    context.records.runs.append(('o-2', second_run))
 
 
 @when(r'a refused request ran')
-def refuse_run(context):
+def run_refused(context):
     context.records.sent[1].status = 503
 
 
 @when(r'a request ran twice at one upstream and once at another')
-def run_again(context):
+def run_at_two_upstreams(context):
     for name in ('i-1', 'i-2'):
         context.records.runs.append((name, make_run('q1')))
 
 
 @when(r'a request ran at three upstreams')
-def run_thrice(context):
+def run_at_three_upstreams(context):
     for name in ('i-2', 'i-3'):
         context.records.runs.append((name, make_run('q1')))
 
@@ -153,14 +153,14 @@
 
 
 @when(r"an answer is another request's")
-def cross_answers(context):
+def swap_answer(context):
     sent = context.records.sent[0]
     sent.headers['x-server-stamp'] = 'i-1.q0'
     sent.reply = checks.make_records('i-1', 'q0')
 
 
 @when(r'an answer is cut short')
-def cut_answer(context):
+def truncate_answer(context):
     sent = context.records.sent[0]
     sent.reply = sent.reply[:-1]
 
@@ -180,13 +180,13 @@
 
 
 @when(r'a gather leaves out a great record')
-def leave_out(context):
+def drop_record(context):
     sent = context.records.sent[2]
     sent.reply = sent.reply[16:] + sent.reply[-16:]
 
 
 @when(r'an upstream ran what nobody sent')
-def run_unasked(context):
+def run_unsent(context):
     context.records.runs.append(('i-1', make_run('q9')))
 
 
@@ -205,7 +205,7 @@
 
 
 @when(r'a host serves by an older version')
-def go_back(context):
+def serve_older_version(context):
     newer = make_sent(
         'q4',
         '/moved/4',
@@ -238,18 +238,18 @@
 
 
 @when(r'a request is cut in a calm moment')
-def cut_calm(context):
+def cut_off_request(context):
     context.records.sent[0].status = 0
 
 
 @then(r'the checks report only "([^"]+)"')
-def check_found(context, promise):
+def check_violation(context, promise):
     found = {each.promise for each in checks.check_records(context.records)}
     assert found == {promise}, found
 
 
 @then('the checks report nothing')
-def check_clean(context):
+def check_no_violation(context):
     assert not checks.check_records(context.records)
 
 
@@ -257,12 +257,12 @@
     r'plans of (\d+) seeds with (\d+) lethal requests have all faults of '
     r'plans with 1, plus (\d+) lethal requests'
 )
-def check_plans(context, seeds, lethal, more):
+def check_plans(context, seeds, lethal, extra):
     for seed in range(int(seeds)):
         one = soak.make_plan(seed, 12.0, 4).faults
         many = soak.make_plan(seed, 12.0, 4, int(lethal)).faults
         added = [fault for fault in many if fault not in one]
-        assert len(many) == len(one) + int(more), seed
+        assert len(many) == len(one) + int(extra), seed
         assert set(one) <= set(many), seed
         kinds = {fault.kind.value for fault in added}
         assert kinds == {'lethal_request'}, (seed, kinds)
--- a/features/steps/sockets.py
+++ b/features/steps/sockets.py
@@ -1,4 +1,4 @@
-"""Steps over real loopback sockets."""
+"""Steps that use real loopback sockets."""
 
 import asyncio
 import contextlib
@@ -32,7 +32,7 @@
     network=standins.Network(regions={'north': ['north-1']}),
     groups=[_GROUP],
 )
-_INTAKE = state.IntakeSettings(
+_INTAKE_SETTINGS = state.IntakeSettings(
     max_body_bytes=2000,
     max_header_bytes=4000,
     head_timeout_s=0.3,
@@ -40,8 +40,8 @@
 )
 
 
-class _Ticket:
-    """Gives an exchange time enough, and lets it be given up."""
+class _ExchangeControl:
+    """An exchange without a deadline that the test can abort."""
 
     until = float('inf')
 
@@ -52,11 +52,11 @@
         self.abort = abort
 
 
-class _LateUpstream:
-    """A server that holds each answer until it is told to send it."""
+class _DelayingUpstream:
+    """A server that delays the answers to cancelled requests, or swaps all."""
 
-    def __init__(self, cross: bool):
-        self._cross = cross
+    def __init__(self, swaps: bool):
+        self._swaps = swaps
         self._writers = []
         self.address = ''
 
@@ -80,11 +80,11 @@
             while True:
                 request = await _read_request(reader)
                 answer = _make_answer(request)
-                if self._cross:
-                    # Each answer but the first is the one before it.
+                if self._swaps:
+                    # Send the answer to the previous request instead.
                     held, answer = answer, held or answer
                 elif json.loads(request)['body'] == 'cancelled':
-                    # Sent together with the next answer, before it.
+                    # Sent immediately before the next answer.
                     held = answer
                     continue
                 elif held is not None:
@@ -123,31 +123,31 @@
 
 @given('an upstream that answers late')
 def start_late(context):
-    start_upstream(context, cross=False)
+    start_upstream(context, swaps=False)
 
 
 @given('an upstream that swaps answers')
-def start_crossing(context):
-    start_upstream(context, cross=True)
+def start_swapping(context):
+    start_upstream(context, swaps=True)
 
 
-def start_upstream(context, cross):
-    """Start the server and keep it for the steps that follow."""
-    context.upstream = _LateUpstream(cross)
+def start_upstream(context, swaps):
+    """Start the server and store it for later steps."""
+    context.upstream = _DelayingUpstream(swaps)
     run(context, context.upstream.open(context.stack))
 
 
 @given('connections are kept after unfinished exchanges')
 def keep_connections(context):
     async def close(self):
-        """Keep the connection: the lock is off."""
+        """Leave the connection open."""
 
     patch = mock.patch.object(transport.OwnedConnection, 'close', close)
     context.stack.enter_context(patch)
 
 
 @given('answers are not checked against their requests')
-def trust_answers(context):
+def skip_reply_check(context):
     patch = mock.patch(
         'rudderrock.transport._upstream.check_shard_reply',
         lambda request, reply: reply,
@@ -157,7 +157,7 @@
 
 @when('20 requests are cancelled, each followed by another')
 def send_after_cancelled(context):
-    context.replies = run(context, _send_pairs(context.upstream.address))
+    context.replies = run(context, _cancel_and_send(context.upstream.address))
 
 
 @when('20 requests are sent')
@@ -169,16 +169,16 @@
     context.replies = run(context, send_all())
 
 
-async def _send_pairs(address):
+async def _cancel_and_send(address):
     connection = await _connect(address)
     replies = []
     for number in range(20):
-        ticket = _Ticket()
+        control = _ExchangeControl()
         first = _make_request(f'cancelled-{number}', 'cancelled')
-        task = asyncio.create_task(connection.exchange(first, ticket))
+        task = asyncio.create_task(connection.exchange(first, control))
         await asyncio.sleep(0.01)
         if not task.done():
-            ticket.abort.reschedule(0.0)
+            control.abort.reschedule(0.0)
         await task
         replies.append(await _send(connection, number))
     return replies
@@ -192,7 +192,7 @@
 
 async def _send(connection, number):
     request = _make_request(f'wanted-{number}', 'wanted')
-    return request, await connection.exchange(request, _Ticket())
+    return request, await connection.exchange(request, _ExchangeControl())
 
 
 def _make_request(request_id, body):
@@ -206,7 +206,7 @@
     )
 
 
-def _list_crossed(context):
+def _list_mismatched(context):
     return [
         (request.request_id, reply.hits[0].id)
         for request, reply in context.replies
@@ -216,14 +216,14 @@
 
 
 @then("some request received another request's answer")
-def check_crossed(context):
-    assert _list_crossed(context), context.replies
+def check_mismatched(context):
+    assert _list_mismatched(context), context.replies
 
 
 @then("no request received another request's answer")
-def check_apart(context):
+def check_matched(context):
     assert len(context.replies) == 20
-    assert not _list_crossed(context), _list_crossed(context)
+    assert not _list_mismatched(context), _list_mismatched(context)
 
 
 @given('a host over sockets in front of 3 services')
@@ -239,9 +239,9 @@
     context.models = served.models
     layout = served.layout
     await standins.publish(served.kv, coordination.LAYOUT_KEY, layout)
-    source = random.Random(2)
-    context.token = state.make_token('desk', source)
-    hashed = state.hash_token(context.token, source)
+    rng = random.Random(2)
+    context.token = state.make_token('desk', rng)
+    hashed = state.hash_token(context.token, rng)
     row = state.TeamRow(team='desk', token_hashes=(hashed,))
     table = state.Table(revision=1, rows={'desk': row})
     await standins.publish(served.kv, coordination.TABLE_KEY, table)
@@ -254,7 +254,7 @@
             seed=1,
         ),
         platform=state.PlatformSettings(kv=served.kv_address),
-        intake=_INTAKE,
+        intake=_INTAKE_SETTINGS,
     )
     opened = await context.stack.enter_async_context(
         serving.open_host(settings, _SECRETS)
@@ -275,7 +275,7 @@
 
 @given('the upstreams close all idle connections')
 def close_idle(context):
-    """As a server does after a while: close what waits for a request."""
+    """Simulate upstreams that close connections after an idle timeout."""
 
     async def close():
         for link in context.host.dispatcher.list_links():
@@ -286,12 +286,12 @@
     run(context, close())
 
 
-_GOOD = {'collection': 'members', 'body': 'x'}
+_VALID_QUERY = {'collection': 'members', 'body': 'x'}
 
 
 @when('a caller sends a request that is (.+)')
-def send_bad(context, fault):
-    body = json.dumps(_GOOD).encode()
+def send_invalid(context, fault):
+    body = json.dumps(_VALID_QUERY).encode()
     path = protocol.QUERY_PATH
     token = context.token
     length = None
@@ -303,13 +303,13 @@
         case 'not JSON':
             body = b'{"collection": '
         case 'of a wrong type':
-            body = json.dumps({**_GOOD, 'limit': 'ten'}).encode()
+            body = json.dumps({**_VALID_QUERY, 'limit': 'ten'}).encode()
         case 'too large':
-            body = json.dumps({**_GOOD, 'body': 'x' * 5000}).encode()
+            body = json.dumps({**_VALID_QUERY, 'body': 'x' * 5000}).encode()
         case 'to no such place':
             path = '/v1/nothing'
         case 'for no collection':
-            body = json.dumps({**_GOOD, 'collection': 'x'}).encode()
+            body = json.dumps({**_VALID_QUERY, 'collection': 'x'}).encode()
         case 'slow in its body':
             length = len(body) + 100
         case _:
@@ -318,8 +318,8 @@
 
 
 @when('a caller sends a good query')
-def send_good(context):
-    body = json.dumps(_GOOD).encode()
+def send_valid(context):
+    body = json.dumps(_VALID_QUERY).encode()
     send_http(context, 'POST', protocol.QUERY_PATH, context.token, body)
 
 
@@ -329,16 +329,16 @@
 
 
 def send_http(context, method, path, token, body, length=None, control=False):
-    """Send one request and keep the whole reply."""
+    """Send a request and store the raw reply in the context."""
     head = f'{method} {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n'
     if token:
         head += f'authorization: Bearer {token}\r\n'
     head += f'content-length: {length or len(body)}\r\n\r\n'
     address = context.served.control if control else context.served.callers
-    context.reply = run(context, _talk(address, head.encode() + body))
+    context.reply = run(context, _send_bytes(address, head.encode() + body))
 
 
-async def _talk(address, data):
+async def _send_bytes(address, data):
     ip, _, port = address.partition(':')
     reader, writer = await asyncio.open_connection(ip, int(port))
     writer.write(data)
@@ -357,15 +357,15 @@
 
 
 @when('a caller sends part of a request head and waits')
-def send_half_head(context):
+def send_partial_head(context):
     data = b'POST /v1/query HTTP/1.1\r\nhost: x\r\nx-slow: '
-    context.reply = run(context, _talk(context.served.callers, data))
+    context.reply = run(context, _send_bytes(context.served.callers, data))
 
 
 @when('a caller sends a request head that is too long')
-def send_endless_head(context):
+def send_long_head(context):
     data = b'POST /v1/query HTTP/1.1\r\n' + b'x-long: ' + b'y' * 8000
-    context.reply = run(context, _talk(context.served.callers, data))
+    context.reply = run(context, _send_bytes(context.served.callers, data))
 
 
 @then(r'the connection is closed with status (\d+)')
--- a/features/steps/timeline.py
+++ b/features/steps/timeline.py
@@ -1,4 +1,4 @@
-"""Steps on clocks and the ring of events."""
+"""Steps on clocks and event rings."""
 
 import asyncio
 import time
@@ -21,12 +21,12 @@
     clock = state.Clock(context.loop, _WALL + skew)
     hybrid = state.HybridClock(clock)
     ring = state.EventRing(state.HostId(name), hybrid)
-    known = getattr(context, 'rings', {})
-    context.rings = {**known, name: (clock, hybrid, ring)}
+    rings = getattr(context, 'rings', {})
+    context.rings = {**rings, name: (clock, hybrid, ring)}
 
 
 @given(r'host "([^"]+)" whose clock is accurate')
-def add_right(context, name):
+def add_accurate(context, name):
     _add_host(context, name, 0.0)
 
 
@@ -39,12 +39,12 @@
     r'"([^"]+)" records a cause and sends its stamp to "([^"]+)", which '
     r'records an effect'
 )
-def tell(context, one, other):
-    _, _, ring = context.rings[one]
+def record_and_observe(context, sender, receiver):
+    _, _, ring = context.rings[sender]
     context.cause = ring.record(state.EventKind.CLAIM)
-    _, hybrid, other_ring = context.rings[other]
+    _, hybrid, receiver_ring = context.rings[receiver]
     hybrid.hear(context.cause.stamp)
-    context.effect = other_ring.record(state.EventKind.ANSWERED)
+    context.effect = receiver_ring.record(state.EventKind.ANSWERED)
 
 
 @then('the effect comes after the cause in the merged order')
@@ -61,8 +61,8 @@
 @then(r'the stamp of "([^"]+)" is less than (\d+) seconds? ahead of its clock')
 def check_ahead(context, name, seconds):
     clock, _, _ = context.rings[name]
-    ahead = context.effect.stamp.wall - clock.wall()
-    assert ahead < int(seconds), ahead
+    ahead_s = context.effect.stamp.wall - clock.wall()
+    assert ahead_s < int(seconds), ahead_s
 
 
 @when(r'"([^"]+)" records (\d+) events at the same instant')
@@ -80,16 +80,19 @@
 
 
 class SuspendedMachine:
-    """Clocks of a machine whose monotonic clock stands still meanwhile."""
+    """The clocks of a machine that can be suspended.
+
+    Only `CLOCK_BOOTTIME` includes the time of suspension.
+    """
 
     def __init__(self) -> None:
-        self.slept = 0.0
+        self.suspended_s = 0.0
         self._read = time.clock_gettime
 
     def read(self, clock):
-        """Return what `time.clock_gettime` would."""
-        asleep = self.slept if clock == time.CLOCK_BOOTTIME else 0.0
-        return self._read(clock) + asleep
+        """Return the time of a clock, as `time.clock_gettime` does."""
+        offset_s = self.suspended_s if clock == time.CLOCK_BOOTTIME else 0.0
+        return self._read(clock) + offset_s
 
 
 @given(r"the programs' event loop and a timer due in ([\d.]+) seconds")
@@ -97,34 +100,36 @@
     context.machine = SuspendedMachine()
     patch = mock.patch.object(time, 'clock_gettime', context.machine.read)
     context.stack.enter_context(patch)
-    context.slept_loop = core.SuspendAwareLoop()
-    context.stack.callback(context.slept_loop.close)
-    offset = time.time() - context.slept_loop.time()
-    context.slept_clock = core.Clock(context.slept_loop, offset)
-    context.slept_from = context.slept_clock.now()
-    context.rung = []
-    context.slept_loop.call_later(float(seconds), context.rung.append, 1)
+    context.program_loop = core.SuspendAwareLoop()
+    context.stack.callback(context.program_loop.close)
+    offset = time.time() - context.program_loop.time()
+    context.program_clock = core.Clock(context.program_loop, offset)
+    context.started_at = context.program_clock.now()
+    context.timer_runs = []
+    context.program_loop.call_later(
+        float(seconds), context.timer_runs.append, 1
+    )
 
 
 @when(r'the machine is suspended for ([\d.]+) seconds')
 def suspend(context, seconds):
-    context.machine.slept += float(seconds)
-    context.slept_loop.run_until_complete(asyncio.sleep(0))
+    context.machine.suspended_s += float(seconds)
+    context.program_loop.run_until_complete(asyncio.sleep(0))
 
 
 @then(r'the timer has run')
-def check_rung(context):
-    assert context.rung == [1]
+def check_timer(context):
+    assert context.timer_runs == [1]
 
 
 @then(r"the loop's clock has advanced by ([\d.]+) seconds")
-def check_slept(context, seconds):
-    passed = context.slept_clock.now() - context.slept_from
-    assert float(seconds) <= passed < float(seconds) + 1.0, passed
+def check_clock(context, seconds):
+    elapsed_s = context.program_clock.now() - context.started_at
+    assert float(seconds) <= elapsed_s < float(seconds) + 1.0, elapsed_s
 
 
 @then("the loop's wall time is correct")
 def check_wall(context):
-    # The time of day of a machine goes on while it is suspended.
-    right = time.time() + context.machine.slept
-    assert abs(context.slept_clock.wall() - right) < 0.5
+    # Wall time advances while the machine is suspended.
+    expected = time.time() + context.machine.suspended_s
+    assert abs(context.program_clock.wall() - expected) < 0.5
