--- a/features/environment.py
+++ b/features/environment.py
@@ -21,7 +21,7 @@
 
 
 def before_all(context):
-    """Suppress uvicorn's errors on watches that the end of a scenario cuts."""
+    """Suppress uvicorn's errors on watches cut off when a scenario ends."""
     logging.getLogger('uvicorn').setLevel(logging.CRITICAL)
 
 
--- a/features/steps/common.py
+++ b/features/steps/common.py
@@ -127,7 +127,7 @@
 
 @then("the upstreams' records match the reported outcomes")
 def check_records(context):
-    """Check that upstreams ran the answered shards at that version."""
+    """Check that the answered shards ran at the reported version."""
     finished = {
         (run.request.request_id.rpartition('.')[0], run.request.shard)
         for run in context.bench.fleet.list_runs()
