--- a/features/steps/schedules.py
+++ b/features/steps/schedules.py
@@ -1,4 +1,4 @@
-"""Steps that run random fault schedules and break locks on purpose."""
+"""Steps that run random fault schedules and disable safeguards."""
 
 import collections
 import dataclasses
@@ -17,7 +17,7 @@
 
 
 @given('answers are accepted whosever they are')
-def accept_any(context):
+def accept_any_reply(context):
     def accept(request, reply):
         return reply
 
@@ -26,7 +26,7 @@
 
 
 @given('commands are run without a claim')
-def claim_nothing(context):
+def grant_all_claims(context):
     async def claim(self, key, claim, until):
         return coordination.ClaimGranted()
 
@@ -35,7 +35,7 @@
 
 
 @given('coverage counts what was asked for')
-def count_all(context):
+def report_full_coverage(context):
     run = coordination.QueryRunner.run
 
     async def overstate(self, ticket, collection):
@@ -49,18 +49,18 @@
     context.stack.enter_context(patch)
 
 
-@given('hosts now and then put the first table they had in force again')
-def go_back(context):
+@given('hosts sometimes revert to the first table that they applied')
+def revert_tables(context):
     apply_table = coordination.Configuration.apply_table
-    seen = collections.defaultdict(list)
+    applied = collections.defaultdict(list)
 
-    def apply_some_old(self, table):
-        seen[self].append(table)
-        old = len(seen[self]) % 5 == 0
-        apply_table(self, seen[self][0] if old else table)
+    def apply_or_revert(self, table):
+        applied[self].append(table)
+        reverts = len(applied[self]) % 5 == 0
+        apply_table(self, applied[self][0] if reverts else table)
 
     patch = mock.patch.object(
-        coordination.Configuration, 'apply_table', apply_some_old
+        coordination.Configuration, 'apply_table', apply_or_revert
     )
     context.stack.enter_context(patch)
 
@@ -78,22 +78,22 @@
     context.schedules = [experiments.run_schedule(seed) for seed in seeds]
 
 
-@then('no promise was broken')
-def check_none_broken(context):
+@then('no invariant was violated')
+def check_no_violation(context):
     broken = {each.seed: each.violations for each in context.schedules}
     broken = {seed: found for seed, found in broken.items() if found}
     assert not broken, broken
 
 
-@then('some promise was broken')
-def check_some_broken(context):
+@then('some invariant was violated')
+def check_violation(context):
     assert any(each.violations for each in context.schedules)
 
 
-@then('answers, refusals, records and unknowns were all seen')
+@then('answered, refused, recorded and unknown outcomes all occurred')
 def check_all_kinds(context):
     outcomes = collections.Counter()
     for each in context.schedules:
         outcomes.update(each.outcomes)
-    wanted = {'Answered', 'Refused', 'Recorded', 'Unknown'}
-    assert wanted <= set(outcomes), outcomes
+    expected = {'Answered', 'Refused', 'Recorded', 'Unknown'}
+    assert expected <= set(outcomes), outcomes
