--- a/rudderrock/soak/_checks.py
+++ b/rudderrock/soak/_checks.py
@@ -18,17 +18,18 @@
 # Statuses by which the gateway guarantees that a request has not run and will
 # not run.
 NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
-# Once a request has crashed three upstreams, the hosts have this many seconds
-# to quarantine it. After that, at most MAX_LATE_LETHAL of its copies sent in
-# undisturbed periods may reach upstreams, as canaries: a canary waits until
-# its service has an upstream to spare.
+# Seconds in which the hosts must quarantine a request after it has crashed
+# three upstreams.
 LETHAL_KNOWN_S = 4.0
+# Copies of it, sent in undisturbed periods, that may still reach upstreams
+# after that. These are canaries, each of which is delayed until its service
+# has an upstream to spare.
 MAX_LATE_LETHAL = 3
-# A request sent in an undisturbed period this long after a table version was
-# written must be served by that version or a later one.
+# Seconds after a table version is written. Requests sent later than that, in
+# undisturbed periods, must be served by it or a later version.
 TABLE_DEADLINE_S = 3.0
-# A request sent in an undisturbed period this long after an upstream started
-# to drain must not reach that upstream.
+# Seconds after an upstream starts to drain. Requests sent later than that, in
+# undisturbed periods, must not reach it.
 DRAIN_DEADLINE_S = 3.0
 _RECORDS_PER_REPLY = 6
 _RECORD_BYTES = 16
@@ -57,10 +58,12 @@
 class Sent:
     """One request of a caller and the reply to it.
 
-    `status` is 0 if the connection ended without a reply. Times are in
-    seconds, by the clock of the event loop. `calm` is whether no unplanned
-    fault was active while the request was in flight or in the last seconds
-    before it was sent.
+    `host` is the number of the host and `at` the time of sending. `headers`
+    are those of the reply and `reply` is its body. `status` is 0 if the
+    connection ended without a reply. Times are in seconds, by the clock of
+    the event loop. `calm` is whether the request was sent and answered in an
+    undisturbed period: no unplanned fault was active while it was in flight
+    or in the 4 s before it was sent.
     """
 
     request_id: str
@@ -81,7 +84,7 @@
         return self.headers.get(name.decode('ascii'), '')
 
     @property
-    def is_once(self) -> bool:
+    def is_non_repeatable(self) -> bool:
         """Return whether the request may run at most once."""
         return self.target.startswith('/once/')
 
@@ -91,17 +94,18 @@
     """The observations of one soak run.
 
     `sent` are the callers' requests. `runs` are pairs of an upstream and a
-    request that it ran. `arrivals` holds, by service, the time and the id
-    of each request that reached an upstream. `shard_sets` are the sets of
-    shards that any table version named. `services` is the service of each
-    upstream. `moves` are the successive target services of the route
-    `/moved/`, and `moved_at` the times at which each was written to the
-    table. `ratio`, `slack` and `window_s` bound the extra requests to a
-    service: in each window of `window_s` seconds at most `slack` plus `ratio`
-    times the first requests of this window and the one before. `crashes`
-    holds the times at which upstreams crashed, by the target of the lethal
-    request. `drained_at` is when each draining upstream registered that it
-    drains. All times are in seconds, by the clock of the event loop.
+    request that it ran. `arrivals` holds, by service, the time and the id of
+    each request that reached an upstream. `shard_sets` are the sets of shards
+    that any table version named. `services` is the service of each upstream.
+    `moves` are the successive services of the route `/moved/`, and `moved_at`
+    the times at which each was written to the table. An extra request is any
+    but the first copy of a request id that reaches a service. In each window
+    of `window_s` seconds a service may receive `slack` + `ratio` * n of them,
+    where n is the number of requests that reached it and that callers sent in
+    this window or the one before. `crashes` holds the times at which upstreams
+    crashed, by the target of the lethal request. `drained_at` is when each
+    draining upstream registered that it drains. All times are in seconds, by
+    the clock of the event loop.
     """
 
     sent: list[Sent]
@@ -120,18 +124,18 @@
 
 def check_records(records: Records) -> list[Violation]:
     """Return all violated guarantees."""
-    by_id = {each.request_id: each for each in records.sent}
-    runs = collections.defaultdict(list)
+    sent_by_id = {each.request_id: each for each in records.sent}
+    runs_by_id = collections.defaultdict(list)
     for upstream, run in records.runs:
-        runs[run.request_id].append((upstream, run))
+        runs_by_id[run.request_id].append((upstream, run))
     violations: list[Violation] = []
     for sent in records.sent:
-        violations += _check_sent(records, sent, runs[sent.request_id])
-    violations += _check_unrequested(by_id, records.runs)
-    violations += _check_budget(records, by_id)
+        violations += _check_sent(records, sent, runs_by_id[sent.request_id])
+    violations += _check_unrequested(sent_by_id, records.runs)
+    violations += _check_budget(records, sent_by_id)
     violations += _check_version_order(records)
     violations += _check_table_deadline(records)
-    violations += _check_draining(records, by_id)
+    violations += _check_draining(records, sent_by_id)
     for target, crashes in records.crashes.items():
         violations += _check_lethal(records, target, sorted(crashes))
     return violations
@@ -143,9 +147,13 @@
     def add_violation(guarantee: str, detail: str) -> None:
         violations.append(Violation(guarantee, f'{sent.request_id}: {detail}'))
 
-    if sent.is_once and len(runs) > 1:
+    if sent.is_non_repeatable and len(runs) > 1:
         add_violation('at most once', f'ran {len(runs)} times')
-    if sent.is_once and runs and sent.status in NOT_EXECUTED_STATUSES:
+    if (
+        sent.is_non_repeatable
+        and runs
+        and sent.status in NOT_EXECUTED_STATUSES
+    ):
         add_violation(
             'a refusal is true', f'{sent.status}, but the request ran'
         )
@@ -169,7 +177,7 @@
 
 
 def _find_reply_problem(records: Records, sent: Sent) -> str:
-    """Return the fault of a reply, or an empty string if it is correct."""
+    """Return what is wrong with a reply, or an empty string."""
     if not sent.target.startswith('/all/'):
         stamp = sent.get_header(platform.NAMES.stamp)
         upstream, _, request_id = stamp.partition('.')
@@ -202,7 +210,10 @@
 
 
 def _pick_top_records(upstreams: list[str], request_id: str) -> bytes:
-    """Return the greatest `TOP_K` records, without using gateway code."""
+    """Return the greatest `TOP_K` records.
+
+    Uses no code of the gateway, so that defects of its merge are detected.
+    """
     body = b''.join(make_records(name, request_id) for name in upstreams)
     records = [
         body[start : start + _RECORD_BYTES]
@@ -211,10 +222,10 @@
     return b''.join(sorted(records, reverse=True)[:TOP_K])
 
 
-def _check_unrequested(by_id, runs) -> list[Violation]:
+def _check_unrequested(sent_by_id, runs) -> list[Violation]:
     violations = []
     for upstream, run in runs:
-        sent = by_id.get(run.request_id)
+        sent = sent_by_id.get(run.request_id)
         if sent is None:
             detail = f'{upstream} ran {run.request_id!r}'
         elif (run.method, run.target, run.body) != (
@@ -231,7 +242,7 @@
     return violations
 
 
-def _check_budget(records: Records, by_id) -> list[Violation]:
+def _check_budget(records: Records, sent_by_id) -> list[Violation]:
     """Check the bound on extra requests in a sliding window per service."""
     violations = []
     for service, arrivals in records.arrivals.items():
@@ -241,7 +252,9 @@
             if request_id in seen:
                 extra_times.append(at)
             seen.add(request_id)
-        first_times = sorted(by_id[name].at for name in seen if name in by_id)
+        first_times = sorted(
+            sent_by_id[name].at for name in seen if name in sent_by_id
+        )
         for end in extra_times:
             start = end - records.window_s
             count = sum(start < at <= end for at in extra_times)
@@ -303,19 +316,19 @@
     return violations
 
 
-def _check_draining(records: Records, by_id) -> list[Violation]:
+def _check_draining(records: Records, sent_by_id) -> list[Violation]:
     """Check that a draining upstream receives no new requests."""
     violations = []
     for upstream, run in records.runs:
-        sent = by_id.get(run.request_id)
+        sent = sent_by_id.get(run.request_id)
         drained_at = records.drained_at.get(upstream)
         if sent is None or drained_at is None or not sent.calm:
             continue
-        after_s = sent.at - drained_at
-        if after_s > DRAIN_DEADLINE_S:
+        drain_age_s = sent.at - drained_at
+        if drain_age_s > DRAIN_DEADLINE_S:
             detail = (
                 f'{run.request_id} at {upstream}, '
-                f'sent {after_s:.1f} s after the drain'
+                f'sent {drain_age_s:.1f} s after the drain'
             )
             guarantee = 'no new work to a leaving upstream'
             violations.append(Violation(guarantee, detail))
--- a/rudderrock/soak/_world.py
+++ b/rudderrock/soak/_environment.py
@@ -16,32 +16,39 @@
 from rudderrock.soak import _proxy as proxy
 from rudderrock.standins import platform as platform_standins
 
+# The limit on extra requests. The slack is written to the settings file; the
+# ratio and the window are as `make_settings_file` writes them.
 EXTRA_RATIO = 0.2
 EXTRA_SLACK = 30.0
 EXTRA_WINDOW_S = 10.0
 STOP_GRACE_S = 3.0
 SHARDS = 4
-# Shards of each set whose upstreams are all in zone south-1, so that hosts in
-# north-1 delegate requests for them to hosts in south-1.
+# Number of shards in each set that have upstreams only in zone south-1, so
+# that hosts in north-1 delegate requests for them to hosts in south-1.
 REMOTE_SHARDS = 3
 _ZONES = ('north-1', 'south-1')
 ROUTE_TIMEOUT_S = 1.5
+# Consecutive ports that are checked to be free for each host. The settings
+# file names the first, the second and the fourth of them; it also names the
+# port 9 above the first, which is not checked.
 _PORTS_PER_HOST = 4
 _NET_BASE = 10
 _NET_COUNT = 200
 _READY_TRIES = 300
-# Interval between snapshots of the store, each followed by a new revision.
-_REVISION_PERIOD_S = 0.5
+# Interval between snapshots of the store, and between the revisions that
+# `_advance_store` adds.
+_SNAPSHOT_PERIOD_S = 0.5
 # Number of snapshots kept; the oldest is 10 s old.
 _MAX_SNAPSHOTS = 20
-# Delay from a restore until the operator writes the table again, and the time
-# in which all upstreams register again after that.
+# Delay from a restore until the operator writes the table again.
 _REWRITE_DELAY_S = 0.1
+# After that, each upstream registers again at its next heartbeat, within this
+# many seconds.
 _HEARTBEAT_PERIOD_S = 1.2
 
 
 class Host:
-    """One gateway process; each start is a new incarnation."""
+    """One gateway host; each start of its process is a new incarnation."""
 
     def __init__(self, number: int, folder: pathlib.Path, log):
         self.number = number
@@ -68,7 +75,7 @@
         """Start the proxy to the store and write the settings file."""
         self.proxy = proxy.Proxy(store)
         await self.proxy.start()
-        self.port = find_ports(_PORTS_PER_HOST, self.ip)
+        self.port = find_port_range(_PORTS_PER_HOST, self.ip)
         zone = 'north-1' if self.number % 2 else 'south-1'
         self._file.write_text(
             platform_standins.make_settings_file(
@@ -120,8 +127,8 @@
         await self.proxy.stop()
 
 
-class World:
-    """Hosts, store, upstreams and the proxies between them."""
+class Environment:
+    """The hosts under test, and the stand-ins and proxies around them."""
 
     def __init__(self, folder: pathlib.Path, log):
         self.store = platform_standins.PlatformStore()
@@ -139,20 +146,20 @@
         self.lethal: frozenset[str] = frozenset()
         self._folder = folder
         self._log = log
-        self._version = 0
-        self._config = b''
-        self._entries: dict[str, bytes] = {}
+        self._table_version = 0
+        self._table_raw = b''
+        self._registrations: dict[str, bytes] = {}
         self._snapshots: collections.deque[platform_standins.StoreSnapshot] = (
             collections.deque(maxlen=_MAX_SNAPSHOTS)
         )
         self._shards: list[str] = []
-        self._count = 0
+        self._upstream_count = 0
 
     @contextlib.asynccontextmanager
     async def open(self, hosts: int):
         """Start store, upstreams and hosts; stop them at context exit."""
         async with contextlib.AsyncExitStack() as stack:
-            port = find_ports(1)
+            port = find_port_range(1)
             await self.store.start('127.0.0.1', port)
             stack.push_async_callback(self.store.stop)
             self._stack = stack
@@ -171,25 +178,25 @@
 
     async def add_upstream(self, service: str, zone: str) -> None:
         """Start one upstream behind a proxy and register it."""
-        self._count += 1
-        name = f'i-{self._count:04d}'
-        model = standins.WireUpstream(
+        self._upstream_count += 1
+        name = f'i-{self._upstream_count:04d}'
+        upstream = standins.WireUpstream(
             name,
             platform.NAMES,
             records=lambda request_id: checks.make_records(name, request_id),
             work_s=0.01,
         )
-        port = find_ports(1)
-        await model.start('127.0.0.1', port)
-        self._stack.push_async_callback(model.stop)
+        port = find_port_range(1)
+        await upstream.start('127.0.0.1', port)
+        self._stack.push_async_callback(upstream.stop)
         upstream_proxy = proxy.Proxy(('127.0.0.1', port))
         await upstream_proxy.start()
         self._stack.push_async_callback(upstream_proxy.stop)
-        model.lethal = self.lethal
-        model.on_crash = lambda: upstream_proxy.refuse_connections(
+        upstream.lethal = self.lethal
+        upstream.on_crash = lambda: upstream_proxy.refuse_connections(
             standins.DOWN_S
         )
-        self.upstreams[name] = model
+        self.upstreams[name] = upstream
         self.services[name] = service
         self.proxies[name] = upstream_proxy
         self.register(name, zone)
@@ -205,7 +212,7 @@
             state,
             sequence,
         )
-        self._entries[name] = raw
+        self._registrations[name] = raw
         self.store.put_server(name, raw)
 
     async def restore_store(self, away_s: float, age: int) -> None:
@@ -224,28 +231,34 @@
         era = self.store.era
         await asyncio.sleep(_REWRITE_DELAY_S)
         if self.store.era == era:
-            self.store.put_config(self._config)
-        for name in sorted(self._entries):
-            await asyncio.sleep(_HEARTBEAT_PERIOD_S / len(self._entries))
+            self.store.put_config(self._table_raw)
+        for name in sorted(self._registrations):
+            await asyncio.sleep(_HEARTBEAT_PERIOD_S / len(self._registrations))
             if self.store.era == era:
-                self.store.put_server_if_new(name, self._entries[name])
+                self.store.put_server_if_changed(
+                    name, self._registrations[name]
+                )
 
     def make_lethal(self, target: str) -> None:
         """Make requests for a target crash each upstream that runs them."""
         self.lethal |= {target}
-        for model in self.upstreams.values():
-            model.lethal = self.lethal
+        for upstream in self.upstreams.values():
+            upstream.lethal = self.lethal
 
     def list_crashes(self) -> dict[str, list[float]]:
         """Return the times of upstream crashes by target of the request."""
         crashes = collections.defaultdict(list)
-        for model in self.upstreams.values():
-            for at, target in model.crash_log:
+        for upstream in self.upstreams.values():
+            for at, target in upstream.crash_log:
                 crashes[target].append(at)
         return dict(crashes)
 
     def drain(self, name: str) -> None:
-        """Register an upstream as draining, unless it is the last one."""
+        """Register an upstream as draining.
+
+        Do nothing if no other upstream of its service is left that does not
+        drain. The entry names zone north-1, whatever the upstream's zone.
+        """
         service = self.services[name]
         others = [
             each
@@ -265,7 +278,11 @@
         )
 
     async def add_shards(self, count: int) -> None:
-        """Start a new set of shards, `REMOTE_SHARDS` of them in one zone."""
+        """Start a new set of shards, which replaces the current set.
+
+        `count` of them have upstreams in both zones and another
+        `REMOTE_SHARDS` only in south-1.
+        """
         first = len(self.shard_sets) * 100
         total = count + REMOTE_SHARDS
         self._shards = [f'shard-{first + each}' for each in range(total)]
@@ -284,7 +301,8 @@
 
     async def move_route(self) -> None:
         """Write a table version that moves one route to a new service."""
-        self._version += 3
+        # Table versions may skip numbers.
+        self._table_version += 3
         target = f'moved-{len(self.moves)}'
         await self.add_service(target)
         self.moves.append(target)
@@ -296,9 +314,9 @@
             platform_standins.make_route('/moved/', target),
         ]
         raw = platform_standins.make_config(
-            self._version, routes, timeout_s=ROUTE_TIMEOUT_S
+            self._table_version, routes, timeout_s=ROUTE_TIMEOUT_S
         )
-        self._config = raw
+        self._table_raw = raw
         self.moved_at.append(asyncio.get_running_loop().time())
         self.store.put_config(raw)
 
@@ -313,10 +331,13 @@
                 raise RuntimeError(f'host {host.number} not ready in time')
 
     async def _advance_store(self) -> None:
-        """Take snapshots and advance the revision, as heartbeats would."""
+        """Take a snapshot and advance the revision periodically.
+
+        Heartbeats of upstreams would advance the revision too.
+        """
         while True:
             self._snapshots.append(self.store.make_snapshot())
-            await asyncio.sleep(_REVISION_PERIOD_S)
+            await asyncio.sleep(_SNAPSHOT_PERIOD_S)
             self.store.revision += 1
 
 
@@ -335,7 +356,7 @@
     return b' 200 ' in line
 
 
-def find_ports(count: int, ip: str = '127.0.0.1') -> int:
+def find_port_range(count: int, ip: str = '127.0.0.1') -> int:
     """Return the first of `count` consecutive free ports of an address."""
     while True:
         with socket.socket() as probe:
--- a/rudderrock/soak/_plan.py
+++ b/rudderrock/soak/_plan.py
@@ -24,7 +24,7 @@
     STORE_RESTORED = 'store_returns'
     PROXY_TO_STORE = 'way_to_store'
     PROXY_TO_UPSTREAM = 'way_to_upstream'
-    UPSTREAM = 'upstream'
+    UPSTREAM_MISBEHAVES = 'upstream'
     UPSTREAM_RESTARTS = 'upstream_restarts'
     UPSTREAM_DRAINS = 'upstream_drains'
     MOVE_ROUTE = 'move_route'
@@ -43,18 +43,22 @@
     STALL_BOTH = 'silence'
 
 
-# Planned operations; all other faults are unplanned.
-PLANNED = frozenset({FaultKind.STOP, FaultKind.RELOAD, FaultKind.MOVE_ROUTE})
-# Drawn from separate random streams, so that the number of these faults does
-# not change the rest of the plan.
+# Operations that an operator performs; all other kinds are unplanned faults,
+# which count as disturbances.
+OPERATIONS = frozenset(
+    {FaultKind.STOP, FaultKind.RELOAD, FaultKind.MOVE_ROUTE}
+)
+# Kinds whose number is an argument of `make_plan`. They are drawn from
+# separate random streams, so that their number does not change the rest of the
+# plan.
 _DRAWN_SEPARATELY = (FaultKind.LETHAL_REQUEST, FaultKind.STORE_RESTORED)
 _DRAWN_TOGETHER = [each for each in FaultKind if each not in _DRAWN_SEPARATELY]
-# A lethal request crashes each upstream that runs it. Callers start to send
-# copies of it before this fraction of the load's duration, and continue until
-# the end of the load.
+# The latest time at which callers start to send a lethal request, as a
+# fraction of the load's duration. They send copies of it until the end of the
+# load. A lethal request crashes each upstream that runs it.
 _MAX_LETHAL_START_FRACTION = 0.4
-# The outage before the store is restored lasts this fraction of the duration
-# of other faults.
+# The outage before the store is restored is drawn like the duration of other
+# faults, times this.
 _OUTAGE_FRACTION = 0.4
 _UPSTREAM_FAULT_MODES = [
     each
@@ -67,8 +71,9 @@
 class Fault:
     """One fault, `start_s` seconds after the start of the load.
 
-    `target` selects the host, upstream, route or snapshot, modulo the number
-    of candidates. `variant` is the mode of the fault, for kinds that have
+    `target` selects the host, the upstream, the snapshot, the route of a
+    lethal request or the number of shards, modulo the number of candidates.
+    `variant` is the mode of the fault, for kinds that have
     several.
     """
 
@@ -97,10 +102,11 @@
 def make_plan(
     seed: int, length_s: float, hosts: int, lethal: int = 1, restores: int = 0
 ) -> Plan:
-    """Draw a plan: single faults, series of one kind, and overlaps.
+    """Return a plan with single faults, series of one kind and overlaps.
 
-    `lethal` requests that crash upstreams and `restores` restorations of the
-    store from a snapshot are drawn from separate random streams.
+    `lethal` is the number of requests that crash upstreams, `restores` how
+    many times the store is restored from a snapshot. Each of these faults is
+    drawn from a random stream of its own.
     """
     rng = core.make_random(seed, 'soak')
     faults: list[Fault] = []
@@ -121,6 +127,8 @@
             _draw_fault(separate_rng, started, FaultKind.LETHAL_REQUEST)
         )
     for number in range(restores):
+        # The text selects the random stream, so another text would change the
+        # plans of all seeds.
         separate_rng = core.make_random(seed, f'return{number}')
         started = separate_rng.uniform(0.1, 0.9) * length_s
         faults.append(
@@ -138,7 +146,7 @@
             variant = rng.choice(choices)
         case FaultKind.PROXY_TO_STORE | FaultKind.PROXY_TO_UPSTREAM:
             variant = rng.choice(list(ProxyFault)[1:])
-        case FaultKind.UPSTREAM:
+        case FaultKind.UPSTREAM_MISBEHAVES:
             variant = rng.choice(_UPSTREAM_FAULT_MODES)
     duration_s = rng.uniform(0.2, 3.0)
     if kind is FaultKind.STORE_RESTORED:
--- a/rudderrock/soak/_proxy.py
+++ b/rudderrock/soak/_proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets or stalls its connections."""
+"""A loopback proxy that delays, resets, stalls or refuses connections."""
 
 import asyncio
 import struct
@@ -41,7 +41,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def refuse_connections(self, seconds: float) -> None:
-        """Drop all connections and refuse new ones for some seconds.
+        """Drop all connections and refuse new ones for `seconds`.
 
         Simulates a crash and restart of the server.
         """
@@ -82,8 +82,8 @@
                 ),
             )
         except (OSError, asyncio.CancelledError):
-            # Either side has closed the connection, or the soak is ending. The
-            # connections to both sides are aborted below.
+            # Either side has closed the connection, or the proxy drops its
+            # connections. Those to both sides are aborted below.
             return
         finally:
             self._writers.discard(writer)
@@ -92,24 +92,28 @@
             if server_writer is not None:
                 server_writer.transport.abort()
 
-    async def _pump(self, reader, writer, stall: plan.ProxyFault) -> None:
+    async def _pump(
+        self, reader, writer, stalling_fault: plan.ProxyFault
+    ) -> None:
         while data := await reader.read(_CHUNK_BYTES):
             if self.fault is plan.ProxyFault.DELAY:
                 await asyncio.sleep(_DELAY_S)
-            while self.fault in (stall, plan.ProxyFault.STALL_BOTH):
+            while self.fault in (stalling_fault, plan.ProxyFault.STALL_BOTH):
                 await asyncio.sleep(0.02)
             writer.write(data)
             await writer.drain()
         if writer.can_write_eof():
             writer.write_eof()
         # The end of a reply may be marked by closing the connection, so when
-        # the server closes, the client's connection must be closed too.
-        if stall is plan.ProxyFault.STALL_TO_CLIENT:
+        # the server closes, the client's connection must be closed too. The
+        # exception makes `_on_connection` abort both connections.
+        if stalling_fault is plan.ProxyFault.STALL_TO_CLIENT:
             raise ConnectionAbortedError
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
     sock = writer.get_extra_info('socket')
     if sock is not None:
+        # 1 is SOL_SOCKET and 13 is SO_LINGER, as numbered on Linux.
         sock.setsockopt(1, 13, _LINGER)
     writer.transport.abort()
--- a/rudderrock/soak/_run.py
+++ b/rudderrock/soak/_run.py
@@ -13,22 +13,26 @@
 from rudderrock import platform
 from rudderrock import standins
 from rudderrock.soak import _checks as checks
+from rudderrock.soak import _environment as environment_module
 from rudderrock.soak import _plan as plan_module
-from rudderrock.soak import _world as world_module
 from rudderrock.standins import platform as platform_standins
 
 CALLERS = 6
 _REQUEST_INTERVAL_S = 0.04
-# Fraction of requests that are copies of a lethal one, once there is one.
+# Fraction of requests that are copies of a lethal request, after the first
+# such fault.
 _LETHAL_FRACTION = 0.1
 _DEADLINE_MS = 1200
-# A caller counts a connection as failed if no complete reply has arrived this
-# long after the request's deadline.
+# Seconds after the deadline of a request at which its caller stops waiting for
+# a complete reply.
 _RESPONSE_GRACE_S = 4.0
+# Seconds from the end of the load to the recovery check, and the number of
+# requests that the check sends to a host at most, until one is answered with
+# status 200.
 _SETTLE_S = 6.0
 _FINAL_TRIES = 5
-# A period counts as undisturbed if no unplanned fault was active for this long
-# before it.
+# A period counts as undisturbed if no unplanned fault was active during it and
+# for this many seconds before it.
 _UNDISTURBED_S = 4.0
 # Outage before the store is restored with no other fault active.
 _RESTORE_OUTAGE_S = 0.3
@@ -38,7 +42,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Report:
-    """The injected faults, the reply statuses and the violations of a seed."""
+    """The injected faults, the reply statuses and the violations of a seed.
+
+    `checked` is the number of requests that callers sent.
+    """
 
     seed: int
     injected: collections.Counter[str]
@@ -50,21 +57,25 @@
 class Run:
     """The execution of one plan."""
 
-    def __init__(self, plan: plan_module.Plan, world: world_module.World):
+    def __init__(
+        self,
+        plan: plan_module.Plan,
+        environment: environment_module.Environment,
+    ):
         self.sent: list[checks.Sent] = []
         self.injected: collections.Counter[str] = collections.Counter()
         self.violations: list[checks.Violation] = []
         self._plan = plan
-        self._world = world
+        self._environment = environment
         self._disturbances: list[tuple[float, float]] = []
-        self._count = 0
+        self._request_count = 0
         self._is_finished = False
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self) -> None:
         """Send load, inject all faults, then check that all hosts recover."""
         loop = asyncio.get_running_loop()
-        await self._world.wait_until_ready()
+        await self._environment.wait_until_ready()
         started = loop.time()
         callers = [
             asyncio.create_task(
@@ -93,36 +104,36 @@
         await self._check_recovery()
         self._mark_undisturbed()
 
-    def make_records(self) -> checks.Records:
+    def collect_observations(self) -> checks.Records:
         """Return the observations of callers and upstreams."""
-        world = self._world
+        environment = self._environment
         runs = [
             (name, run)
-            for name, model in world.upstreams.items()
-            for run in model.runs
+            for name, upstream in environment.upstreams.items()
+            for run in upstream.runs
         ]
         arrivals = collections.defaultdict(list)
-        for name, model in world.upstreams.items():
-            arrivals[world.services[name]] += model.timed_arrivals
+        for name, upstream in environment.upstreams.items():
+            arrivals[environment.services[name]] += upstream.timed_arrivals
         return checks.Records(
             sent=self.sent,
             runs=runs,
             arrivals=arrivals,
-            shard_sets=world.shard_sets,
-            services=world.services,
-            moves=world.moves,
-            ratio=world_module.EXTRA_RATIO,
-            slack=world_module.EXTRA_SLACK,
-            window_s=world_module.EXTRA_WINDOW_S,
-            crashes=world.list_crashes(),
-            moved_at=world.moved_at,
-            drained_at=world.drained_at,
+            shard_sets=environment.shard_sets,
+            services=environment.services,
+            moves=environment.moves,
+            ratio=environment_module.EXTRA_RATIO,
+            slack=environment_module.EXTRA_SLACK,
+            window_s=environment_module.EXTRA_WINDOW_S,
+            crashes=environment.list_crashes(),
+            moved_at=environment.moved_at,
+            drained_at=environment.drained_at,
         )
 
     async def _call(self, rng: random.Random) -> None:
         """Send requests as one caller, on one connection at a time."""
         while not self._is_finished:
-            host = rng.choice(self._world.hosts)
+            host = rng.choice(self._environment.hosts)
             try:
                 async with asyncio.timeout(1.0):
                     streams = await asyncio.open_connection(host.ip, host.port)
@@ -139,9 +150,12 @@
             streams[1].transport.abort()
 
     async def _exchange(
-        self, rng: random.Random, host: world_module.Host, reader, writer
+        self, rng: random.Random, host: environment_module.Host, reader, writer
     ) -> bool:
-        """Send one request; return whether the connection can be reused."""
+        """Send one request and record it with its reply in `sent`.
+
+        Return whether the connection can be reused.
+        """
         sent = self._make_request(rng, host)
         self.sent.append(sent)
         writer.write(_render(sent))
@@ -158,22 +172,22 @@
         return sent.status != 0 and not closes
 
     def _make_request(
-        self, rng: random.Random, host: world_module.Host
+        self, rng: random.Random, host: environment_module.Host
     ) -> checks.Sent:
-        self._count += 1
-        kind = rng.choice(('all', 'all', 'once', 'moved'))
+        self._request_count += 1
+        route = rng.choice(('all', 'all', 'once', 'moved'))
         body = b''
-        if kind == 'once':
-            body = b'note %d' % self._count
-        target = f'/{kind}/{self._count}?n={rng.randrange(100)}'
-        if self._world.lethal and not self._is_finished:
+        if route == 'once':
+            body = b'note %d' % self._request_count
+        target = f'/{route}/{self._request_count}?n={rng.randrange(100)}'
+        if self._environment.lethal and not self._is_finished:
             if rng.random() < _LETHAL_FRACTION:
-                targets = sorted(self._world.lethal)
-                target = targets[self._count % len(targets)]
-                kind, body = target.split('/')[1], b''
+                targets = sorted(self._environment.lethal)
+                target = targets[self._request_count % len(targets)]
+                route, body = target.split('/')[1], b''
         return checks.Sent(
-            request_id=f's{self._plan.seed}-{self._count}',
-            method='POST' if kind == 'once' else 'GET',
+            request_id=f's{self._plan.seed}-{self._request_count}',
+            method='POST' if route == 'once' else 'GET',
             target=target,
             body=body,
             host=host.number,
@@ -185,14 +199,14 @@
         loop = asyncio.get_running_loop()
         started = loop.time()
         await self._apply_fault(fault)
-        if fault.kind not in plan_module.PLANNED:
+        if fault.kind not in plan_module.OPERATIONS:
             self._disturbances.append((started, loop.time()))
 
     async def _apply_fault(self, fault: plan_module.Fault) -> None:
-        world = self._world
-        store = world.store
-        host = world.hosts[fault.target % len(world.hosts)]
-        names = sorted(world.upstreams)
+        environment = self._environment
+        store = environment.store
+        host = environment.hosts[fault.target % len(environment.hosts)]
+        names = sorted(environment.upstreams)
         name = names[fault.target % len(names)]
         kinds = plan_module.FaultKind
         match fault.kind:
@@ -224,55 +238,67 @@
             case kinds.STORE_REVOKES_LEASES:
                 store.revoke_leases()
             case kinds.STORE_RESTORED:
-                await world.restore_store(fault.duration_s, fault.target)
+                await environment.restore_store(fault.duration_s, fault.target)
             case kinds.PROXY_TO_STORE:
                 await _apply_proxy_fault(host.proxy, fault)
             case kinds.PROXY_TO_UPSTREAM:
-                await _apply_proxy_fault(world.proxies[name], fault)
-            case kinds.UPSTREAM:
-                model = world.upstreams[name]
-                model.fault_mode = fault.variant
+                await _apply_proxy_fault(environment.proxies[name], fault)
+            case kinds.UPSTREAM_MISBEHAVES:
+                upstream = environment.upstreams[name]
+                upstream.fault_mode = fault.variant
                 await asyncio.sleep(fault.duration_s)
-                model.fault_mode = standins.FaultMode.GOOD
+                upstream.fault_mode = standins.FaultMode.GOOD
             case kinds.UPSTREAM_RESTARTS:
-                world.upstreams[name].cut_connections()
+                environment.upstreams[name].cut_connections()
             case kinds.UPSTREAM_DRAINS:
-                world.drain(name)
+                environment.drain(name)
             case kinds.LETHAL_REQUEST:
                 routes = ('all', 'once', 'moved')
                 route = routes[fault.target % len(routes)]
-                number = len(world.lethal) or ''
-                world.make_lethal(f'/{route}/lethal{number}')
+                number = len(environment.lethal) or ''
+                environment.make_lethal(f'/{route}/lethal{number}')
             case kinds.MOVE_ROUTE:
-                await world.move_route()
+                await environment.move_route()
             case kinds.REPARTITION:
-                await world.add_shards(3 + fault.target % 4)
+                await environment.add_shards(3 + fault.target % 4)
                 await asyncio.sleep(fault.duration_s)
-                await world.move_route()
+                await environment.move_route()
 
-    async def _stop(self, host: world_module.Host, down_s: float) -> None:
+    async def _stop(
+        self, host: environment_module.Host, duration_s: float
+    ) -> None:
+        """Stop a host gracefully and start it again.
+
+        It is down for a ninth of `duration_s`. Do nothing if it is down or
+        stopping already.
+        """
         if not host.is_up or host.is_stopping:
             return
         host.is_stopping = True
         loop = asyncio.get_running_loop()
         started = loop.time()
         host.send(signal.SIGTERM)
-        if not await host.wait(world_module.STOP_GRACE_S + 2.0):
+        if not await host.wait(environment_module.STOP_GRACE_S + 2.0):
+            # The host did not stop in time, possibly because it is paused.
+            # Kill it and count the stop as a disturbance.
             self._disturbances.append((started, loop.time()))
             host.send(signal.SIGCONT)
             host.send(signal.SIGKILL)
-        await self._restart(host, down_s / 3)
+        await self._restart(host, duration_s / 3)
 
-    async def _restart(self, host: world_module.Host, after_s: float) -> None:
+    async def _restart(
+        self, host: environment_module.Host, duration_s: float
+    ) -> None:
+        """Start a host a third of `duration_s` after its process ended."""
         await host.wait(5.0)
-        await asyncio.sleep(after_s / 3)
+        await asyncio.sleep(duration_s / 3)
         if not host.is_up:
             await host.start()
 
     async def _stop_undisturbed(self) -> None:
-        """Stop hosts as planned, under load, with no other fault active."""
+        """Stop hosts gracefully under load, with no fault active."""
         await asyncio.sleep(_UNDISTURBED_S + 0.5)
-        for host in self._world.hosts[:_UNDISTURBED_STOPS]:
+        for host in self._environment.hosts[:_UNDISTURBED_STOPS]:
             self.injected['stop/calm'] += 1
             await self._stop(host, 0.0)
 
@@ -284,19 +310,19 @@
         loop = asyncio.get_running_loop()
         started = loop.time()
         self.injected['store_returns/calm'] += 1
-        await self._world.restore_store(_RESTORE_OUTAGE_S, -1)
+        await self._environment.restore_store(_RESTORE_OUTAGE_S, -1)
         self._disturbances.append((started, loop.time()))
         await asyncio.sleep(_UNDISTURBED_S + 0.5)
 
     async def _change_undisturbed(self) -> None:
         """Write a table version and drain an upstream, with no other fault.
 
-        Load continues until both must have taken effect, so that the checks
-        have requests from that time.
+        Then wait, under load, until the table version and the drain must have
+        taken effect, so that the checks cover later requests.
         """
-        await self._world.move_route()
-        shards = self._world.list_upstreams_of_shards()
-        self._world.drain(shards[self._plan.seed % len(shards)])
+        await self._environment.move_route()
+        shards = self._environment.list_upstreams_of_shards()
+        self._environment.drain(shards[self._plan.seed % len(shards)])
         await asyncio.sleep(
             max(checks.TABLE_DEADLINE_S, checks.DRAIN_DEADLINE_S) + 1.0
         )
@@ -305,17 +331,17 @@
         """Check that every host answers requests after all faults end."""
         await asyncio.sleep(_SETTLE_S)
         rng = core.make_random(self._plan.seed, 'final')
-        for host in self._world.hosts:
+        for host in self._environment.hosts:
             if not host.is_up:
                 await host.start()
-        await self._world.wait_until_ready()
-        for host in self._world.hosts:
+        await self._environment.wait_until_ready()
+        for host in self._environment.hosts:
             if not await self._is_serving(rng, host):
                 detail = f'host {host.number} after {_FINAL_TRIES} tries'
                 self.violations.append(checks.Violation('recovery', detail))
 
     async def _is_serving(
-        self, rng: random.Random, host: world_module.Host
+        self, rng: random.Random, host: environment_module.Host
     ) -> bool:
         for _ in range(_FINAL_TRIES):
             streams = await asyncio.open_connection(host.ip, host.port)
@@ -327,6 +353,11 @@
         return False
 
     def _mark_undisturbed(self) -> None:
+        """Set `calm` of each request.
+
+        A request that ended up to 0.1 s before a disturbance began counts as
+        disturbed too.
+        """
         for sent in self.sent:
             sent.calm = not any(
                 started - 0.1 <= sent.ended
@@ -337,7 +368,7 @@
 
 async def run_seed(
     seed: int,
-    length: float,
+    length_s: float,
     hosts: int,
     folder: pathlib.Path,
     lethal: int = 1,
@@ -345,22 +376,23 @@
 ) -> Report:
     """Run the plan of one seed and return its report.
 
-    `length` is the duration of the load in seconds. `hosts` is the number of
+    `length_s` is the duration of the load in seconds. `hosts` is the number of
     gateway processes; their logs go to a file in `folder`. `lethal` is the
-    number of different requests that crash the upstreams which run them.
+    number of different requests each of which crashes every upstream that
+    runs it.
     `returns` is how many times the store is restored from a snapshot while
     other faults may be active.
     """
-    plan = plan_module.make_plan(seed, length, hosts, lethal, returns)
+    plan = plan_module.make_plan(seed, length_s, hosts, lethal, returns)
     with contextlib.ExitStack() as files:
         log = files.enter_context(
             (folder / f'seed-{seed}.log').open('wb', buffering=0)
         )
-        world = world_module.World(folder, log)
-        async with world.open(hosts):
-            run = Run(plan, world)
+        environment = environment_module.Environment(folder, log)
+        async with environment.open(hosts):
+            run = Run(plan, environment)
             await run.run()
-            records = run.make_records()
+            records = run.collect_observations()
     violations = run.violations + checks.check_records(records)
     statuses = collections.Counter(each.status for each in run.sent)
     return Report(seed, run.injected, statuses, len(run.sent), violations)
--- a/rudderrock/standins/_deployment.py
+++ b/rudderrock/standins/_deployment.py
@@ -18,12 +18,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Group:
-    """Services with equal parameters that make up one collection.
+    """A collection of `services` shards.
 
-    Each of the `services` services holds one shard on `servers` replicas.
-    A replica processes `slots` requests at once and accepts `connections`
-    connections. `connect_s` is the time to open a connection and `service_s`
-    the median time to process a request, both in seconds.
+    Each shard has `servers` replicas, each on an upstream of its own. All
+    these upstreams have the same parameters. A replica processes `slots`
+    requests at once and accepts `connections` connections. `connect_s` is the
+    time to open a connection and `service_s` the median time to process a
+    request, both in seconds.
     """
 
     __pydantic_config__ = state.FORBID_UNKNOWN
@@ -39,7 +40,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Network:
-    """The zones of each region, and one-way latencies in seconds."""
+    """The zones of each region, and one-way latencies in seconds.
+
+    `to_clients_s` is the latency between callers and hosts.
+    """
 
     __pydantic_config__ = state.FORBID_UNKNOWN
 
@@ -87,7 +91,8 @@
 
     The replicas of a service are placed in successive zones of
     `Network.list_zones`. `addresses` holds the `IP:port` of each upstream;
-    an upstream without one uses its id as address, for in-memory ports.
+    an upstream that is not in it has its id as address, which
+    `MemoryUpstreamPort` does not use.
     """
     known_addresses = addresses or {}
     layout_upstreams = {}
--- a/rudderrock/standins/_fleet.py
+++ b/rudderrock/standins/_fleet.py
@@ -24,6 +24,7 @@
 _READY_TIMEOUT_S = 30.0
 _READY_POLL_S = 0.01
 _EDIT_TIMEOUT_S = 10.0
+# Between all hosts, whatever latencies the deployment's `Network` has.
 _PEER_LATENCY_S = 0.0005
 _BASE_PORT = 7000
 
@@ -42,9 +43,10 @@
 class MemoryFleet:
     """The stand-ins of a deployment and the hosts in front of them.
 
-    `deployment` describes the systems. `clock` reads the time of the running
-    loop. `seed` determines all random choices. `settings` holds the sections
-    of the hosts' settings that differ from the defaults.
+    `deployment` describes the upstreams, hosts and network. `clock` returns
+    the time of the running event loop. `seed` determines all random choices.
+    `settings` holds the sections of the hosts' settings that differ from the
+    defaults.
     """
 
     def __init__(
@@ -73,16 +75,21 @@
         )
         self._seed = seed
         self._settings = settings or {}
-        self._started = 0
+        self._start_count = 0
+        # Names of crashed hosts. Their callers receive no reply, although the
+        # call into the host may still return one.
         self._crashed: set[str] = set()
 
-    async def start(self, hosts: int) -> None:
-        """Publish table and layout, and start hosts in alternating zones."""
+    async def start(self, host_count: int) -> None:
+        """Publish table and layout, and start hosts in alternating zones.
+
+        Wait until they are ready.
+        """
         await self.publish_layout(self.layout)
         table = state.Table(revision=state.Revision(1))
         await loopback.publish(self.kv, coordination.TABLE_KEY, table)
         zones = self.deployment.network.list_zones()
-        for number in range(hosts):
+        for number in range(host_count):
             zone = zones[number % len(zones)]
             self.start_host(f'h{number + 1}', zone)
         await self.wait_until_ready()
@@ -99,7 +106,10 @@
         await self.publish_layout(layout)
 
     async def set_row(self, team: str, **fields: Any) -> state.Edit:
-        """Set fields of a team's row; create its token on first use."""
+        """Set fields of a team's row and return the accepted edit.
+
+        The first call for a team also creates the team's token.
+        """
         table = (await self.editor.read()).unwrap()
         base = table.rows.get(team)
         if team not in self.tokens:
@@ -123,8 +133,8 @@
 
     def start_host(self, name: str, zone: state.ZoneId) -> RunningHost:
         """Start one host, without waiting until it is ready."""
-        self._started += 1
-        address = f'127.0.0.1:{_BASE_PORT + self._started}'
+        self._start_count += 1
+        address = f'127.0.0.1:{_BASE_PORT + self._start_count}'
         settings = self._make_settings(name, zone, address)
         rng = state.make_random(self._seed, f'port/{name}')
         port = memory.MemoryUpstreamPort(
@@ -138,7 +148,7 @@
             host_list=self.host_list,
         )
         host = root.make_host(
-            settings, ports, self.clock, self._seed + self._started
+            settings, ports, self.clock, self._seed + self._start_count
         )
         listed = transport.ListedHost(
             host=state.HostId(name), zone=zone, control=address
@@ -201,7 +211,10 @@
         self._remove_from_list(name)
 
     async def wait_until_ready(self) -> None:
-        """Wait until all hosts are ready and no upstream is `CONNECTING`."""
+        """Wait until all running hosts are ready.
+
+        None of them is still connecting to an upstream then.
+        """
         async with asyncio.timeout(_READY_TIMEOUT_S):
             while not all(map(self._is_ready, self.hosts.values())):
                 await asyncio.sleep(_READY_POLL_S)
@@ -247,10 +260,10 @@
         name: str,
         team: str,
         collection: str,
-        key: str,
+        idempotency_key: str,
         body: str = '"pass"',
     ) -> protocol.Outcome | None:
-        """Send a non-idempotent request of a team to a host.
+        """Send a command of a team, which may run at most once, to a host.
 
         Return the outcome, or None if the host crashed before it answered.
         """
@@ -261,7 +274,7 @@
             b'{"collection":"%s","routing_key":"member-1","body":%s}'
             % (collection.encode(), body.encode()),
         )
-        outcome = await host.command(row, decoded.unwrap(), key)
+        outcome = await host.command(row, decoded.unwrap(), idempotency_key)
         return None if name in self._crashed else outcome
 
     def make_key(self) -> str:
--- a/rudderrock/standins/_host_source.py
+++ b/rudderrock/standins/_host_source.py
@@ -26,9 +26,10 @@
     """Forwards calls to a shared source, unless a fault is set.
 
     With `is_refused`, calls fail at once. With `is_silent`, calls time out
-    after `timeout_s`, as if the host's packets were dropped; so do calls in
-    flight when it is set. `delay_s` is added to each call, as by a slow
-    link; 0 yields to the event loop once.
+    after `timeout_s`, as if the host's packets were dropped; calls in flight
+    when it is set time out too. `delay_s` delays each call, as a slow link
+    does; None is no delay, and 0 only yields to the event loop. `calls`
+    counts all calls.
     """
 
     def __init__(
--- a/rudderrock/standins/_kv.py
+++ b/rudderrock/standins/_kv.py
@@ -25,13 +25,13 @@
 
     `down` refuses every call. `delay_s` is added to each call, in seconds.
     `lose_replies` is how many of the next swaps take effect but return an
-    error. `drop_watches` keeps watches from returning changes.
+    error. `drops_watch_events` keeps watches from returning changes.
     """
 
     down: bool = False
     delay_s: float = 0.0
     lose_replies: int = 0
-    drop_watches: bool = False
+    drops_watch_events: bool = False
 
 
 @dataclasses.dataclass(slots=True)
@@ -105,7 +105,11 @@
     async def watch(
         self, key: str, after: int, timeout_s: float
     ) -> result.Result[protocol.KvEntry, transport.KvUnavailable]:
-        """Return a key once its version exceeds `after`, or at the timeout."""
+        """Return value and version of a key, once the latter exceeds `after`.
+
+        At the timeout, return them as they are. With `drops_watch_events`,
+        return no value and the version `after` then.
+        """
         self.reads += 1
         if await self._delay_and_check_down():
             return _unavailable()
@@ -120,7 +124,7 @@
             pass
         if self.faults.down:
             return _unavailable()
-        if self.faults.drop_watches:
+        if self.faults.drops_watch_events:
             return result.Ok(protocol.KvEntry(value=None, version=after))
         return result.Ok(self._read(key))
 
@@ -138,7 +142,7 @@
     async def renew(
         self, lease: str
     ) -> result.Result[None, transport.LeaseExpired | transport.KvUnavailable]:
-        """Extend a lease to its full time to live from now."""
+        """Reset a lease to its full time to live."""
         self.writes += 1
         if await self._delay_and_check_down():
             return _unavailable()
@@ -161,7 +165,7 @@
         return result.Ok(None)
 
     async def set_down(self, down: bool) -> None:
-        """Start or end an outage; a start ends the waiting watches."""
+        """Set whether the service is down; an outage ends waiting watches."""
         self.faults.down = down
         async with self._changed:
             self._changed.notify_all()
@@ -185,8 +189,8 @@
     async def restore(self, snapshot: KvSnapshot) -> None:
         """Restore the keys of a snapshot, and end an outage.
 
-        Later writes are lost, and versions that were assigned after the
-        snapshot are assigned again.
+        Writes since the snapshot are lost, and new writes reuse their version
+        numbers.
         """
         self._entries = dict(snapshot.entries)
         self._version = snapshot.version
@@ -198,8 +202,8 @@
         return self.faults.down
 
     def _has_new_version(self, key: str, after: int) -> bool:
-        news = self._read(key).version > after
-        return news and not self.faults.drop_watches
+        is_newer = self._read(key).version > after
+        return is_newer and not self.faults.drops_watch_events
 
     def _read(self, key: str) -> protocol.KvEntry:
         absent = protocol.KvEntry(value=None, version=protocol.ABSENT)
@@ -238,7 +242,7 @@
 def make_kv_app(kv: MemoryKv) -> applications.Starlette:
     """Return an application that serves a key-value service over HTTP."""
 
-    def post(path, cls, handle):
+    def make_route(path, cls, handle):
         async def endpoint(request: requests.Request) -> responses.Response:
             match protocol.decode(cls, await request.body()):
                 case result.Err(detail):
@@ -270,12 +274,12 @@
 
     return applications.Starlette(
         routes=[
-            post(protocol.GET_PATH, protocol.GetRequest, get),
-            post(protocol.SWAP_PATH, protocol.SwapRequest, swap),
-            post(protocol.WATCH_PATH, protocol.WatchRequest, watch),
-            post(protocol.GRANT_PATH, protocol.GrantRequest, grant),
-            post(protocol.RENEW_PATH, protocol.Lease, renew),
-            post(protocol.REVOKE_PATH, protocol.Lease, revoke),
+            make_route(protocol.GET_PATH, protocol.GetRequest, get),
+            make_route(protocol.SWAP_PATH, protocol.SwapRequest, swap),
+            make_route(protocol.WATCH_PATH, protocol.WatchRequest, watch),
+            make_route(protocol.GRANT_PATH, protocol.GrantRequest, grant),
+            make_route(protocol.RENEW_PATH, protocol.Lease, renew),
+            make_route(protocol.REVOKE_PATH, protocol.Lease, revoke),
         ]
     )
 
--- a/rudderrock/standins/_loopback.py
+++ b/rudderrock/standins/_loopback.py
@@ -19,7 +19,10 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class LoopbackStandins:
-    """Running stand-ins: the models and their addresses."""
+    """The running stand-ins, and the addresses of the platform services.
+
+    `layout` has the addresses of the upstreams.
+    """
 
     kv: kvs.MemoryKv
     kv_address: str
@@ -41,7 +44,8 @@
     """Serve a deployment's stand-ins over loopback during the context.
 
     The `layout` of the yielded object has the addresses of the running
-    upstreams; the caller publishes it.
+    upstreams; the caller must write this layout to the key-value service,
+    with `publish`.
     """
     servers: list[transport.HttpServer] = []
 
@@ -60,8 +64,10 @@
         # delay.
         stack.push_async_callback(kv.set_down, True)
         host_list = memory_hosts.MemoryHostList()
-        draft = deployments.make_layout(deployment)
-        models = deployments.make_models(deployment, draft, clock, rng)
+        layout_without_addresses = deployments.make_layout(deployment)
+        models = deployments.make_models(
+            deployment, layout_without_addresses, clock, rng
+        )
         addresses = {
             upstream: await serve(
                 upstreams.make_upstream_app(model), _ANY_PORT
@@ -82,7 +88,7 @@
 
 
 async def publish(kv: transport.KvPort, key: str, value: object) -> None:
-    """Write a value to the key-value service, whatever its version."""
+    """Write a key of the key-value service, whatever its version is."""
     entry = (await kv.get(key)).unwrap()
     request = protocol.SwapRequest(
         key=key, value=protocol.encode(value), expected=entry.version
--- a/rudderrock/standins/_memory.py
+++ b/rudderrock/standins/_memory.py
@@ -20,8 +20,9 @@
 class LinkFaults:
     """Active faults of the connections to upstreams.
 
-    `lose` is the probability that a connection is lost during an exchange,
-    `cross` the probability that a reply is swapped with that of another
+    `lose` is the probability that a connection is lost during an exchange;
+    half of it applies before the upstream runs the request, half after.
+    `cross` is the probability that a reply is swapped with that of another
     exchange. `delay_s` is added to each reply, in seconds.
     """
 
@@ -91,8 +92,8 @@
 class MemoryUpstreamPort:
     """Connects one host to upstream models in the same process.
 
-    `zone` is the zone of the host; with the zone of the upstream it
-    determines the latency in `network`. `rng` draws the faults.
+    `zone` is the zone of the host, and `network` has the latency between it
+    and the zone of an upstream. `rng` draws the faults.
     """
 
     def __init__(
@@ -113,7 +114,10 @@
     async def connect(
         self, upstream: state.Upstream
     ) -> result.Result[MemoryConnection, transport.ConnectFailed]:
-        """Open a connection, which takes `connect_s` of the model."""
+        """Return a new connection after the model's `connect_s`.
+
+        Return `ConnectFailed` if it is refused.
+        """
         model = self._models.get(upstream.upstream)
         if model is None or not model.connect():
             await asyncio.sleep(self._network.between_zones_s)
@@ -131,6 +135,10 @@
         return self._rng.random()
 
     def swap_reply(self, reply: protocol.ShardReply) -> protocol.ShardReply:
-        """Keep a reply and return the one kept before, if there is one."""
+        """Keep a reply and return the one that the last call kept.
+
+        The first call returns its own reply, which the second call returns
+        again.
+        """
         held, self._held_reply = self._held_reply, reply
         return held or reply
--- a/rudderrock/standins/_memory_hosts.py
+++ b/rudderrock/standins/_memory_hosts.py
@@ -1,4 +1,4 @@
-"""In-memory connections between hosts and to the platform."""
+"""In-memory peers, connections to the key-value service, and host list."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -57,7 +57,10 @@
         return MemoryPeerPort(self, address)
 
     async def deliver(self, sender: str, receiver: str, message: object):
-        """Deliver a message; return the receiver, or None if it is lost."""
+        """Wait for the latency and return the host that a message reaches.
+
+        Return None if the message is lost.
+        """
         self.messages += 1
         self.bytes += len(protocol.encode(message))
         await asyncio.sleep(self._latency_s)
@@ -93,7 +96,7 @@
         message: protocol.ConfigRequest,
         timeout_s: float,
     ) -> result.Result[protocol.ConfigReply, transport.PeerUnreachable]:
-        """Request a newer table and layout from a peer."""
+        """Return a peer's table and layout, if newer than in `message`."""
 
         async def handle(host) -> protocol.ConfigReply:
             return host.config.answer_config(message)
@@ -122,8 +125,9 @@
 class HostKv:
     """A host's connection to the key-value service, with faults.
 
-    While `cut` is set, calls fail. During a pause, replies of the service
-    are held back, as for a paused process.
+    While `cut` is set, calls fail after `_CUT_TIMEOUT_S`, and calls in flight
+    fail when the service replies. During a pause, replies of the service are
+    held back, as for a paused process.
     """
 
     def __init__(self, kv: transport.KvPort):
@@ -140,7 +144,7 @@
         return await self._forward(self._kv.swap, request)
 
     async def watch(self, key: str, after: int, timeout_s: float):
-        """Return a key once its version exceeds `after`, or at the timeout."""
+        """Return the value and version of a key; see `MemoryKv.watch`."""
         return await self._forward(self._kv.watch, key, after, timeout_s)
 
     async def grant(self, ttl_s: float):
@@ -148,7 +152,7 @@
         return await self._forward(self._kv.grant, ttl_s)
 
     async def renew(self, lease: str):
-        """Extend a lease to its full time to live from now."""
+        """Reset a lease to its full time to live."""
         return await self._forward(self._kv.renew, lease)
 
     async def revoke(self, lease: str):
--- a/rudderrock/standins/_memory_source.py
+++ b/rudderrock/standins/_memory_source.py
@@ -19,20 +19,20 @@
     revision: int
     table_revision: int
     hosts: dict[int, gateway.HostEntry]
-    leases: int
+    lease_count: int
 
 
 class MemorySource:
     """An in-memory implementation of `gateway.SourcePort`.
 
     `is_down` makes calls fail. With `drops_watch_events` watches receive no
-    events. `is_history_compacted` makes the next watch fail, as if the
-    revision that it starts from had been compacted.
+    events. `is_history_compacted` makes one watch, a waiting one or the next,
+    fail as if the revision that it starts from had been compacted.
     """
 
     def __init__(self) -> None:
         self.table: gateway.RoutingTable | None = None
-        # The revision at which each evacuated zone was evacuated.
+        # The revision of each evacuation, by zone.
         self.evacuated: dict[core.ZoneId, int] = {}
         self.endpoints: dict[str, gateway.Endpoint] = {}
         self.revision = 1
@@ -44,6 +44,7 @@
         self.era = 0
         self.reads = 0
         self.table_reads = 0
+        # Registered hosts, by lease number.
         self.hosts: dict[int, gateway.HostEntry] = {}
         self._lease_count = 0
         self._reset_count = 0
@@ -104,9 +105,9 @@
     def restore(self, snapshot: SourceSnapshot, cut: bool = True) -> None:
         """Restore the contents of a snapshot and increment the era.
 
-        Later changes are lost, and revisions and lease numbers that were
-        assigned after the snapshot are assigned again. With `cut`, waiting
-        watches fail; without it they continue to wait.
+        Changes since the snapshot are lost, and new changes reuse their
+        revisions and lease numbers. With `cut`, waiting watches fail; without
+        it they continue to wait.
         """
         self.era += 1
         self.table = snapshot.table
@@ -115,7 +116,7 @@
         self.revision = snapshot.revision
         self.table_revision = snapshot.table_revision
         self.hosts = dict(snapshot.hosts)
-        self._lease_count = snapshot.leases
+        self._lease_count = snapshot.lease_count
         if not cut:
             return
         self._reset_count += 1
@@ -166,6 +167,7 @@
                     if self._reset_count != reset_count:
                         return result.Err(gateway.Unavailable('reset'))
         except TimeoutError:
+            # A watch that was not cut by a restore fails only at its end.
             if after.era != self.era:
                 return result.Err(gateway.HistoryCompacted())
             return result.Ok(None)
@@ -192,7 +194,8 @@
     ) -> gateway.TableReading:
         """Return a reading of a table that was written to this source.
 
-        `raw` is the version of the table as decimal digits.
+        `raw` stands for the encoded table: it is only the table's version in
+        decimal digits. `read` is the position at which it was read.
         """
         return gateway.TableReading(self._written[raw], read, raw=raw)
 
--- a/rudderrock/standins/_pause.py
+++ b/rudderrock/standins/_pause.py
@@ -4,7 +4,7 @@
 
 
 class Pause:
-    """Holds back what arrives at a host until the pause ends."""
+    """A flag for which tasks wait while a host is paused."""
 
     def __init__(self):
         self._running = asyncio.Event()
--- a/rudderrock/standins/_upstream.py
+++ b/rudderrock/standins/_upstream.py
@@ -1,8 +1,8 @@
 """A stand-in of an upstream, with a request queue and fault injection.
 
 `UpstreamModel` is the server itself. `make_upstream_app` serves it over HTTP,
-and `MemoryUpstreamPort` connects to it in memory. It records the requests that
-it ran, so that a scenario can check every outcome against them.
+and `MemoryUpstreamPort` connects to it in memory. The model records the
+requests that it ran, so that a scenario can check every outcome against them.
 """
 
 import asyncio
@@ -28,13 +28,14 @@
 class UpstreamFaults:
     """Active faults of an upstream.
 
-    `straggle` is the probability that a request takes `straggle_factor`
-    times as long. `slow_factor` multiplies the time of all requests. `shed`
-    is the probability that a request is shed. A `lost` upstream drops its
-    connections and accepts none. A `hung` upstream accepts connections but
-    sends no replies. A `leaving` upstream rejects all requests. `false_load`
-    is reported in place of the actual load. Until the loop time `cold_until`
-    requests take `cold_factor` times as long.
+    `straggle` is the probability that a request takes `straggle_factor` times
+    as long. `slow_factor` multiplies the time of all requests. `shed` is the
+    probability that a request is shed. A `lost` upstream drops its connections
+    and accepts none. A `hung` upstream accepts connections and processes
+    requests but sends no replies. A `leaving` upstream rejects all requests.
+    `false_load` is reported in place of the actual load. Requests that start
+    before the time `cold_until` of the model's clock take `cold_factor` times
+    as long.
     """
 
     straggle: float = 0.0
@@ -53,8 +54,8 @@
 class Run:
     """One request that an upstream started to process.
 
-    `started` is the time in seconds. `finished` is False if the request was
-    cancelled.
+    `started` is the time in seconds, by the model's clock. `finished` is False
+    if the request was cancelled.
     """
 
     request: protocol.ShardRequest
@@ -67,7 +68,7 @@
 
     `upstream` is its entry in the layout and `versions` are the index
     versions that it holds. The time to process a request is log-normal with
-    median `service_s`, in seconds, and standard deviation `spread` of the
+    median `service_s`, in seconds; `spread` is the standard deviation of its
     logarithm. `connect_s` is the time to open a connection, in seconds.
     `max_queue` is the number of requests that may wait for a slot.
     """
@@ -107,7 +108,8 @@
     ) -> protocol.ShardAnswer | protocol.ShardRejected:
         """Process a request and return the answer or a rejection.
 
-        The call is cancelled when the caller cancels the request.
+        If the call is cancelled while the request is being processed, its run
+        is recorded with `finished` False.
         """
         self.received += 1
         rejection = self._reject(request)
@@ -137,7 +139,8 @@
     def connect(self) -> bool:
         """Accept a connection; return False if it is refused.
 
-        A connection is refused beyond the limit or if the upstream is lost.
+        It is refused if the upstream is lost or all of its `connections` are
+        open; only the latter counts in `refused_connections`.
         """
         if self.faults.lost:
             return False
--- a/rudderrock/standins/_wire_server.py
+++ b/rudderrock/standins/_wire_server.py
@@ -1,4 +1,8 @@
-"""A minimal HTTP server, for stand-ins that violate the protocol."""
+"""A minimal HTTP server, for stand-ins that violate the protocol.
+
+The names that start with `Wire` are of stand-ins that read and write HTTP
+messages as bytes, so that they can also send invalid ones.
+"""
 
 import asyncio
 import dataclasses
@@ -21,7 +25,8 @@
 async def read_head(reader: asyncio.StreamReader) -> Head:
     """Read the request line and headers of a request.
 
-    Raises `asyncio.IncompleteReadError` if the stream ends before that.
+    Raises `asyncio.IncompleteReadError` if the stream ends before the
+    end of the headers.
     """
     raw = await reader.readuntil(b'\r\n\r\n')
     first, *lines = raw.decode('latin-1').strip().split('\r\n')
@@ -36,8 +41,7 @@
 class WireServer:
     """Listens at an address, with one task per connection.
 
-    A subclass implements `serve`; the connection is closed when that
-    returns.
+    A subclass implements `serve`. When it returns, the connection is closed.
     """
 
     def __init__(self) -> None:
@@ -51,11 +55,11 @@
         """Serve one connection until it is to be closed."""
         raise NotImplementedError
 
-    async def start(self, host: str, port: int) -> None:
+    async def start(self, ip: str, port: int) -> None:
         """Start to listen at an address."""
-        self._address = (host, port)
+        self._address = (ip, port)
         self._server = await asyncio.start_server(
-            self._on_connection, host, port
+            self._on_connection, ip, port
         )
 
     async def stop(self) -> None:
@@ -69,7 +73,7 @@
     def crash(self, down_s: float) -> None:
         """Stop listening for `down_s` seconds and close all connections.
 
-        If called from `serve`, that connection is closed when `serve`
+        A connection whose `serve` calls this stays open until that `serve`
         returns.
         """
         self._stop_listening()
--- a/rudderrock/standins/_wire_upstream.py
+++ b/rudderrock/standins/_wire_upstream.py
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WireRun:
-    """One request that an upstream started to process.
+    """One request that an upstream received.
 
     `at` is when its head was read, in seconds by the clock of the loop.
     """
@@ -69,13 +69,13 @@
     """An HTTP upstream that records the requests it processes in `runs`.
 
     `records` is the body of each reply, or a function that returns it for a
-    request id. Processing a request takes `work_s` seconds, for up to
-    `slots` requests at once; it is cancelled when the connection closes.
-    A request that starts during one of the `pauses` takes longer by the
-    rest of the pause. Nothing is read from a new connection for `connect_s`
-    seconds. Connections beyond `max_connections` are closed. After running
-    a request whose target is in `lethal`, the upstream crashes and listens
-    again `DOWN_S` seconds later.
+    request id. Processing a request takes `work_s` seconds, for up to `slots`
+    requests at once; it ends early when the connection closes, but a request
+    that waits for a slot waits on. If processing starts during one of the
+    `pauses`, it takes longer by the rest of that pause. Nothing is read from a
+    new connection for `connect_s` seconds. Connections beyond
+    `max_connections` are closed. After running a request whose target is in
+    `lethal`, the upstream crashes and listens again `DOWN_S` seconds later.
     """
 
     def __init__(
@@ -101,8 +101,11 @@
         self.on_crash: Callable[[], None] = lambda: None
         self.max_connections = max_connections
         self.runs: list[WireRun] = []
+        # Number of requests whose processing was completed.
         self.finished = 0
         self.timed_arrivals: list[tuple[float, str]] = []
+        # Numbers of open connections and of requests in progress, including
+        # those that wait for a slot.
         self.open = 0
         self.working = 0
         self.peak_connections = 0
--- a/rudderrock/standins/platform/_store.py
+++ b/rudderrock/standins/platform/_store.py
@@ -86,7 +86,7 @@
         self._watches_cut = asyncio.Event()
 
     @property
-    def _era_text(self) -> str:
+    def _sent_era(self) -> str:
         return self.era_text or str(self.era)
 
     def put(self, key: str, value: bytes, lease: int = 0) -> None:
@@ -116,8 +116,8 @@
         """Write an upstream's entry, as the upstream does."""
         self.put(f'servers/{upstream}', raw)
 
-    def put_server_if_new(self, upstream: str, raw: bytes) -> None:
-        """Write an upstream's entry unless its value is unchanged."""
+    def put_server_if_changed(self, upstream: str, raw: bytes) -> None:
+        """Write an upstream's entry if it is absent or differs."""
         item = self.items.get(f'servers/{upstream}')
         if item is None or item.value != raw:
             self.put_server(upstream, raw)
@@ -156,9 +156,9 @@
     def restore(self, snapshot: StoreSnapshot) -> None:
         """Restore a snapshot and lose all later changes.
 
-        New revisions and lease numbers continue from those of the snapshot,
-        so later ones are assigned again. The leases in the snapshot start
-        with their full time to live. Watches are cut.
+        New revisions and lease numbers continue from those of the snapshot, so
+        those used since the snapshot are reused. The leases in the snapshot
+        start with their full time to live. Watches are cut.
         """
         now = asyncio.get_running_loop().time()
         self.era += 1
@@ -216,17 +216,17 @@
             case Refusal.SILENT:
                 await asyncio.sleep(3600.0)
             case Refusal.BUSY:
-                writer.write(_render_json(503, {}, self._era_text))
+                writer.write(_render_json(503, {}, self._sent_era))
                 return True
             case Refusal.MANY:
-                writer.write(_render_json(429, {}, self._era_text))
+                writer.write(_render_json(429, {}, self._sent_era))
                 return True
         self._expire()
         fields = dict(urllib.parse.parse_qsl(query))
         reply = await self._dispatch(method, path, fields, body)
         if reply is None or (self.drop_replies and method == 'POST'):
             return False
-        writer.write(_render_json(*reply, self._era_text))
+        writer.write(_render_json(*reply, self._sent_era))
         return True
 
     async def _dispatch(
@@ -316,6 +316,8 @@
             if revision <= after or not key.startswith(prefix):
                 continue
             if value is None:
+                # The protocol marks a deletion by this field; it has nothing
+                # to do with the compaction of the history.
                 event = {'key': key, 'revision': revision, 'compacted': True}
             else:
                 event = {
--- a/rudderrock/standins/platform/_values.py
+++ b/rudderrock/standins/platform/_values.py
@@ -86,7 +86,10 @@
 
 
 def make_route(prefix: str, service: str, *, once: bool = False) -> dict:
-    """Return a route to one service, not repeatable if `once` is true."""
+    """Return a route to one service.
+
+    With `once`, its requests run at most once.
+    """
     kind = 'unsafe' if once else 'safe'
     return {'prefix': prefix, 'service': service, 'kind': kind}
 
@@ -94,7 +97,11 @@
 def make_gather(
     prefix: str, shards: list[str], top_k: int, min_coverage: float
 ) -> dict:
-    """Return a route that queries all shards and merges their records."""
+    """Return a route that queries all shards and merges their records.
+
+    A reply has the `top_k` greatest records. `min_coverage` is the fraction
+    of the shards that must answer.
+    """
     return {
         'prefix': prefix,
         'gather': shards,
@@ -115,8 +122,10 @@
 ) -> str:
     """Return the text of a settings file.
 
-    `stop_s` is the maximum duration of a planned stop in seconds, and `slack`
-    the number of extra requests that are allowed regardless of the load.
+    `store` is the address of the platform's store. `stop_s` is the maximum
+    duration of a planned stop in seconds, and `slack` the number of extra
+    requests that are allowed in each window of 10 s in addition to the ratio.
+    `fields` replace or add settings.
     """
     values = {
         'node_name': name,
