--- a/rudderrock/experiments/_table_schedules.py
+++ b/rudderrock/experiments/_table_schedules.py
@@ -166,9 +166,9 @@
 
 
 async def _kv_drops_watches(fleet, length, rng):
-    fleet.kv.faults.drop_watches = True
+    fleet.kv.faults.drops_watch_events = True
     await asyncio.sleep(length)
-    fleet.kv.faults.drop_watches = False
+    fleet.kv.faults.drops_watch_events = False
 
 
 _INJECTORS = {
