--- a/features/gateway_bench.py
+++ b/features/gateway_bench.py
@@ -1,4 +1,4 @@
-"""A gateway over virtual connections, its upstreams and its callers."""
+"""Gateways over virtual connections, with their upstreams and callers."""
 
 import asyncio
 import collections
@@ -16,27 +16,31 @@
 HOST = 'members.example'
 _GATEWAY_IP = '10.0.0.1'
 _PORT = 8000
-# What upstreams accept unless a scenario says otherwise.
-_CONNECTIONS = 100
-# Between the seeds of a host's processes.
-_STARTS_APART = 1000
+# Connections that an upstream accepts unless a scenario sets another limit.
+_MAX_CONNECTIONS = 100
+# Difference between the random seeds of successive processes of a host.
+_SEED_STEP = 1000
 
 
-class LineHandler(logging.Handler):
-    """Keeps the log lines of a scenario."""
+class LogCollector(logging.Handler):
+    """Log handler that collects the lines of a scenario."""
 
     def __init__(self) -> None:
         super().__init__()
         self.lines: list[str] = []
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep one line."""
+        """Append the message to `lines`."""
         self.lines.append(record.getMessage())
 
 
 @dataclasses.dataclass(slots=True)
 class Reply:
-    """What a caller got; `status` 0 if the connection just ended."""
+    """Reply to a caller.
+
+    `status` is 0 if the connection was closed without a reply. `elapsed` is
+    the time from the connection attempt to the reply, in seconds.
+    """
 
     status: int
     headers: dict[str, str]
@@ -46,25 +50,29 @@
 
 
 class Caller:
-    """One connection of a caller."""
+    """Connection of a caller."""
 
     def __init__(self, reader, writer):
         self.reader = reader
         self.writer = writer
 
     async def send(self, raw: bytes) -> None:
-        """Send bytes as they are."""
+        """Send bytes without changing them."""
         self.writer.write(raw)
         await self.writer.drain()
 
     async def read(self) -> Reply:
-        """Read one reply."""
+        """Return the next reply.
+
+        Its status is 0 if the connection was closed before the end of the
+        headers.
+        """
         try:
             head = await self.reader.readuntil(b'\r\n\r\n')
         except (asyncio.IncompleteReadError, ConnectionError):
             return Reply(0, {}, b'', closed=True)
-        first, *lines = head.decode('latin-1').strip().split('\r\n')
-        status = int(first.split(' ')[1])
+        status_line, *lines = head.decode('latin-1').strip().split('\r\n')
+        status = int(status_line.split(' ')[1])
         headers = {}
         for line in lines:
             key, _, value = line.partition(':')
@@ -74,7 +82,7 @@
         return Reply(status, headers, body)
 
     def leave(self) -> None:
-        """Close the connection."""
+        """Abort the connection."""
         self.writer.transport.abort()
 
 
@@ -88,7 +96,7 @@
     extra: str = '',
     host: str = HOST,
 ) -> bytes:
-    """Return one request of a caller as bytes."""
+    """Return the bytes of a request with a request id and a deadline."""
     head = (
         f'{method} {path} HTTP/1.1\r\nHost: {host}\r\n'
         f'Rudderrock-Request-Id: {request_id}\r\n'
@@ -100,7 +108,10 @@
 
 
 class GatewayBench:
-    """One gateway and what is around it, on the scenario's loop."""
+    """One gateway with its source, upstreams and callers.
+
+    All run on the event loop of the scenario.
+    """
 
     def __init__(self, stack: contextlib.AsyncExitStack):
         self.source = standins.MemorySource()
@@ -110,14 +121,14 @@
         self.limits = gateway.IntakeLimits()
         self.process: gateway.GatewayProcess | None = None
         self.task: asyncio.Task | None = None
-        self.log = LineHandler()
+        self.log = LogCollector()
         self.replies: list[Reply] = []
         self.version = 0
         self._stack = stack
-        self._next = 0
+        self._upstream_count = 0
 
     async def start(self, **settings) -> None:
-        """Start the gateway; it is given a second to learn all."""
+        """Start the gateway and wait until it has read the source."""
         loop = asyncio.get_running_loop()
         clock = state.Clock(loop)
         self.keep_log()
@@ -149,7 +160,7 @@
         await asyncio.sleep(1.5)
 
     def keep_log(self) -> None:
-        """Keep the log lines of this scenario."""
+        """Collect the log lines of this scenario."""
         root_log = logging.getLogger()
         root_log.addHandler(self.log)
         self._stack.callback(root_log.removeHandler, self.log)
@@ -164,15 +175,15 @@
         address: tuple[str, int] | None = None,
         **shape,
     ) -> standins.WireUpstream:
-        """Start an upstream and register it."""
-        self._next += 1
-        address = address or (f'10.1.0.{self._next}', 9000)
+        """Start and register an upstream, and return it."""
+        self._upstream_count += 1
+        address = address or (f'10.1.0.{self._upstream_count}', 9000)
         model = standins.WireUpstream(upstream, NAMES, **shape)
         await model.start(*address)
         self._stack.push_async_callback(model.stop)
         self.upstreams[upstream] = model
         if service not in self.services:
-            self.allow_connections(service, _CONNECTIONS)
+            self.allow_connections(service, _MAX_CONNECTIONS)
         self.register(upstream, service, zone, address)
         return model
 
@@ -184,7 +195,7 @@
         address: tuple[str, int],
         phase: gateway.Phase = gateway.Phase.READY,
     ) -> None:
-        """Register an upstream, or change what is registered."""
+        """Register an upstream, or replace its entry."""
         self.source.set_endpoint(
             gateway.Endpoint(
                 upstream=state.UpstreamId(upstream),
@@ -197,7 +208,7 @@
         )
 
     def add_route(self, prefix: str, target: gateway.Target, **fields) -> None:
-        """Add a route, or replace the one of this prefix."""
+        """Add a route, or replace the route with this prefix."""
         shape = {
             'host': HOST,
             'repeat': gateway.Repeat.IDEMPOTENT,
@@ -218,7 +229,7 @@
         )
 
     def make_table(self, version: int) -> gateway.RoutingTable:
-        """Return a table of the present routes."""
+        """Return a routing table with the current routes."""
         return gateway.RoutingTable(
             gateway.TableVersion(version),
             self.routes,
@@ -227,23 +238,27 @@
         )
 
     def publish(self) -> None:
-        """Write the routes as the next version."""
+        """Write the current routes to the source as the next table version."""
         self.version += 1
         self.source.set_table(self.make_table(self.version))
 
     def allow_connections(self, service: str, count: int) -> None:
-        """Say how many connections an upstream of a service accepts."""
+        """Set how many connections an upstream of a service accepts."""
         name = gateway.ServiceName(service)
         self.services[name] = gateway.Service(name=name, max_connections=count)
 
     async def connect(self, port: int = _PORT) -> Caller:
-        """Open one connection of a caller."""
+        """Open a connection of a caller."""
         return Caller(*await asyncio.open_connection(_GATEWAY_IP, port))
 
     async def ask(self, raw: bytes, port: int = _PORT) -> Reply:
-        """Send one request on a new connection and keep its reply."""
+        """Send a request on a new connection and return its reply.
+
+        The reply is also appended to `replies`. Its status is 0 if the
+        connection was refused.
+        """
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         try:
             caller = await self.connect(port)
         except ConnectionError:
@@ -252,14 +267,17 @@
             await caller.send(raw)
             reply = await caller.read()
             caller.leave()
-        reply.elapsed = loop.time() - began
+        reply.elapsed = loop.time() - started_at
         self.replies.append(reply)
         return reply
 
     async def ask_at_rate(
         self, path: str, rate: float, seconds: float, **shape
     ) -> list[Reply]:
-        """Send requests at a steady rate, whatever comes back."""
+        """Send requests at a constant rate, and return their replies.
+
+        Requests are sent without waiting for earlier replies.
+        """
         tasks = []
         for number in range(round(rate * seconds)):
             raw = make_raw(f'load-{number}', path, **shape)
@@ -268,7 +286,7 @@
         return await asyncio.gather(*tasks)
 
     async def probe(self) -> int:
-        """Return the status of the readiness address."""
+        """Return the HTTP status of the readiness check."""
         raw = make_raw('probe', '/readyz')
         return (await self.ask(raw, _PORT + 1)).status
 
@@ -278,7 +296,7 @@
         return (await self.ask(raw, _PORT + 2)).body.decode()
 
     def list_runs(self, request_id: str) -> list[standins.WireRun]:
-        """Return every run of one request, at any upstream."""
+        """Return the executions of a request at all upstreams."""
         return [
             run
             for model in self.upstreams.values()
@@ -289,7 +307,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Member:
-    """One gateway of several."""
+    """One gateway of a fleet."""
 
     address: str
     source: standins.HostSource
@@ -297,10 +315,10 @@
     gateway: gateway.Gateway
     hosts: gateway.Fleet
     task: asyncio.Task
-    silent: asyncio.Server | None = None
+    silent_server: asyncio.Server | None = None
 
     def freeze_peers(self) -> None:
-        """Answer peers no more, as one would that hangs in its work."""
+        """Delay replies to peers by an hour, as if their handler hung."""
 
         async def hang(request) -> None:
             await asyncio.sleep(3600.0)
@@ -308,35 +326,38 @@
         self.process.peers.handle = hang
 
     def deafen_peers(self) -> None:
-        """Read nothing more on open connections of peers."""
+        """Discard what peers send on their open connections."""
         for link in self.process.peers.links:
             link.data_received = lambda data: None
 
     async def silence_peers(self) -> None:
-        """Read nothing of peers any more, as a frozen process would."""
+        """Accept connections of peers but send no replies.
+
+        To peers, the gateway looks like a frozen process.
+        """
         peers = self.process.peers
         self.deafen_peers()
         peers.stop_accepting()
         await asyncio.sleep(0)
-        self.silent = await asyncio.get_running_loop().create_server(
+        self.silent_server = await asyncio.get_running_loop().create_server(
             asyncio.Protocol, self.address, _PORT + 3
         )
 
     def cut_peers(self) -> None:
-        """End the connections of peers, as a killed process would."""
+        """Abort the connections of peers, as if the process were killed."""
         for link in list(self.process.peers.links):
             link._transport.abort()
 
 
 class FleetBench:
-    """Several gateways over one source and the same upstreams."""
+    """Several gateways with the same source and upstreams."""
 
     def __init__(self, bench: GatewayBench, stack: contextlib.AsyncExitStack):
         self.members: dict[str, Member] = {}
         self._bench = bench
         self._stack = stack
-        self._count = 0
-        self._starts = collections.Counter()
+        self._member_count = 0
+        self._start_counts = collections.Counter()
 
     async def start(
         self,
@@ -344,7 +365,7 @@
         capacities: list[float] | None = None,
         link_bytes_s: float = 0.0,
     ) -> None:
-        """Start one gateway for each zone that is given."""
+        """Start one gateway for each element of `zones`."""
         self._bench.keep_log()
         capacities = capacities or [1.0] * len(zones)
         for zone, capacity in zip(zones, capacities, strict=True):
@@ -360,13 +381,14 @@
         link_bytes_s: float = 0.0,
         number: int | None = None,
     ) -> None:
-        """Start one more gateway; the source may refuse it.
+        """Start another gateway.
 
-        With the `number` of an earlier one it takes that one's place.
+        With `is_refused`, the source refuses its calls. With the `number` of
+        an earlier gateway, it replaces that gateway.
         """
         if number is None:
-            self._count += 1
-            number = self._count
+            self._member_count += 1
+            number = self._member_count
         name = f'g{number}'
         ip = f'10.0.1.{number}'
         clock = state.Clock(asyncio.get_running_loop())
@@ -388,9 +410,9 @@
         source = standins.HostSource(self._bench.source)
         source.is_refused = is_refused
         events = gateway.EventLog(name, clock)
-        # A host that starts again is another process, with another name.
-        seed = number + _STARTS_APART * self._starts[number]
-        self._starts[number] += 1
+        # Each process of a host needs its own seed to get its own id.
+        seed = number + _SEED_STEP * self._start_counts[number]
+        self._start_counts[number] += 1
         process = gateway_root.make_gateway(
             config, source, clock, seed, events
         )
@@ -401,17 +423,17 @@
         )
 
     def find_reader(self) -> str:
-        """Return the gateway that reads the source for all."""
+        """Return the name of the gateway that reads the source."""
         hosts = next(iter(self.members.values())).hosts
-        earlier = hosts.list_earlier_readers() or hosts.rank_readers()
-        return earlier[0].host
+        readers = hosts.list_earlier_readers() or hosts.rank_readers()
+        return readers[0].host
 
     async def kill(self, name: str) -> None:
-        """End a gateway at once."""
+        """Stop a gateway without draining it."""
         await core.end_task(self.members.pop(name).task)
 
     async def ask(self, name: str, raw: bytes) -> Reply:
-        """Send one request to one gateway."""
+        """Send a request to one gateway, and return its reply."""
         caller = await self.connect(name)
         await caller.send(raw)
         reply = await caller.read()
--- a/features/steps/adapter.py
+++ b/features/steps/adapter.py
@@ -1,4 +1,4 @@
-"""Steps on the adapter and a stand-in of the platform's store."""
+"""Steps for the adapter and a stand-in for the platform's store."""
 
 import asyncio
 import pathlib
@@ -49,43 +49,45 @@
 ]
 
 
-def write_file(context, text):
-    """Write a settings file for the scenario."""
+def write_settings_file(context, text):
+    """Write the settings file of the scenario."""
     folder = context.stack.enter_context(tempfile.TemporaryDirectory())
-    context.file = pathlib.Path(folder) / 'boot.conf'
-    context.file.write_text(text, encoding='utf-8')
+    context.settings_path = pathlib.Path(folder) / 'boot.conf'
+    context.settings_path.write_text(text, encoding='utf-8')
 
 
 @given(r'a settings file with the field "([^"]+)" as "([^"]+)"')
-def make_file(context, field, value):
+def make_file_with_field(context, field, value):
     text = platform_standins.make_boot(
         '10.0.0.1', 8104, '%s:%d' % _STORE, **{field: value}
     )
-    write_file(context, text)
+    write_settings_file(context, text)
 
 
 @given(
     r'a settings file with cpu_share (\S+), cores (\S+) and link_mbps '
     r'(\S+)'
 )
-def make_strong_file(context, share, cores, link):
+def make_file_with_capacity(context, share, cores, link):
     fields = {
         'limits.cpu_share': share,
         'limits.cores': cores,
         'limits.link_mbps': link,
     }
-    told = {name: value for name, value in fields.items() if value != 'none'}
+    present_fields = {
+        name: value for name, value in fields.items() if value != 'none'
+    }
     text = platform_standins.make_boot(
-        '10.0.0.1', 8104, '%s:%d' % _STORE, **told
+        '10.0.0.1', 8104, '%s:%d' % _STORE, **present_fields
     )
-    write_file(context, text)
+    write_settings_file(context, text)
 
 
 @then(
     r'the host has ([\d.]+) cores, a link of (\d+) bytes a second and the '
     r'capacity ([\d.]+)'
 )
-def check_strength(context, cores, link, capacity):
+def check_capacity(context, cores, link, capacity):
     settings = context.settings_file.ok_value.settings
     assert settings.cores == float(cores), settings
     assert settings.link_bytes_s == float(link), settings
@@ -93,20 +95,20 @@
 
 
 @given(r'a settings file without the field "([^"]+)"')
-def make_short_file(context, field):
+def make_file_without_field(context, field):
     text = platform_standins.make_boot('10.0.0.1', 8104, '%s:%d' % _STORE)
     lines = text.splitlines(keepends=True)
     kept = [line for line in lines if not line.startswith(f'{field}=')]
-    write_file(context, ''.join(kept))
+    write_settings_file(context, ''.join(kept))
 
 
 @when(r'the settings file is read')
-def read_file(context):
-    context.settings_file = platform.read_settings_file(context.file)
+def read_existing_file(context):
+    context.settings_file = platform.read_settings_file(context.settings_path)
 
 
 @when(r'a missing settings file is read')
-def read_no_file(context):
+def read_missing_file(context):
     context.settings_file = platform.read_settings_file(
         pathlib.Path('no/such/boot.conf')
     )
@@ -118,7 +120,7 @@
 
 
 @then(r'the gateway\'s settings have host "([^"]+)" in "([^"]+)" of "([^"]+)"')
-def check_place(context, host, zone, region):
+def check_topology(context, host, zone, region):
     settings = context.settings_file.ok_value.settings
     assert settings.host == host
     assert settings.place.zone == zone
@@ -140,14 +142,14 @@
 
 @then(r'they name the seeds "([^"]+)" and "([^"]+)" on (\d+)')
 def check_seeds(context, first, second, port):
-    wanted = ((first, int(port)), (second, int(port)))
-    assert context.settings_file.ok_value.settings.seeds == wanted
+    expected = ((first, int(port)), (second, int(port)))
+    assert context.settings_file.ok_value.settings.seeds == expected
 
 
 @then(
     r'extra requests have ratio ([\d.]+), window (\d+) seconds and slack (\d+)'
 )
-def check_bounds(context, ratio, window, slack):
+def check_extra_request_limits(context, ratio, window, slack):
     settings = context.settings_file.ok_value.settings
     assert settings.extra_ratio == float(ratio)
     assert settings.extra_window_s == float(window)
@@ -173,7 +175,7 @@
 
 
 def write_config(context, raw):
-    """Write a configuration as the operator does."""
+    """Write a configuration to the key that the operator uses."""
     context.store.put('op/config', raw)
 
 
@@ -181,30 +183,30 @@
     r'the operator writes version (\d+) with a gather, a split and an '
     r'unsafe route'
 )
-def write_three(context, version):
+def write_three_routes(context, version):
     raw = platform_standins.make_config(int(version), _ROUTES)
     write_config(context, raw)
 
 
 @given(r'the operator writes a route of the kind "([^"]+)"')
-def write_kind(context, kind):
+def write_route_of_kind(context, kind):
     route = {'prefix': '/k/', 'service': 's', 'kind': kind}
     write_config(context, platform_standins.make_config(1, [route]))
 
 
 @given(r'the operator writes what is not JSON')
-def write_garbage(context):
+def write_invalid_json(context):
     write_config(context, b'\xff\x00')
 
 
 @given(r'the operator writes a route without a service')
-def write_empty_route(context):
+def write_route_without_service(context):
     route = {'prefix': '/k/', 'service': ''}
     write_config(context, platform_standins.make_config(1, [route]))
 
 
 @given(r'the operator writes a configuration cut in two')
-def write_half(context):
+def write_truncated_config(context):
     raw = platform_standins.make_config(1, _ROUTES)
     write_config(context, raw[: len(raw) // 2])
 
@@ -215,12 +217,12 @@
 
 
 @step(r'the store is (busy|many|reset|silent)')
-def set_refusal(context, how):
-    context.store.refusal = platform_standins.Refusal(how)
+def set_refusal(context, refusal_name):
+    context.store.refusal = platform_standins.Refusal(refusal_name)
 
 
 @step(r'the store takes ([\d.]+) seconds for a reply')
-def set_slow(context, seconds):
+def set_reply_delay(context, seconds):
     context.store.slow_s = float(seconds)
 
 
@@ -235,20 +237,20 @@
 
 
 @given(r"a server's entry is not JSON")
-def register_garbage(context):
+def write_invalid_server_entry(context):
     context.store.put('servers/i-bad', b'{')
 
 
 @given(r"a host's entry is not JSON")
-def register_bad_host(context):
+def write_invalid_host_entry(context):
     context.store.put('rudderrock/hosts/bad', b'{')
 
 
 def call(context, coroutine):
-    """Await a call to the source and keep its answer and duration."""
-    began = context.loop.time()
+    """Await a call to the source, and store its answer and duration."""
+    started_at = context.loop.time()
     context.answer = run(context, coroutine)
-    context.took = context.loop.time() - began
+    context.took = context.loop.time() - started_at
 
 
 @when(r'the source reads the table')
@@ -257,7 +259,7 @@
 
 
 def get_position(store):
-    """Return where in its history a store is."""
+    """Return the current position of a store: its era and revision."""
     return gateway.Position(store.era, store.revision)
 
 
@@ -276,21 +278,21 @@
             context.source.watch_table(get_position(context.store), 2.0)
         )
         await asyncio.sleep(float(seconds))
-        write_three(context, version)
+        write_three_routes(context, version)
         return await watching
 
     call(context, watch())
 
 
 @when(r'the source watches the table for 2 seconds')
-def watch_nothing(context):
+def watch_without_change(context):
     call(context, context.source.watch_table(get_position(context.store), 2.0))
 
 
 @when(r'the source watches the table from revision 1')
-def watch_old(context):
-    first = gateway.Position(context.store.era, 1)
-    call(context, context.source.watch_table(first, 2.0))
+def watch_first_revision(context):
+    first_position = gateway.Position(context.store.era, 1)
+    call(context, context.source.watch_table(first_position, 2.0))
 
 
 @then(r'the table has version (\d+) and (\d+) routes')
@@ -301,16 +303,16 @@
 
 
 def get_target(context, prefix):
-    """Return the target of a route of the table that was read."""
+    """Return the target of the route with this prefix."""
     return context.table_read.routes[('members.example', prefix)].target
 
 
 @then(r'the gather has (\d+) shards, top_k (\d+) and min_coverage ([\d.]+)')
-def check_gather(context, count, top_k, least):
+def check_gather(context, count, top_k, min_coverage):
     target = get_target(context, '/all/')
     assert len(target.shards) == int(count)
     assert target.top_k == int(top_k)
-    assert target.min_coverage == float(least)
+    assert target.min_coverage == float(min_coverage)
 
 
 @then(r'the split is (\d+) to (\d+)')
@@ -320,27 +322,27 @@
 
 
 @then(r'the unsafe route runs once and times out after (\d+) seconds')
-def check_once(context, seconds):
+def check_unsafe_route(context, seconds):
     route = context.table_read.routes[('members.example', '/once/')]
     assert route.repeat is gateway.Repeat.ONCE
     assert route.timeout_s == float(seconds)
 
 
 @then(r'its route runs once')
-def check_kind_once(context):
+def check_route_of_kind(context):
     table = context.answer.ok_value.table
     route = table.routes[('members.example', '/k/')]
     assert route.repeat is gateway.Repeat.ONCE
 
 
 @then(r'an upstream accepts (\d+) connections')
-def check_accepts(context, count):
+def check_max_connections(context, count):
     services = context.table_read.services.values()
     assert {each.max_connections for each in services} == {int(count)}
 
 
 @then(r'the reading has a problem and no table')
-def check_bad_reading(context):
+def check_reading_with_problem(context):
     reading = context.answer.ok_value
     assert reading.problem and reading.table is None, reading
 
@@ -363,12 +365,12 @@
 
 
 @then(r'the watch says that the history is gone')
-def check_gone(context):
+def check_history_compacted(context):
     assert context.answer.err_value == gateway.HistoryCompacted()
 
 
 @then(r'it finds (\d+) ready and (\d+) draining ones')
-def check_found(context, ready, draining):
+def check_phases(context, ready, draining):
     phases = [each.phase for each in context.answer.ok_value.endpoints]
     assert phases.count(gateway.Phase.READY) == int(ready), phases
     assert phases.count(gateway.Phase.DRAINING) == int(draining), phases
@@ -426,7 +428,7 @@
 
 
 @given(r'the operator writes version (\d+) with a route to a running server')
-def write_served(context, version):
+def write_route_to_server(context, version):
     context.server = standins.WireUpstream(
         'i-1', platform.NAMES, records=b'r' * 16
     )
@@ -441,8 +443,8 @@
 @given(r'a gateway over the store')
 def start_over_store(context):
     text = platform_standins.make_boot('10.0.0.1', 8104, '%s:%d' % _STORE)
-    write_file(context, text)
-    settings_file = platform.read_settings_file(context.file).ok_value
+    write_settings_file(context, text)
+    settings_file = platform.read_settings_file(context.settings_path).ok_value
 
     async def start():
         clock = state.Clock(context.loop)
@@ -458,15 +460,15 @@
 
 
 @when(r"a caller sends the platform's request")
-def send_platform(context):
+def send_platform_request(context):
     raw = (
         b'GET /n/1 HTTP/1.1\r\nHost: members.example\r\n'
         b'X-Request-Id: 9c41\r\nX-Deadline-Ms: 900\r\n\r\n'
     )
 
     async def ask():
-        pair = await asyncio.open_connection('10.0.0.1', 8104)
-        caller = gateway_bench.Caller(*pair)
+        streams = await asyncio.open_connection('10.0.0.1', 8104)
+        caller = gateway_bench.Caller(*streams)
         await caller.send(raw)
         return await caller.read()
 
@@ -474,34 +476,34 @@
 
 
 @then(r"it gets the server's reply with its stamp")
-def check_platform_answer(context):
+def check_platform_reply(context):
     assert context.reply.status == 200, context.reply
     assert context.reply.headers['x-server-stamp'] == 'i-1.9c41'
     assert context.reply.body == b'r' * 16
 
 
 @then(r'the server was sent its own id and the remaining time')
-def check_platform_sent(context):
+def check_headers_sent_to_server(context):
     headers = context.server.runs[-1].headers
     assert headers['x-expect-instance'] == 'i-1', headers
     assert 0 < int(headers['x-deadline-ms']) <= 900, headers
 
 
 @when(r"the gateway's program is imported by itself")
-def load_program(context):
+def import_program(context):
     code = (
         'import sys; import rudderrock.programs.gateway; '
         'print(*sorted(sys.modules))'
     )
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, '-c', code], capture_output=True, text=True
     )
-    assert done.returncode == 0, done.stderr
-    context.modules = set(done.stdout.split())
+    assert completed.returncode == 0, completed.stderr
+    context.modules = set(completed.stdout.split())
 
 
 @then(r'it has not imported (.+)')
-def check_modules(context, listed):
+def check_modules_not_imported(context, listed):
     unwanted = set(re.findall(r'"([^"]+)"', listed))
     assert 'rudderrock.gateway' in context.modules
     assert not unwanted & context.modules, unwanted & context.modules
--- a/features/steps/connecting.py
+++ b/features/steps/connecting.py
@@ -1,4 +1,4 @@
-"""Steps that end tasks while they open connections, over real sockets."""
+"""Steps that cancel tasks while they open connections, over real sockets."""
 
 import asyncio
 import random
@@ -16,96 +16,104 @@
 
 use_step_matcher('re')
 
-# How long a task that was cancelled may take to end, in seconds of real
-# time: it has nothing to wait for, so one that takes as long does not end.
-_END_S = 5.0
+# Time within which a cancelled task must end, in seconds of real time. Such a
+# task waits for nothing, so one that takes longer is assumed never to end.
+_END_TIMEOUT_S = 5.0
 
 
-class _Listener:
-    """An upstream that keeps its connections and answers nothing."""
+class _IdleUpstream:
+    """Upstream that keeps connections open and sends no replies."""
 
     def __init__(self):
         self.address = ''
-        self.open = 0
+        self.open_count = 0
 
     async def start(self, stack):
-        """Listen until the stack is closed."""
-        server = await asyncio.start_server(self._keep, '127.0.0.1', 0)
+        """Accept connections until the stack is closed."""
+        server = await asyncio.start_server(self._hold_open, '127.0.0.1', 0)
         stack.callback(server.close)
         ip, port = server.sockets[0].getsockname()
         self.address = f'{ip}:{port}'
 
-    async def _keep(self, reader, writer):
-        self.open += 1
+    async def _hold_open(self, reader, writer):
+        self.open_count += 1
         try:
             await reader.read()
         except ConnectionError:
-            # It was reset, which is how a client gives up.
+            # A client resets the connection when it abandons a request.
             return
         finally:
-            self.open -= 1
+            self.open_count -= 1
             writer.close()
 
 
 @given('an upstream that keeps its connections')
 def start_listener(context):
-    context.listener = _Listener()
-    run(context, context.listener.start(context.stack))
+    context.idle_upstream = _IdleUpstream()
+    run(context, context.idle_upstream.start(context.stack))
 
 
 @when(
     r'tasks that open connections are cancelled after 0 to (\d+) turns, '
     r'(\d+) times'
 )
-def cancel_openings(context, turns, times):
-    end_in_each_turn(context, _cancel_opening, int(turns), int(times))
+def cancel_open_calls(context, max_iterations, times):
+    end_after_iterations(
+        context, _cancel_open, int(max_iterations), int(times)
+    )
 
 
 @when(
     r'tasks that send over new connections are cancelled after 0 to (\d+) '
     r'turns, (\d+) times'
 )
-def cancel_sendings(context, turns, times):
-    end_in_each_turn(context, _cancel_sending, int(turns), int(times))
+def cancel_post_calls(context, max_iterations, times):
+    end_after_iterations(
+        context, _cancel_post, int(max_iterations), int(times)
+    )
 
 
 @when(r'links are closed after 0 to (\d+) turns of connecting, (\d+) times')
-def close_links(context, turns, times):
-    end_in_each_turn(context, _close_link, int(turns), int(times))
+def close_links(context, max_iterations, times):
+    end_after_iterations(context, _close_link, int(max_iterations), int(times))
+
 
+def end_after_iterations(context, start_and_end, max_iterations, times):
+    """Start tasks and end each after 0 to `max_iterations` loop iterations.
 
-def end_in_each_turn(context, begin_end, turns, times):
-    """End something after each number of turns, and count what goes on."""
+    Stores how many of them do not end. `start_and_end` is awaited with the
+    address and the number of iterations, and returns a task that must end.
+    """
 
-    async def end_all():
-        address = context.listener.address
+    async def start_and_end_all():
+        address = context.idle_upstream.address
         tasks = [
-            await begin_end(address, turn)
+            await start_and_end(address, iterations)
             for _ in range(times)
-            for turn in range(turns + 1)
+            for iterations in range(max_iterations + 1)
         ]
-        context.unended = await _wait_for_end(tasks)
+        context.not_ended = await _wait_for_end(tasks)
 
-    run(context, end_all())
+    run(context, start_and_end_all())
 
 
-async def _cancel_opening(address, turn):
-    return await _cancel_after(turn, _open_and_keep(address))
+async def _cancel_open(address, iterations):
+    return await _cancel_after(iterations, _open_and_wait(address))
 
 
-async def _cancel_sending(address, turn):
-    return await _cancel_after(turn, _send_and_keep(address))
+async def _cancel_post(address, iterations):
+    return await _cancel_after(iterations, _post_and_close(address))
 
 
-async def _cancel_after(turn, work):
-    """Return a task that was cancelled so many turns of the loop later."""
-    task = asyncio.create_task(work)
-    await _pass_turns(turn)
+async def _cancel_after(iterations, coroutine):
+    """Return a task that was cancelled after `iterations` loop iterations."""
+    task = asyncio.create_task(coroutine)
+    await _pass_iterations(iterations)
     task.cancel()
     return task
 
 
-async def _open_and_keep(address):
+async def _open_and_wait(address):
     connection = transport.OwnedConnection(address)
     try:
         await connection.open()
@@ -114,7 +122,7 @@
         await connection.close()
 
 
-async def _send_and_keep(address):
+async def _post_and_close(address):
     connection = transport.OwnedConnection(address)
     try:
         await connection.post('/', b'{}')
@@ -122,8 +130,8 @@
         await connection.close()
 
 
-async def _close_link(address, turn):
-    """Return a task that closes a link which has just begun to connect."""
+async def _close_link(address, iterations):
+    """Start a link, and return a task that closes it `iterations` later."""
     clock = runtime.make_system_clock()
     link = coordination.UpstreamLink(
         state.Upstream(upstream='u', address=address, zone='z'),
@@ -135,35 +143,35 @@
         lambda free: None,
     )
     link.start(lanes=2)
-    await _pass_turns(turn)
+    await _pass_iterations(iterations)
     return asyncio.create_task(link.close())
 
 
-async def _pass_turns(count):
+async def _pass_iterations(count):
     for _ in range(count):
         await asyncio.sleep(0)
 
 
 async def _wait_for_end(tasks):
-    """Return how many of these have not ended, and end them."""
-    _, unended = await asyncio.wait(tasks, timeout=_END_S)
-    while pending := [task for task in unended if not task.done()]:
+    """Return how many tasks did not end in time, and cancel them."""
+    _, not_ended = await asyncio.wait(tasks, timeout=_END_TIMEOUT_S)
+    while pending := [task for task in not_ended if not task.done()]:
         for task in pending:
             task.cancel()
         await asyncio.wait(pending, timeout=0.01)
-    return len(unended)
+    return len(not_ended)
 
 
 @then('every one of them has ended')
 def check_ended(context):
-    assert context.unended == 0, f'{context.unended} have not ended'
+    assert context.not_ended == 0, f'{context.not_ended} have not ended'
 
 
 @then('the upstream has no connection left')
-def check_none_open(context):
+def check_no_connections(context):
     async def wait_until_closed():
-        async with asyncio.timeout(_END_S):
-            while context.listener.open:
+        async with asyncio.timeout(_END_TIMEOUT_S):
+            while context.idle_upstream.open_count:
                 await asyncio.sleep(0.01)
 
     run(context, wait_until_closed())
--- a/features/steps/entries.py
+++ b/features/steps/entries.py
@@ -1,4 +1,4 @@
-"""Steps on what operators and upstreams write into the platform's store."""
+"""Steps for entries that operators and upstreams write to the store."""
 
 import asyncio
 import json
@@ -22,16 +22,16 @@
 
 _SERVICE = 's'
 _ADDRESS = '10.1.0.99:9000'
-_DEEP = 100_000
+_NESTING_DEPTH = 100_000
 
 
 def put_entry(context, raw):
-    """Write the entry of a server as bytes."""
+    """Write bytes as the entry of a server."""
     context.store.put_server('i-odd', raw)
 
 
 @given(r"a server's entry has no (\w+)")
-def put_short(context, field):
+def put_entry_without_field(context, field):
     fields = {'service': _SERVICE, 'address': _ADDRESS}
     entry = json.loads(platform_standins.make_server(**fields))
     del entry[field]
@@ -39,27 +39,27 @@
 
 
 @given(r"a server's entry has (\{.+\}) in place")
-def put_odd(context, fields):
+def put_entry_with_fields(context, fields):
     entry = json.loads(platform_standins.make_server(_SERVICE, _ADDRESS))
     text = json.dumps({**entry, **json.loads(fields)})
     put_entry(context, text.replace('Infinity', '1e400').encode())
 
 
 @given(r"a server's entry has an unknown field nested too deep")
-def put_deep(context):
+def put_nested_entry(context):
     raw = platform_standins.make_server(_SERVICE, _ADDRESS)
-    deep = b'[' * _DEEP + b']' * _DEEP
-    put_entry(context, raw[:-1] + b',"more":' + deep + b'}')
+    nested = b'[' * _NESTING_DEPTH + b']' * _NESTING_DEPTH
+    put_entry(context, raw[:-1] + b',"more":' + nested + b'}')
 
 
 @given(r"a server's entry has bytes that are not text")
-def put_bytes(context):
+def put_entry_with_invalid_text(context):
     raw = platform_standins.make_server(_SERVICE, _ADDRESS)
     put_entry(context, raw.replace(b'"s"', b'"\xff\xfe"'))
 
 
 @given(r"a server's entry has a value that is not base64")
-def put_unencoded(context):
+def put_entry_with_invalid_base64(context):
     put_entry(context, b'')
     context.store.spoilt.add('servers/i-odd')
 
@@ -105,7 +105,7 @@
 
 
 @then(r'(\d+) entries of any kind are decoded to an upstream or a problem')
-def check_any(context, count):
+def check_any_entry(context, count):
     valid = json.loads(platform_standins.make_server(_SERVICE, _ADDRESS))
 
     @hypothesis.settings(
@@ -121,7 +121,7 @@
 
 
 def check_decoded(found):
-    """Check that an entry has become an upstream or a problem."""
+    """Check that an entry was decoded to an upstream or a problem."""
     match found:
         case result.Ok(gateway.Endpoint() as entry):
             assert isinstance(entry.born, int)
@@ -135,7 +135,7 @@
 
 
 @given(r'a gateway over the store with a recorded log')
-def start_logged(context):
+def start_with_recorded_log(context):
     bench = gateway_steps.get(context)
     bench.keep_log()
     context.log = bench.log
@@ -143,7 +143,7 @@
 
 
 @then(r'the log has (\d+) lines? of the kind "([^"]+)"')
-def check_lines(context, count, kind):
+def check_line_count(context, count, kind):
     lines = map(json.loads, context.log.lines)
     found = [each for each in lines if each['kind'] == kind]
     assert len(found) == int(count), found
@@ -153,7 +153,7 @@
     r'the operator writes a route within "([^"]+)" and "([^"]+)" whose '
     r'cold service takes ([\d.]+) requests a second for (\d+) seconds'
 )
-def write_within(context, first, second, rate, seconds):
+def write_route_within_regions(context, first, second, rate, seconds):
     route = {
         'prefix': '/k/',
         'service': _SERVICE,
@@ -164,7 +164,7 @@
 
 
 def write_table(context, route, service):
-    """Write a configuration with one route and fields of its service."""
+    """Write a configuration with one route and these fields of its service."""
     config = json.loads(platform_standins.make_config(1, [route]))
     config['services'] = [{**each, **service} for each in config['services']]
     text = json.dumps(config).replace('Infinity', '1e999')
@@ -172,7 +172,7 @@
 
 
 @given(r'the operator writes a service with (\w+) of (\S+)')
-def write_warmup(context, figure, value):
+def write_service_with_warmup(context, figure, value):
     route = {'prefix': '/k/', 'service': _SERVICE}
     write_table(context, route, {figure: float(value)})
 
@@ -201,15 +201,17 @@
 
 @then(r'the evacuated zones are "([^"]*)"')
 def check_evacuated(context, zones):
-    wanted = frozenset(core.ZoneId(each) for each in zones.split(',') if each)
+    expected = frozenset(
+        core.ZoneId(each) for each in zones.split(',') if each
+    )
     reading = context.answer.ok_value
-    assert frozenset(reading.evacuated) == wanted, reading.evacuated
+    assert frozenset(reading.evacuated) == expected, reading.evacuated
 
 
-def watch(context, write):
-    """Have the source watch while something is written."""
+def watch_during(context, write):
+    """Call `write` while the source watches the table."""
 
-    async def go():
+    async def watch_and_write():
         context.position = (
             await context.source.read_table()
         ).ok_value.position
@@ -220,26 +222,26 @@
         write()
         return await watching
 
-    adapter.call(context, go())
+    adapter.call(context, watch_and_write())
 
 
 @when(
     r'the operator (evacuates|gives) "([^"]+)"(?: back)? while the source '
     r'watches'
 )
-def watch_evacuation(context, what, zone):
+def watch_evacuation(context, operation, zone):
     store = context.store
-    change = store.give_back if what == 'gives' else store.evacuate
-    watch(context, lambda: change(zone))
+    change = store.give_back if operation == 'gives' else store.evacuate
+    watch_during(context, lambda: change(zone))
 
 
 @when(r'the operator writes "([^"]+)" while the source watches')
-def watch_other(context, key):
-    watch(context, lambda: context.store.put(key, b'{}'))
+def watch_other_key(context, key):
+    watch_during(context, lambda: context.store.put(key, b'{}'))
 
 
 @then(r'the watch returns no table and a position after the write')
-def check_other(context):
+def check_other_key(context):
     reading = context.answer.ok_value
     assert reading.table is None and not reading.problem, reading
     assert reading.evacuated is None, reading
--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -1,4 +1,4 @@
-"""Steps on a gateway over virtual connections."""
+"""Steps for a gateway over virtual connections."""
 
 import asyncio
 import re
@@ -22,7 +22,10 @@
 
 
 def get(context) -> gateway_bench.GatewayBench:
-    """Return the scenario's gateway bench, made on first use."""
+    """Return the scenario's gateway with its surroundings.
+
+    They are created on the first call.
+    """
     if not hasattr(context, 'gateway'):
         context.gateway = gateway_bench.GatewayBench(context.stack)
         context.count = 0
@@ -33,7 +36,7 @@
 
 
 def next_id(context) -> str:
-    """Return a request id that has not been used."""
+    """Return an unused request id, and store it for later steps."""
     context.count += 1
     context.request_id = f'q{context.count}'
     return context.request_id
@@ -64,7 +67,11 @@
 
 
 def add_shards(context, count, replicas=1, first=0, **shape):
-    """Add shards with near and far replicas, and return their names."""
+    """Add shards, and return their names.
+
+    The first replica of each shard is in zone `NORTH`, which is near to the
+    gateway, and the others are in `SOUTH`.
+    """
     bench = get(context)
     names = []
     for number in range(first, first + count):
@@ -100,7 +107,7 @@
 
 
 @given(r'(\d+) shards? of (\d+) replicas that work for ' + _SECONDS)
-def add_slow_replicated(context, count, replicas, seconds):
+def add_slow_replicated_shards(context, count, replicas, seconds):
     get(context)
     context.shards += add_shards(
         context, int(count), int(replicas), work_s=float(seconds)
@@ -108,7 +115,7 @@
 
 
 @given(r'(\d+) shards with (\d+) slots that work for ' + _SECONDS)
-def add_slotted(context, count, slots, seconds):
+def add_shards_with_slots(context, count, slots, seconds):
     get(context)
     context.shard_rate = int(slots) / float(seconds)
     context.shards += add_shards(
@@ -117,7 +124,7 @@
 
 
 @given(r'the route "([^"]+)" to all shards with priority (\d+)')
-def add_ranked(context, prefix, priority):
+def add_scatter_with_priority(context, prefix, priority):
     add_scatter(context, prefix, least=0.9, priority=int(priority))
 
 
@@ -125,43 +132,45 @@
     r'both routes get requests for (\d+) seconds, together (\d+) times the '
     r'capacity of the shards'
 )
-def overload(context, seconds, times):
+def send_overload(context, seconds, times):
     bench = get(context)
     rate = context.shard_rate * int(times) / 2
     context.seconds = float(seconds)
 
-    async def load(path):
-        asked = []
+    async def send_requests(path):
+        tasks = []
         for number in range(round(rate * context.seconds)):
             raw = gateway_bench.make_raw(f'{path[1]}{number}', path)
-            asked.append(asyncio.create_task(bench.ask(raw)))
+            tasks.append(asyncio.create_task(bench.ask(raw)))
             await asyncio.sleep(1.0 / rate)
-        return await asyncio.gather(*asked)
+        return await asyncio.gather(*tasks)
 
-    async def both():
-        return await asyncio.gather(load('/urgent/1'), load('/other/1'))
+    async def send_both():
+        return await asyncio.gather(
+            send_requests('/urgent/1'), send_requests('/other/1')
+        )
 
-    context.urgent, context.other = run(context, both())
+    context.urgent, context.other = run(context, send_both())
 
 
 @then(r'timely replies are ([\d.]+) or more of the capacity of the shards')
-def check_goodput(context, part):
-    good = [
+def check_timely_replies(context, fraction):
+    timely = [
         each
         for each in (*context.urgent, *context.other)
         if each.status == 200 and each.elapsed <= 0.2
     ]
-    most = context.shard_rate * context.seconds
-    assert len(good) >= float(part) * most, (len(good), most)
+    capacity = context.shard_rate * context.seconds
+    assert len(timely) >= float(fraction) * capacity, (len(timely), capacity)
 
 
 @then(r'urgent requests are answered more often than the others')
-def check_urgent(context):
-    served = [
+def check_priority(context):
+    answered_counts = [
         sum(each.status == 200 for each in replies)
         for replies in (context.urgent, context.other)
     ]
-    assert served[0] > 1.2 * served[1], served
+    assert answered_counts[0] > 1.2 * answered_counts[1], answered_counts
 
 
 @then(r'refused requests have not run and got a Retry-After header at once')
@@ -184,23 +193,23 @@
 
 
 @given(r'1 shard that accepts (\d+) connections')
-def add_narrow_shard(context, count):
+def add_shard_with_connections(context, count):
     bench = get(context)
     bench.allow_connections('shard-0', int(count))
     context.shards += add_shards(context, 1)
 
 
 @given(r'shards with the records (.+)')
-def add_shards_with(context, listed):
+def add_shards_with_records(context, listed_records):
     get(context)
-    words = re.findall(r'"([^"]+)"', listed)
+    words = re.findall(r'"([^"]+)"', listed_records)
     for number, word in enumerate(words):
         records = b''.join(letter.encode() * 16 for letter in word)
         context.shards += add_shards(context, 1, first=number, records=records)
 
 
 @given(r'a shard that sends half a record')
-def add_half_shard(context):
+def add_shard_with_partial_record(context):
     context.shards += add_shards(
         context, 1, first=len(context.shards), records=b'z' * 8
     )
@@ -212,14 +221,14 @@
 
 
 @given(r'the route "([^"]+)" to "([^"]+)" that runs once')
-def add_once(context, prefix, service):
+def add_once_route(context, prefix, service):
     get(context).add_route(
         prefix, gateway.Single(service), repeat=gateway.Repeat.ONCE
     )
 
 
 @given(r'the route "([^"]+)" to "([^"]+)" with a timeout of ' + _SECONDS)
-def add_timed(context, prefix, service, seconds):
+def add_route_with_timeout(context, prefix, service, seconds):
     get(context).add_route(
         prefix, gateway.Single(service), timeout_s=float(seconds)
     )
@@ -230,7 +239,7 @@
     + _SECONDS
     + ' that runs once'
 )
-def add_timed_once(context, prefix, service, seconds):
+def add_once_route_with_timeout(context, prefix, service, seconds):
     get(context).add_route(
         prefix,
         gateway.Single(service),
@@ -251,7 +260,7 @@
 
 
 def add_scatter(context, prefix, top_k=5, least=0.5, **fields):
-    """Add a route to all shards that the scenario has."""
+    """Add a route to all shards of the scenario."""
     target = gateway.Scatter(tuple(context.shards), top_k, least)
     get(context).add_route(prefix, target, **fields)
 
@@ -321,16 +330,16 @@
 
 
 def restart(context, upstream):
-    """Cut all connections of an upstream and listen again."""
+    """Close all connections of an upstream and listen again."""
     bench = get(context)
     model = bench.upstreams[upstream]
     address = bench.source.endpoints[upstream].address
 
-    async def again():
+    async def stop_and_start():
         await model.stop()
         await model.start(*address)
 
-    run(context, again())
+    run(context, stop_and_start())
 
 
 @given(r'a gateway')
@@ -357,12 +366,12 @@
 
 
 @when(r'the source returns the previous table again')
-def show_old(context):
+def set_old_table(context):
     get(context).source.set_table(context.old_table)
 
 
 @when(r'the source sends no events to its watches')
-def make_deaf(context):
+def drop_watch_events(context):
     get(context).source.is_deaf = True
 
 
@@ -374,12 +383,12 @@
 
 
 @when(r'the source is (down|back)')
-def switch_source(context, how):
-    get(context).source.is_down = how == 'down'
+def switch_source(context, state):
+    get(context).source.is_down = state == 'down'
 
 
 @when(r'the entry of "([^"]+)" lapses')
-def lapse(context, upstream):
+def remove_entry(context, upstream):
     get(context).source.remove_endpoint(upstream)
 
 
@@ -405,43 +414,43 @@
 
 
 @when(r'"([^"]+)" drains and its entry is removed while it works on a request')
-def drain_at_work(context, upstream):
+def drain_during_request(context, upstream):
     bench = get(context)
     raw = gateway_bench.make_raw(
         next_id(context), '/notes/1', method='POST', deadline_ms=9000
     )
 
     async def drain():
-        asked = asyncio.create_task(bench.ask(raw))
+        request_task = asyncio.create_task(bench.ask(raw))
         await asyncio.sleep(0.2)
         drain_upstream(context, upstream)
         await asyncio.sleep(1.3)
         bench.source.remove_endpoint(upstream)
-        return await asked
+        return await request_task
 
     context.reply = run(context, drain())
 
 
 @when(r'the gateway is asked to stop')
-def tell_stop(context):
+def request_stop(context):
     context.stopped_at = context.loop.time()
     get(context).process.stop()
     run(context, asyncio.sleep(0))
 
 
 @when(r'the gateway is asked to stop during a POST "([^"]+)"')
-def stop_at_work(context, path):
+def stop_during_request(context, path):
     bench = get(context)
     raw = gateway_bench.make_raw(
         next_id(context), path, method='POST', deadline_ms=9000
     )
 
     async def stop():
-        asked = asyncio.create_task(bench.ask(raw))
+        request_task = asyncio.create_task(bench.ask(raw))
         await asyncio.sleep(0.1)
         context.stopped_at = context.loop.time()
         bench.process.stop()
-        return await asked
+        return await request_task
 
     context.reply = run(context, stop())
 
@@ -449,11 +458,14 @@
 @when(r'the gateway is stopped while callers send on open connections')
 def stop_under_load(context):
     bench = get(context)
-    context.cut = []
+    context.interrupted = []
     context.served = 0
 
     async def call(number):
-        """Send on one connection until it ends, then open another."""
+        """Send requests on one connection until it ends, then open another.
+
+        Returns when no connection can be opened.
+        """
         while True:
             try:
                 caller = await bench.connect()
@@ -470,7 +482,7 @@
                 if reply.status == 200:
                     context.served += 1
                 elif bench.list_runs(request_id):
-                    context.cut.append(request_id)
+                    context.interrupted.append(request_id)
                 if reply.closed or 'connection' in reply.headers:
                     break
                 await asyncio.sleep(0.05)
--- a/features/steps/gateway_callers.py
+++ b/features/steps/gateway_callers.py
@@ -1,4 +1,4 @@
-"""Steps on callers of a gateway: what they send, and when they read."""
+"""Steps for callers of a gateway: what they send and when they read."""
 
 import asyncio
 from unittest import mock
@@ -19,7 +19,7 @@
 
 
 def send(context, path, **shape):
-    """Send one request and keep its reply for the steps after."""
+    """Send a request, and store its reply for later steps."""
     raw = gateway_bench.make_raw(gateway_steps.next_id(context), path, **shape)
     context.reply = run(context, gateway_steps.get(context).ask(raw))
 
@@ -67,7 +67,7 @@
 
 
 @when(r'a caller sends POST "([^"]+)" in the chunks "([^"]+)" and "([^"]+)"')
-def send_chunks(context, path, first, second):
+def send_post_in_chunks(context, path, first, second):
     head = gateway_bench.make_raw(
         gateway_steps.next_id(context),
         path,
@@ -87,20 +87,20 @@
     + ' and disconnects after '
     + _SECONDS
 )
-def send_and_leave(context, path, deadline, seconds):
+def send_and_disconnect(context, path, deadline, seconds):
     raw = gateway_bench.make_raw(
         gateway_steps.next_id(context),
         path,
         deadline_ms=round(float(deadline) * 1000),
     )
 
-    async def leave():
+    async def send_then_disconnect():
         caller = await gateway_steps.get(context).connect()
         await caller.send(raw)
         await asyncio.sleep(float(seconds))
         caller.leave()
 
-    run(context, leave())
+    run(context, send_then_disconnect())
 
 
 @when(r'(\d+) requests for "([^"]+)" are sent at (\d+) a second')
@@ -116,14 +116,14 @@
     r'requests for "([^"]+)" are sent at (\d+) a second for (\d+) seconds '
     r'while (\d+) new shards replace the old'
 )
-def send_during_change(context, path, rate, seconds, count):
+def send_during_shard_change(context, path, rate, seconds, count):
     bench = gateway_steps.get(context)
     old = len(context.shards)
     new = gateway_steps.add_shards(context, int(count), first=old)
     context.new_shards = new
 
-    async def change():
-        load = asyncio.create_task(
+    async def send_and_replace_shards():
+        requests = asyncio.create_task(
             bench.ask_at_rate(path, float(rate), float(seconds))
         )
         await asyncio.sleep(float(seconds) / 2)
@@ -133,9 +133,9 @@
         for name in list(bench.source.endpoints):
             if name.rsplit('-', 1)[0] in context.shards:
                 bench.source.remove_endpoint(name)
-        return await load
+        return await requests
 
-    context.replies = run(context, change())
+    context.replies = run(context, send_and_replace_shards())
 
 
 @when(r'a caller sends a long head')
@@ -156,13 +156,13 @@
 
 
 @when(r'a caller sends what is not HTTP')
-def send_garbage(context):
+def send_non_http(context):
     context.reply = run(
         context, gateway_steps.get(context).ask(b'\x01\x02\x03\r\n\r\n')
     )
 
 
-_DOUBTFUL = {
+_AMBIGUOUS_LENGTHS = {
     'two lengths': 'Content-Length: 3\r\nContent-Length: 6\r\n',
     'a length and chunks': (
         'Content-Length: 3\r\nTransfer-Encoding: chunked\r\n'
@@ -172,12 +172,12 @@
 
 
 @when(r'a caller sends a request with (two lengths|a length .+)')
-def send_doubtful(context, what):
+def send_ambiguous_length(context, what):
     head = gateway_bench.make_raw(
         gateway_steps.next_id(context),
         '/notes/1',
         method='POST',
-        extra=_DOUBTFUL[what],
+        extra=_AMBIGUOUS_LENGTHS[what],
     )
     context.reply = run(
         context, gateway_steps.get(context).ask(head + b'0\r\n\r\n')
@@ -191,7 +191,7 @@
 
 
 @when(r'a caller pipelines (\d+) requests for "([^"]+)"')
-def send_ahead(context, count, path):
+def send_pipelined(context, count, path):
     context.sent_ids = [
         gateway_steps.next_id(context) for _ in range(int(count))
     ]
@@ -199,16 +199,19 @@
         gateway_bench.make_raw(each, path) for each in context.sent_ids
     )
 
-    async def ahead():
+    async def send_and_read():
         caller = await gateway_steps.get(context).connect()
         await caller.send(raw)
         return [await caller.read() for _ in context.sent_ids]
 
-    context.replies = run(context, ahead())
+    context.replies = run(context, send_and_read())
 
 
 def make_link(context, unsent=0):
-    """Return a link over a mocked transport, at work on one request."""
+    """Return a link over a mocked transport with one request in flight.
+
+    `unsent` is the number of bytes in the write buffer of the transport.
+    """
     context.outcomes = []
     context.transport = mock.Mock()
     context.transport.is_closing.return_value = False
@@ -231,7 +234,7 @@
 
 
 @when(r'a connection receives a reply without a length and is reset')
-def reset_unframed(context):
+def reset_reply_without_length(context):
     link = make_link(context)
     link.data_received(
         b'HTTP/1.1 200 OK\r\nRudderrock-Stamp: s\r\n\r\nrrrrrrrr'
@@ -240,20 +243,20 @@
 
 
 @when(r'a connection receives a reply while bytes of its request are unsent')
-def answer_early(context):
+def reply_with_unsent_bytes(context):
     link = make_link(context, unsent=10)
     link.data_received(b'HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nr')
 
 
 @then(r'its reply is accepted and the connection is closed')
-def check_closed(context):
+def check_accepted_and_closed(context):
     assert context.outcomes[0].body == b'r', context.outcomes
     assert context.transport.abort.called
     assert not context.freed
 
 
 @given(r'an upstream "([^"]+)" of "([^"]+)" that answers with (\d+) bytes')
-def add_talkative(context, upstream, service, size):
+def add_upstream_with_reply_size(context, upstream, service, size):
     bench = gateway_steps.get(context)
     run(
         context,
@@ -265,14 +268,14 @@
     r'a caller pipelines (\d+) requests for "([^"]+)" and reads nothing '
     r'for ' + _SECONDS
 )
-def send_unread(context, count, path, seconds):
+def send_pipelined_without_reading(context, count, path, seconds):
     raw = b''.join(
         gateway_bench.make_raw(
             gateway_steps.next_id(context), path, deadline_ms=9000
         )
         for _ in range(int(count))
     )
-    context.ahead = int(count)
+    context.pipelined_count = int(count)
 
     async def send():
         context.caller = await gateway_steps.get(context).connect()
@@ -284,16 +287,18 @@
 
 
 @when(r'the caller reads its replies')
-def read_all(context):
+def read_replies(context):
     async def read():
         context.caller.reader._transport.resume_reading()
-        return [await context.caller.read() for _ in range(context.ahead)]
+        return [
+            await context.caller.read() for _ in range(context.pipelined_count)
+        ]
 
     context.replies = run(context, read())
 
 
 @then(r'it got (\d+) complete replies')
-def check_whole_answers(context, count):
+def check_complete_replies(context, count):
     assert len(context.replies) == int(count)
     for reply in context.replies:
         assert reply.status == 200, reply.status
@@ -301,13 +306,13 @@
 
 
 @then(r'"([^"]+)" ran no more than (\d+) requests')
-def check_few_runs(context, upstream, most):
+def check_max_runs(context, upstream, limit):
     runs = gateway_steps.get(context).upstreams[upstream].runs
-    assert len(runs) <= int(most), len(runs)
+    assert len(runs) <= int(limit), len(runs)
 
 
 @then(r'the gateway has no caller connections')
-def check_no_caller(context):
+def check_no_caller_connections(context):
     assert 'rudderrock_caller_connections 0' in run(
         context, gateway_steps.get(context).scrape()
     )
@@ -329,9 +334,9 @@
 
 
 @then(r'(\d+) of the last (\d+) replies are (\d+)')
-def check_some(context, wanted, count, status):
+def check_reply_count(context, expected, count, status):
     found = [reply.status for reply in context.replies[-int(count) :]]
-    assert found.count(int(status)) == int(wanted), found
+    assert found.count(int(status)) == int(expected), found
 
 
 @when(r'a caller sends HEAD "([^"]+)"')
@@ -340,5 +345,5 @@
 
 
 @then(r'the reply has no Content-Length')
-def check_no_length(context):
+def check_no_content_length(context):
     assert 'content-length' not in context.reply.headers, context.reply
--- a/features/steps/gateway_checks.py
+++ b/features/steps/gateway_checks.py
@@ -1,4 +1,4 @@
-"""Steps that check what a gateway did, and what its log says of it."""
+"""Steps that check replies, upstreams and log lines of a gateway."""
 
 import asyncio
 import collections
@@ -31,20 +31,20 @@
 
 
 @then(r'more than ([\d.]+) of the replies are 200')
-def check_most_good(context, part):
+def check_fraction_ok(context, fraction):
     statuses = collections.Counter(each.status for each in context.replies)
-    assert statuses[200] > float(part) * statuses.total(), statuses
+    assert statuses[200] > float(fraction) * statuses.total(), statuses
 
 
 @then(r'every reply is 200')
-def check_all_good(context):
+def check_all_ok(context):
     statuses = collections.Counter(each.status for each in context.replies)
     assert set(statuses) == {200}, statuses
 
 
 @then(r'every reply is 200 and has the stamp of its own request')
-def check_all_own(context):
-    check_all_good(context)
+def check_all_stamps(context):
+    check_all_ok(context)
     names = [
         each.headers['rudderrock-stamp'].split('.', 1)[1]
         for each in context.replies
@@ -53,7 +53,7 @@
 
 
 @then(r'it gets (\d+) replies in the order of the requests')
-def check_in_order(context, count):
+def check_order(context, count):
     names = [
         each.headers['rudderrock-stamp'].split('.', 1)[1]
         for each in context.replies
@@ -68,29 +68,29 @@
 
 
 @then(r'the reply has Connection: close')
-def check_close(context):
+def check_connection_close(context):
     assert context.reply.headers['connection'] == 'close', context.reply
 
 
 @then(r'its body is complete')
-def check_whole(context):
+def check_complete_body(context):
     assert context.reply.body == b'r' * 32, context.reply
 
 
 @then(r'it took less than ([\d.]+) seconds')
-def check_quick(context, seconds):
+def check_max_duration(context, seconds):
     assert context.reply.elapsed < float(seconds), context.reply
 
 
 @then(r'it took more than ([\d.]+) seconds')
-def check_patient(context, seconds):
+def check_min_duration(context, seconds):
     assert context.reply.elapsed > float(seconds), context.reply
 
 
 @then(r'its records are "([^"]+)"')
 def check_records(context, letters):
-    wanted = b''.join(letter.encode() * 16 for letter in letters)
-    assert context.reply.body == wanted, context.reply.body
+    expected = b''.join(letter.encode() * 16 for letter in letters)
+    assert context.reply.body == expected, context.reply.body
 
 
 @then(r'(\d+) shards are missing and (\d+) are signed')
@@ -143,22 +143,22 @@
 
 
 @then(r'"([^"]+)" was sent a deadline of at most (\d+) ms')
-def check_told(context, upstream, most):
+def check_sent_deadline(context, upstream, limit):
     found = get(context).upstreams[upstream].runs[-1]
-    told = int(found.headers['rudderrock-deadline-ms'])
-    assert 0 < told <= int(most), told
+    deadline_ms = int(found.headers['rudderrock-deadline-ms'])
+    assert 0 < deadline_ms <= int(limit), deadline_ms
 
 
 @then(r'"([^"]+)" ran it and nobody else')
-def check_only(context, upstream):
+def check_only_runner(context, upstream):
     bench = get(context)
-    where = [
+    runners = [
         name
         for name, model in bench.upstreams.items()
         for each in model.runs
         if each.request_id == context.request_id
     ]
-    assert where == [upstream], where
+    assert runners == [upstream], runners
 
 
 @then(r'"([^"]+)" finished it')
@@ -169,13 +169,13 @@
 
 
 @then(r'it ran (\d+) times?')
-def check_times(context, count):
+def check_run_count(context, count):
     found = get(context).list_runs(context.request_id)
     assert len(found) == int(count), found
 
 
 @then(r'"([^"]+)" ran (\d+) of them and "([^"]+)" (\d+)')
-def check_shares(context, first, left, second, right):
+def check_run_counts(context, first, left, second, right):
     upstreams = get(context).upstreams
     found = [
         sum(
@@ -188,16 +188,16 @@
 
 
 @then(r'"([^"]+)" is working on no request')
-def check_idle(context, upstream):
+def check_no_work(context, upstream):
     model = get(context).upstreams[upstream]
     assert model.runs and not model.finished
     assert model.working == 0, model.working
 
 
 @then(r'no shard is at work for anybody')
-def check_shards_idle(context):
+def check_no_shard_works(context):
     for name in get(context).upstreams:
-        check_idle(context, name)
+        check_no_work(context, name)
 
 
 @then(r'no upstream ran anything')
@@ -206,16 +206,16 @@
 
 
 @then(r'the gateway is (not ready|ready)')
-def check_ready(context, how):
+def check_ready(context, state):
     status = run(context, get(context).probe())
-    assert status == (200 if how == 'ready' else 503), status
+    assert status == (200 if state == 'ready' else 503), status
 
 
 @then(
     r'no service got more than ([\d.]+) extra requests per request and (\d+) '
     r'in any 10 seconds'
 )
-def check_budget(context, ratio, slack):
+def check_extra_requests(context, ratio, slack):
     bench = get(context)
     sent = len(context.replies)
     seen = context.extras = {}
@@ -226,41 +226,41 @@
             if name.startswith(f'{shard}-')
             for request_id in model.arrivals
         )
-        # The load lasts ten seconds, so its whole is one window.
+        # The requests are sent within 10 seconds, which is one window.
         extra = sum(count - 1 for count in arrivals.values())
         seen[shard] = extra
         assert extra <= float(ratio) * sent + int(slack), (shard, extra)
 
 
 @then(r'no shard got an extra request')
-def check_no_extra(context):
-    check_budget(context, '0', '0')
+def check_no_extra_requests(context):
+    check_extra_requests(context, '0', '0')
 
 
 @then(r'some extra requests were sent')
-def check_some_extra(context):
+def check_some_extra_requests(context):
     assert sum(context.extras.values()) > 0, context.extras
 
 
 @then(r'no request ran at more than (\d+) upstreams of a shard')
-def check_attempts(context, most):
+def check_attempts(context, limit):
     counts = collections.Counter()
     for name, model in get(context).upstreams.items():
         shard = name.rsplit('-', 1)[0]
         for each in model.runs:
             counts[(shard, each.request_id)] += 1
-    assert counts and max(counts.values()) <= int(most), counts
+    assert counts and max(counts.values()) <= int(limit), counts
 
 
 @then(r'the shard never had more than (\d+) connections')
-def check_connections(context, most):
+def check_connections(context, limit):
     model = get(context).upstreams['shard-0-0']
-    assert 1 < model.most_open <= int(most), model.most_open
+    assert 1 < model.most_open <= int(limit), model.most_open
 
 
 @then(r'no request was cut')
-def check_uncut(context):
-    assert not context.cut, context.cut
+def check_not_interrupted(context):
+    assert not context.interrupted, context.interrupted
     assert context.served > 50, context.served
 
 
@@ -278,7 +278,7 @@
 
 
 def list_lines(context, kind):
-    """Return the log lines of one kind, decoded."""
+    """Return the decoded log lines of one kind."""
     lines = []
     for text in get(context).log.lines:
         if text.startswith('{'):
@@ -307,15 +307,17 @@
 
 
 @then(r'the log has at most (\d+) request lines')
-def check_bounded(context, most):
+def check_max_request_lines(context, limit):
     found = list_lines(context, 'request')
-    assert 0 < len(found) <= int(most), len(found)
+    assert 0 < len(found) <= int(limit), len(found)
 
 
 @then(r'the log counts the omitted lines')
-def check_dropped(context):
-    told = sum(line['count'] for line in list_lines(context, 'lines_dropped'))
-    assert told + len(list_lines(context, 'request')) == 901, told
+def check_omitted_lines(context):
+    omitted = sum(
+        line['count'] for line in list_lines(context, 'lines_dropped')
+    )
+    assert omitted + len(list_lines(context, 'request')) == 901, omitted
 
 
 @then(r'every log line has the fields of its kind')
@@ -328,13 +330,13 @@
         line = json.loads(text)
         kind = gateway.LogKind(line['kind'])
         kinds.add(kind)
-        wanted = common | set(gateway.KIND_INFO[kind].fields)
-        assert set(line) == wanted, (line, wanted)
+        expected = common | set(gateway.KIND_INFO[kind].fields)
+        assert set(line) == expected, (line, expected)
     assert len(kinds) >= 6, kinds
 
 
 @then(r'docs/events.md matches the definitions')
-def check_page(context):
+def check_events_page(context):
     page = pathlib.Path('docs/events.md').read_text(encoding='utf-8')
     assert page == gateway.format_event_page()
     assert set(gateway.KIND_INFO) == set(gateway.LogKind)
@@ -381,20 +383,20 @@
 
 
 @when(r'the source raises an unexpected exception once')
-def break_source(context):
+def raise_in_source_once(context):
     source = get(context).source
-    good = source.list_upstreams
+    original = source.list_upstreams
 
     async def fail_once():
-        source.list_upstreams = good
-        raise KeyError('a defect of this scenario')
+        source.list_upstreams = original
+        raise KeyError('unexpected exception raised by this scenario')
 
     source.list_upstreams = fail_once
 
 
 @then(r'the table was read (\d+) times')
 def check_table_reads(context, count):
-    # Once at the start, and once for each time that is to be checked.
+    # One read at the start of the gateway, plus the reads under test.
     reads = get(context).source.table_reads
     assert reads == int(count), reads
 
@@ -406,19 +408,19 @@
 
 
 @then(r'the newest table is in force')
-def check_newest(context):
+def check_newest_table(context):
     bench = get(context)
     assert bench.process.tables.version == bench.version
 
 
 @then(r'the log reports the exception')
-def check_defect(context):
+def check_exception_logged(context):
     lines = get(context).log.lines
     assert any('failed on a defect' in line for line in lines), lines
 
 
 @then(r'the log line of the last request has the detail "([^"]+)"')
-def check_last_line(context, text):
+def check_last_detail(context, text):
     assert list_lines(context, 'request')[-1]['detail'] == text
 
 
--- a/features/steps/upstreams.py
+++ b/features/steps/upstreams.py
@@ -1,4 +1,4 @@
-"""Steps that break and mend upstreams, and read their records."""
+"""Steps that inject faults into upstreams and check what they received."""
 
 import asyncio
 
@@ -24,18 +24,18 @@
 
 
 @given(r'all replicas of shard "([^"]+)" are lost')
-def lose_shard(context, shard):
+def set_shard_lost(context, shard):
     for model in _list_replicas(context, shard):
-        lose(context, model)
+        set_lost(context, model)
 
 
 @given(r'the upstream "([^"]+)" is lost')
-def lose_upstream(context, upstream):
-    lose(context, context.bench.fleet.models[upstream])
+def set_upstream_lost(context, upstream):
+    set_lost(context, context.bench.fleet.models[upstream])
 
 
-def lose(context, model):
-    """Let an upstream go silent and refuse connections."""
+def set_lost(context, model):
+    """Make an upstream refuse connections and send no replies."""
     model.faults.lost = True
 
 
@@ -53,32 +53,35 @@
 
 
 @given(r'the upstream "([^"]+)" says that it leaves')
-def say_leaving(context, upstream):
+def set_upstream_leaving(context, upstream):
     context.bench.fleet.models[upstream].faults.leaving = True
 
 
 @when(r'the upstream "([^"]+)" is restarted')
 def restart(context, upstream):
-    """Let it be gone for a while, and come back as new."""
+    """Make an upstream unreachable for `_RESTART_S` seconds.
+
+    Afterwards it is no longer leaving.
+    """
     faults = context.bench.fleet.models[upstream].faults
 
-    async def be_gone():
+    async def stop_for_restart():
         faults.lost = True
         await asyncio.sleep(_RESTART_S)
         faults.lost = False
         faults.leaving = False
 
-    run(context, be_gone())
+    run(context, stop_for_restart())
 
 
 @when(r'the layout says that upstream "([^"]+)" leaves')
-def set_leaving(context, upstream):
+def set_leaving_in_layout(context, upstream):
     leaving = context.bench.fleet.layout.leaving | {upstream}
     run(context, context.bench.fleet.change_layout(leaving=leaving))
 
 
 @when(r'the record of upstream "([^"]+)" is noted')
-def note_record(context, upstream):
+def record_received(context, upstream):
     received = context.bench.fleet.models[upstream].received
     context.bench.notes[upstream] = received
 
@@ -88,7 +91,11 @@
     r'over (\d+) seconds'
 )
 def repartition(context, shards, seconds):
-    """Load new shards beside the old ones, then retire the old ones."""
+    """Replace the shards of version 1 by shards of version 2.
+
+    Each upstream first loads version 2 in addition to version 1, and all
+    then drop version 1 one after the other.
+    """
     fleet = context.bench.fleet
     models = list(fleet.models.values())
     names = list(fleet.models)
@@ -110,7 +117,7 @@
         )
         await fleet.change_layout(collections={'members': collection})
 
-    async def move():
+    async def replace_shards():
         await publish(old, new)
         step_s = int(seconds) / len(models) / 2
         for model in models:
@@ -121,7 +128,7 @@
             await asyncio.sleep(step_s)
         await publish(new)
 
-    run(context, move())
+    run(context, replace_shards())
 
 
 @then(
@@ -137,40 +144,40 @@
 
 
 @then(r'upstream "([^"]+)" has received work since')
-def check_new_work(context, upstream):
+def check_received_requests(context, upstream):
     received = context.bench.fleet.models[upstream].received
     assert received > context.bench.notes[upstream], received
 
 
 @then(r'upstream "([^"]+)" has received nothing since')
-def check_no_new_work(context, upstream):
+def check_received_nothing(context, upstream):
     received = context.bench.fleet.models[upstream].received
     assert received == context.bench.notes[upstream], received
-    assert received > 0, 'it never got any work'
+    assert received > 0, 'it never received any request'
 
 
 @when(
     r'"([^"]+)" asks (\d+) times more, and the host stands still for '
     r'([\d.]+) seconds under each'
 )
-def ask_standing_still(context, team, count, seconds):
+def ask_during_pauses(context, team, count, seconds):
     fleet = context.bench.fleet
     counters = fleet.hosts['h1'].host.runner.counters
 
-    async def go():
-        before = counters.hedges
+    async def ask_repeatedly():
+        hedges_before = counters.hedges
         for _ in range(int(count)):
-            asked = asyncio.create_task(context.bench.ask(team))
+            request_task = asyncio.create_task(context.bench.ask(team))
             await asyncio.sleep(0.001)
-            # Time goes on, and nothing runs meanwhile.
+            # Virtual time advances without running the event loop.
             context.loop._selector.clock.advance(float(seconds))
-            await asked
+            await request_task
             await asyncio.sleep(0.05)
-        context.hedged = counters.hedges - before
+        context.hedged = counters.hedges - hedges_before
 
-    run(context, go())
+    run(context, ask_repeatedly())
 
 
 @then(r'no more than (\d+) requests? (?:was|were) hedged')
-def check_hedged(context, most):
-    assert context.hedged <= int(most), context.hedged
+def check_hedged(context, limit):
+    assert context.hedged <= int(limit), context.hedged
