--- a/features/steps/canaries.py
+++ b/features/steps/canaries.py
@@ -20,24 +20,25 @@
 
 use_step_matcher('re')
 
-# When upstreams crash between two queries that come 10 ms apart, in seconds.
-_PHASE_S = 0.00134
+# Delay of a crash after a query, so that it falls between two queries that
+# are sent 10 ms apart.
+_CRASH_OFFSET_S = 0.00134
 
 
-class _Waiting:
-    """An attempt at a service that waits for its turn as a canary."""
+class _AttemptAtService:
+    """An attempt that waits at a service with `live` live upstreams."""
 
-    def __init__(self, probe, live):
+    def __init__(self, canary, live):
         self.live = live
         self.is_sent = False
         self.decision = None
-        self._probe = probe
+        self._canary = canary
 
     def wait(self):
-        """Wait, unless it is judged otherwise."""
-        self.decision = self._probe.decide()
+        """Wait if the canary decides so."""
+        self.decision = self._canary.decide()
         if self.decision is gateway.SendDecision.WAIT:
-            self._probe.wait(
+            self._canary.wait(
                 gateway.WaitingAttempt(
                     self.wait, self._send, lambda: self.live
                 )
@@ -45,40 +46,45 @@
 
     def _send(self):
         self.is_sent = True
-        self._probe.record_sent()
+        self._canary.record_sent()
 
 
-def make_probe(context):
-    """Make a new copy of the request at the same host."""
+def make_canary(context):
+    """Return the canary of a new copy of the request at the same host."""
     clock = state.Clock(context.loop)
-    return gateway.Canary(context.known, clock, lambda: quarantine.DIGEST)
+    return gateway.Canary(
+        context.request_quarantine, clock, lambda: quarantine.DIGEST
+    )
 
 
 @given(r'a request whose first attempt crashed (\d+) upstreams?')
-def lose_with(context, count):
-    context.known = quarantine.make_quarantine(context, 'h1')
+def crash_upstreams(context, count):
+    context.request_quarantine = quarantine.make_quarantine(context, 'h1')
     incarnations = [
         core.UpstreamLife(f'u{number}/0') for number in range(int(count))
     ]
     began = context.loop.time()
-    context.known.record_crash(quarantine.DIGEST, began, False, incarnations)
-    context.probe = make_probe(context)
+    context.request_quarantine.record_crash(
+        quarantine.DIGEST, began, False, incarnations
+    )
+    context.canary = make_canary(context)
 
 
 @when(r'attempts wait at services with ([\d, and]+) live upstreams?')
-def wait_at(context, counts):
-    context.waiting = start_waiting(context.probe, counts)
+def wait_at_services(context, counts):
+    context.waiting = start_waiting(context.canary, counts)
 
 
-def start_waiting(probe, counts):
-    """Have attempts wait while another is under way, then end that one."""
-    probe.record_sent()
+def start_waiting(canary, counts):
+    """Return attempts that waited for another one, which ends unclear."""
+    canary.record_sent()
     waiting = [
-        _Waiting(probe, int(each)) for each in re.findall(r'\d+', counts)
+        _AttemptAtService(canary, int(each))
+        for each in re.findall(r'\d+', counts)
     ]
     for each in waiting:
         each.wait()
-    probe.record_inconclusive()
+    canary.record_inconclusive()
     return waiting
 
 
@@ -93,18 +99,18 @@
     r'([\d and]+)'
 )
 def end_canary(context, counts):
-    context.probe.record_lost()
-    context.probe.record_checked(core.UpstreamLife('u9/0'), True)
-    context.copies = start_waiting(make_probe(context), counts)
+    context.canary.record_lost()
+    context.canary.record_checked(core.UpstreamLife('u9/0'), True)
+    context.copies = start_waiting(make_canary(context), counts)
 
 
 @when(r'attempts of a copy wait at services with ([\d and]+)')
-def wait_copy(context, counts):
-    context.copies = start_waiting(make_probe(context), counts)
+def wait_copy_at_services(context, counts):
+    context.copies = start_waiting(make_canary(context), counts)
 
 
 @then(r'no attempt of the copy is sent')
-def check_copy(context):
+def check_copy_not_sent(context):
     assert not [each for each in context.copies if each.is_sent]
     assert {each.decision for each in context.copies} == {
         gateway.SendDecision.STOP
@@ -119,13 +125,13 @@
 
 @given(r'(\d+) shards of (\d+) replicas in two zones')
 def add_in_two_zones(context, shards, replicas):
-    bench = gateway_steps.get(context)
+    harness = gateway_steps.get(context)
     zones = ('north-1', 'south-1')
     for number in range(int(shards)):
         name = f'shard-{number}'
         context.shards.append(name)
         for replica in range(int(replicas)):
-            upstream = bench.add_upstream(
+            upstream = harness.add_upstream(
                 f'{name}-{replica}',
                 name,
                 zone=zones[replica % 2],
@@ -139,41 +145,43 @@
     r'([\d.]+) seconds all upstreams of zone "([^"]+)" crash'
 )
 def crash_zone(context, rate, seconds, after_s, zone):
-    bench = gateway_steps.get(context)
+    harness = gateway_steps.get(context)
 
-    async def go():
-        load = asyncio.create_task(ask_each(bench, int(rate), float(seconds)))
-        await asyncio.sleep(float(after_s) + _PHASE_S)
-        for each in bench.source.endpoints.values():
+    async def execute():
+        load = asyncio.create_task(
+            send_distinct_queries(harness, int(rate), float(seconds))
+        )
+        await asyncio.sleep(float(after_s) + _CRASH_OFFSET_S)
+        for each in harness.source.endpoints.values():
             if each.zone == zone:
-                bench.upstreams[each.upstream].crash(standins.DOWN_S)
+                harness.upstreams[each.upstream].crash(standins.DOWN_S)
         return await load
 
-    context.replies = run(context, go())
+    context.replies = run(context, execute())
 
 
-async def ask_each(bench, rate, seconds):
-    """Send queries that differ at a rate; return their replies."""
+async def send_distinct_queries(harness, rate, seconds):
+    """Send distinct queries at a steady rate and return their replies."""
     tasks = []
     for number in range(round(rate * seconds)):
         raw = gateway_bench.make_raw(
             f'other-{number}', f'/all/other-{number}', deadline_ms=1000
         )
-        tasks.append(asyncio.create_task(bench.ask(raw)))
+        tasks.append(asyncio.create_task(harness.ask(raw)))
         await asyncio.sleep(1.0 / rate)
     return await asyncio.gather(*tasks)
 
 
 @then(r'at most (\d+) of the queries were not answered')
-def check_unanswered(context, most):
-    bad = [each.status for each in context.replies if each.status != 200]
-    assert len(bad) <= int(most), bad
+def check_unanswered(context, maximum):
+    failures = [each.status for each in context.replies if each.status != 200]
+    assert len(failures) <= int(maximum), failures
 
 
 @then(r'no query was refused with a Retry-After above ([\d.]+) seconds')
-def check_kept_for(context, seconds):
-    refused = [each for each in context.replies if each.status == 503]
-    for each in refused:
+def check_retry_after_limit(context, seconds):
+    refusals = [each for each in context.replies if each.status == 503]
+    for each in refusals:
         assert float(each.headers['retry-after']) <= float(seconds), each
 
 
@@ -181,7 +189,7 @@
     r'(\d+) gateways in each of two zones in front of (\d+) shards of (\d+) '
     r'upstreams, (\d+) of these shards in the other zone'
 )
-def start_few_replicas(context, count, shards, replicas, others):
+def start_zones_with_replicas(context, count, shards, replicas, others):
     delegate.start_zones(
         context, int(count), int(shards), int(others), replicas=int(replicas)
     )
@@ -191,10 +199,10 @@
     r'(\d+) gateways in each of two zones in front of (\d+) shards, (\d+) of '
     r'them with one upstream in the other zone and one in another region'
 )
-def start_spanning(context, count, shards, others):
-    bench = gateway_steps.get(context)
+def start_shards_in_three_zones(context, count, shards, others):
+    harness = gateway_steps.get(context)
     for number in range(int(others)):
-        upstream = bench.add_upstream(
+        upstream = harness.add_upstream(
             f'shard-{number}-1',
             f'shard-{number}',
             zone='south-1',
@@ -208,32 +216,34 @@
     r'upstreams of the first zone take ([\d.]+) seconds per request, those of '
     r'the other zone ([\d.]+)'
 )
-def set_work(context, first_s, other_s):
-    bench = gateway_steps.get(context)
-    for each in bench.source.endpoints.values():
+def set_work_time(context, first_s, other_s):
+    harness = gateway_steps.get(context)
+    for each in harness.source.endpoints.values():
         is_first = each.zone == 'north-1'
         work_s = float(first_s if is_first else other_s)
-        bench.upstreams[each.upstream].work_s = work_s
+        harness.upstreams[each.upstream].work_s = work_s
 
 
 @given(r'every upstream of the other zone is silent')
 def silence_zone(context):
-    bench = gateway_steps.get(context)
-    for each in bench.source.endpoints.values():
+    harness = gateway_steps.get(context)
+    for each in harness.source.endpoints.values():
         if each.zone == 'north-2':
-            bench.upstreams[each.upstream].conduct = standins.Conduct.SILENT
+            harness.upstreams[each.upstream].conduct = standins.Conduct.SILENT
 
 
 @when(r'a gateway of the first zone is asked for "([^"]+)"')
-def ask_first(context, target):
+def send_to_first_zone(context, target):
     began = context.loop.time()
     name = next(iter(context.fleet.members))
-    _, context.reply = run(context, quarantine.ask_for(context, name, target))
+    _, context.reply = run(
+        context, quarantine.send_request(context, name, target)
+    )
     context.took_s = context.loop.time() - began
 
 
 @then(r'the reply covers all shards and takes at most ([\d.]+) seconds')
-def check_whole(context, seconds):
+def check_complete_in_time(context, seconds):
     assert context.reply.status == 200, context.reply
     missing = gateway.HeaderNames().missing_parts.decode()
     assert context.reply.headers[missing] == '0', context.reply.headers
@@ -241,7 +251,7 @@
 
 
 @given(r'the upstreams of (\d+) shards take ([\d.]+) seconds per request')
-def set_some_work(context, count, seconds):
+def set_work_time_of_shards(context, count, seconds):
     models = gateway_steps.get(context).upstreams
     for name, model in models.items():
         if name.rpartition('-')[0] in context.shards[-int(count) :]:
--- a/features/steps/copies.py
+++ b/features/steps/copies.py
@@ -1,4 +1,4 @@
-"""Steps on a source that comes back from an older copy."""
+"""Steps on a source that is restored from an older snapshot."""
 
 import asyncio
 import collections
@@ -21,12 +21,12 @@
 
 
 @when(r'a snapshot of the source is made')
-def copy_source(context):
-    context.copy = gateway_steps.get(context).source.make_copy()
+def make_snapshot(context):
+    context.snapshot = gateway_steps.get(context).source.make_copy()
 
 
 @when(r'the routes are written again (\d+) times?')
-def write_again(context, times):
+def publish_again(context, times):
     for _ in range(int(times)):
         gateway_steps.get(context).publish()
 
@@ -35,61 +35,61 @@
     r'the source is restored from the snapshot after an outage of ([\d.]+) '
     r'seconds?'
 )
-def come_back(context, seconds):
+def restore_source(context, seconds):
     source = gateway_steps.get(context).source
     source.is_down = True
     run(context, asyncio.sleep(float(seconds)))
     source.is_down = False
-    source.come_back(context.copy)
+    source.come_back(context.snapshot)
 
 
 @then(
     r'each gateway has logged once that the source was restored in era (\d+)'
 )
-def check_told(context, era):
+def check_restore_logged(context, era):
     lines = map(json.loads, gateway_steps.get(context).log.lines)
-    told = collections.Counter(
+    logged = collections.Counter(
         (each['host'], each['era'])
         for each in lines
         if each['kind'] == gateway.LogKind.SOURCE_RETURNED.value
     )
-    wanted = {(name, int(era)): 1 for name in context.fleet.members}
-    assert told == wanted, told
+    expected = {(name, int(era)): 1 for name in context.fleet.members}
+    assert logged == expected, logged
 
 
 @then(r'the metrics of each gateway show (\d+) restore and era (\d+)')
-def check_counted(context, returns, era):
+def check_restore_metrics(context, restores, era):
     for member in context.fleet.members.values():
-        figures = member.process._list_gauges()
-        assert figures['source_returns_total'] == int(returns), figures
-        assert figures['source_era'] == int(era), figures
+        metrics = member.process._list_gauges()
+        assert metrics['source_returns_total'] == int(restores), metrics
+        assert metrics['source_era'] == int(era), metrics
 
 
 @when(r'the store is restored from a snapshot of its present state')
-def come_back_now(context):
-    async def come_back():
+def restore_store(context):
+    async def restore():
         context.store.come_back(context.store.make_copy())
 
-    run(context, come_back())
+    run(context, restore())
 
 
 @given(r'the store sends "([^"]+)" as its era')
-def spoil_era(context, text):
+def set_era_text(context, text):
     context.store.era_text = text
 
 
 @when(
     r'the store is restored from a snapshot after the first page of a listing'
 )
-def come_back_between(context):
+def restore_between_pages(context):
     store = context.store
-    copy = store.make_copy()
+    snapshot = store.make_copy()
 
     async def list_pages():
         listing = asyncio.create_task(context.source.list_upstreams())
         while store.calls['GET /kv-range'] < 2:
             await asyncio.sleep(0.001)
-        store.come_back(copy)
+        store.come_back(snapshot)
         return await listing
 
     store.slow_s = 0.05
@@ -111,7 +111,7 @@
 @when(
     r'a peer with table version (none|\d+) of revision (\d+) asks for changes'
 )
-def ask_as_peer(context, version, revision):
+def ask_as_peer_with_table(context, version, revision):
     known = {'table': revision, 'is_lost': 0}
     if version != 'none':
         known['table_version'] = version
@@ -149,7 +149,7 @@
 
 
 @when(r'a zone is evacuated and 5 unrelated entries are written')
-def write_after_return(context):
+def evacuate_and_write(context):
     context.store.evacuate('north-1')
     for number in range(5):
         context.store.put(f'other/{number}', b'{}')
@@ -158,20 +158,20 @@
 @when(
     r'the source watches the routing table from a position in the previous era'
 )
-def watch_before(context):
+def watch_from_previous_era(context):
     store = context.store
-    before = gateway.Position(store.era - 1, store.revision)
-    adapter_steps.call(context, context.source.watch_table(before, 0.5))
+    position = gateway.Position(store.era - 1, store.revision)
+    adapter_steps.call(context, context.source.watch_table(position, 0.5))
 
 
 @when(r'the source is restored from the snapshot without ending the watches')
-def come_back_quietly(context):
+def restore_without_ending_watches(context):
     source = gateway_steps.get(context).source
-    source.come_back(context.copy, cut=False)
+    source.come_back(context.snapshot, cut=False)
 
 
 @when(r'(\d+) unrelated entries are written')
-def write_others(context, count):
+def write_unrelated(context, count):
     for _ in range(int(count)):
         gateway_steps.get(context).source.note_other_change()
 
@@ -179,20 +179,20 @@
 @when(r'"([^"]+)" registers again with the same entry')
 def register_again(context, upstream):
     source = gateway_steps.get(context).source
-    source.set_endpoint(context.copy.endpoints[upstream])
+    source.set_endpoint(context.snapshot.endpoints[upstream])
 
 
 @when(
     r'"([^"]+)" registers again with the same entry just after a new snapshot'
 )
-def register_after_copy(context, upstream):
-    before = gateway_steps.get(context).source.make_copy()
+def register_after_snapshot(context, upstream):
+    earlier = gateway_steps.get(context).source.make_copy()
     register_again(context, upstream)
-    context.copy = before
+    context.snapshot = earlier
 
 
 @when(r'an eighth gateway starts')
-def start_one_more(context):
+def start_eighth(context):
     run(context, context.fleet.add(state.ZoneId('north-1')))
 
 
@@ -209,34 +209,34 @@
 
 
 @then(r'a renewal reports that the source was restored')
-def check_returned(context):
+def check_restore_reported(context):
     adapter_steps.call(context, context.source.renew(context.lease))
     assert context.answer.err_value == gateway.SourceRestored(), context.answer
 
 
 @then(r"the host's lease is found in the new era")
-def check_found(context):
+def check_lease_found(context):
     host = context.entry.host
     adapter_steps.call(context, context.source.find_lease(host))
-    wanted = gateway.Lease(context.store.era, context.lease.number)
-    assert context.answer.ok_value == wanted, context.answer
+    expected = gateway.Lease(context.store.era, context.lease.number)
+    assert context.answer.ok_value == expected, context.answer
 
 
 @then(
     r"the reader's changes in era (\d+) are (not good|good) enough for the "
     r'others'
 )
-def check_good(context, era, judged):
+def check_changes_sufficient(context, era, judgement):
     reader = context.fleet.find_reader()
     known = gateway.Known()
     feed = context.fleet.members[reader].process._changes
-    told = feed.list_changes(known)
-    told = msgspec.structs.replace(told, era=int(era))
+    changes = feed.list_changes(known)
+    changes = msgspec.structs.replace(changes, era=int(era))
     others = [
         member
         for name, member in context.fleet.members.items()
         if name != reader
     ]
     for member in others:
-        is_sufficient = member.process._synchronizer._is_sufficient(told)
-        assert is_sufficient == (judged == 'good'), told
+        is_sufficient = member.process._synchronizer._is_sufficient(changes)
+        assert is_sufficient == (judgement == 'good'), changes
--- a/features/steps/delegate.py
+++ b/features/steps/delegate.py
@@ -1,4 +1,4 @@
-"""Steps on wide queries that are handed over to other hosts."""
+"""Steps on wide queries that hosts delegate to coordinators."""
 
 import asyncio
 import collections
@@ -17,30 +17,30 @@
 
 use_step_matcher('re')
 
-_WIDE = 200.0
-_THIN = 10.0
+_FAST_CAPACITY = 200.0
+_SLOW_CAPACITY = 10.0
 _SECONDS = r'([\d.]+) seconds?'
 
 
-def start(context, count, shards, wide, **shape):
-    """Start gateways in one zone before shards."""
+def start(context, count, shards, fast, **shape):
+    """Start shards, and gateways in one zone, `fast` with a fast link."""
     gateway_steps.get(context)
     context.shards += gateway_steps.add_shards(context, shards, **shape)
-    capacities = [_WIDE] * wide + [_THIN] * (count - wide)
+    capacities = [_FAST_CAPACITY] * fast + [_SLOW_CAPACITY] * (count - fast)
     start_gateways(context, ['north-1'] * count, capacities=capacities)
-    context.wide = list(context.fleet.members)[:wide]
+    context.fast = list(context.fleet.members)[:fast]
     context.answers = []
 
 
-def start_gateways(context, zones, goal_s=0.5, **strength):
-    """Start gateways before the shards that are there, and let them learn."""
-    bench = gateway_steps.get(context)
+def start_gateways(context, zones, goal_s=0.5, **options):
+    """Start gateways for the existing shards and wait for their discovery."""
+    harness = gateway_steps.get(context)
     gateway_steps.add_scatter(
         context, '/all/', least=0.9, timeout_s=6.0, goal_s=goal_s
     )
-    bench.publish()
-    context.fleet = gateway_bench.FleetBench(bench, context.stack)
-    run(context, context.fleet.start(zones, **strength))
+    harness.publish()
+    context.fleet = gateway_bench.FleetBench(harness, context.stack)
+    run(context, context.fleet.start(zones, **options))
     run(context, asyncio.sleep(6.0))
 
 
@@ -48,8 +48,8 @@
     r'(\d+) gateways in front of (\d+) shards, (\d+) of the gateways with a '
     r'fast link'
 )
-def start_plain(context, count, shards, wide):
-    start(context, int(count), int(shards), int(wide))
+def start_plain(context, count, shards, fast):
+    start(context, int(count), int(shards), int(fast))
 
 
 @given(
@@ -57,131 +57,137 @@
     + _SECONDS
     + r' per request, (\d+) of the gateways with a fast link'
 )
-def start_slow(context, count, shards, seconds, wide):
-    start(context, int(count), int(shards), int(wide), work_s=float(seconds))
+def start_slow(context, count, shards, seconds, fast):
+    start(context, int(count), int(shards), int(fast), work_s=float(seconds))
 
 
-async def ask(context, name):
-    """Ask one gateway for all shards."""
+async def query_gateway(context, name):
+    """Send one gateway a query; return its name, the request id and reply."""
     request_id = f'{name}-{gateway_steps.next_id(context)}'
     raw = gateway_bench.make_raw(request_id, '/all/1', deadline_ms=5000)
     return name, request_id, await context.fleet.ask(name, raw)
 
 
-def ask_all(context, names):
-    """Ask gateways for all shards at once."""
-
+def query_gateways(context, names):
+    """Send a query to each gateway at once."""
     context.asked_at = context.loop.time()
 
     async def gather():
-        return await asyncio.gather(*(ask(context, name) for name in names))
+        return await asyncio.gather(
+            *(query_gateway(context, name) for name in names)
+        )
 
     context.answers = run(context, gather())
-    context.took = context.loop.time() - context.asked_at
+    context.elapsed_s = context.loop.time() - context.asked_at
 
 
 @when(r'every gateway is asked for all shards')
-def ask_every(context):
-    ask_all(context, list(context.fleet.members))
+def query_every_gateway(context):
+    query_gateways(context, list(context.fleet.members))
 
 
 @when(r'every gateway is asked for all shards (\d+) times')
-def ask_times(context, times):
+def query_repeatedly(context, times):
     found = []
     for _ in range(int(times)):
-        ask_every(context)
+        query_every_gateway(context)
         found += context.answers
     context.answers = found
 
 
 @then(r'no gateway has lost more than (\d+) query')
-def check_few_lost(context, most):
+def check_lost_limit(context, maximum):
     lost = collections.Counter(
         name for name, _, reply in context.answers if reply.status != 200
     )
     assert lost, 'the frozen gateway was never asked'
-    assert max(lost.values()) <= int(most), lost
+    assert max(lost.values()) <= int(maximum), lost
 
 
 @when(r'every gateway but that one is asked for all shards')
-def ask_others(context):
-    names = [each for each in context.fleet.members if each != context.old]
-    ask_all(context, names)
+def query_other_gateways(context):
+    names = [
+        each for each in context.fleet.members if each != context.outdated
+    ]
+    query_gateways(context, names)
 
 
 @when(r'one gateway with a fast link is killed')
 def kill_one(context):
-    run(context, context.fleet.kill(context.wide[0]))
+    run(context, context.fleet.kill(context.fast[0]))
 
 
 @when(r'both gateways with a fast link are killed')
 def kill_both(context):
-    for name in context.wide:
+    for name in context.fast:
         run(context, context.fleet.kill(name))
 
 
 @when(r'one gateway with a fast link stops answering its peers')
 def silence_one(context):
-    context.fleet.members[context.wide[0]].freeze_peers()
+    context.fleet.members[context.fast[0]].freeze_peers()
 
 
 @when(
     r'one gateway with a fast link is stopped while it runs queries for others'
 )
-def stop_one(context):
-    thin = [each for each in context.fleet.members if each not in context.wide]
+def stop_while_running(context):
+    slow = [each for each in context.fleet.members if each not in context.fast]
 
     async def stop():
-        asked = []
+        tasks = []
         for round_number in range(20):
-            asked += [asyncio.create_task(ask(context, name)) for name in thin]
+            tasks += [
+                asyncio.create_task(query_gateway(context, name))
+                for name in slow
+            ]
             if round_number == 5:
-                context.fleet.members[context.wide[0]].process.stop()
+                context.fleet.members[context.fast[0]].process.stop()
             await asyncio.sleep(0.05)
-        return await asyncio.gather(*asked)
+        return await asyncio.gather(*tasks)
 
     context.answers = run(context, stop())
 
 
 @when(r'one gateway with a fast link keeps an older table')
-def keep_old(context):
-    context.old = context.wide[0]
-    member = context.fleet.members[context.old]
+def keep_outdated_table(context):
+    context.outdated = context.fast[0]
+    member = context.fleet.members[context.outdated]
     member.process.tables.apply_reading = lambda reading, origin: None
 
 
 @when(r'the gateways of the other zone keep an older table')
-def keep_old_zone(context):
+def keep_outdated_tables_in_zone(context):
     for member in list(context.fleet.members.values())[3:]:
         member.process.tables.apply_reading = lambda reading, origin: None
 
 
 @when(r'the timeout of "([^"]+)" changes')
-def change_other(context, prefix):
-    bench = gateway_steps.get(context)
+def change_timeout(context, prefix):
+    harness = gateway_steps.get(context)
     target = gateway.Single(gateway.ServiceName(context.shards[0]))
-    bench.add_route(prefix, target, timeout_s=2.0)
-    bench.publish()
+    harness.add_route(prefix, target, timeout_s=2.0)
+    harness.publish()
     run(context, asyncio.sleep(0.5))
 
 
 def publish_all_route(context, **fields):
-    """Write the route to all shards anew with some fields changed."""
-    bench = gateway_steps.get(context)
-    (route,) = (each for each in bench.routes if each.prefix == '/all/')
-    bench.routes = [dataclasses.replace(route, **fields)]
-    bench.publish()
+    """Publish the route to all shards with some fields changed."""
+    harness = gateway_steps.get(context)
+    (route,) = (each for each in harness.routes if each.prefix == '/all/')
+    harness.routes = [dataclasses.replace(route, **fields)]
+    harness.publish()
     run(context, asyncio.sleep(0.5))
 
 
 @when(r'the route "/all/" asks for the greatest (\d+)')
-def ask_for_more(context, top_k):
+def raise_top_k(context, top_k):
     target = gateway.Scatter(tuple(context.shards), int(top_k), 0.9)
     publish_all_route(context, target=target)
 
 
 @when(r'the route "/all/" may be handled in "([^"]+)"')
-def narrow_all(context, region):
+def restrict_all_route(context, region):
     within = gateway.Within(frozenset({gateway.RegionId(region)}))
     publish_all_route(context, residency=within)
 
@@ -192,8 +198,10 @@
 
 
 @then(r'that gateway sent nothing to the shards')
-def check_old_idle(context):
-    sent = context.fleet.members[context.old].gateway.counters.first_attempts
+def check_outdated_unused(context):
+    sent = context.fleet.members[
+        context.outdated
+    ].gateway.counters.first_attempts
     assert sent == 0, sent
 
 
@@ -210,61 +218,61 @@
 
 
 @when(r'a caller of a gateway with a slow link disconnects after ' + _SECONDS)
-def leave(context, seconds):
+def disconnect_caller(context, seconds):
     name = list(context.fleet.members)[-1]
     raw = gateway_bench.make_raw('gone', '/all/1', deadline_ms=5000)
 
-    async def go():
+    async def execute():
         caller = await context.fleet.connect(name)
         await caller.send(raw)
         await asyncio.sleep(float(seconds))
         caller.leave()
 
-    run(context, go())
+    run(context, execute())
 
 
 @when(
     r'a gateway with a slow link is sent (\d+) queries a second for (\d+) '
     r'seconds'
 )
-def ask_often(context, rate, seconds):
+def send_queries(context, rate, seconds):
     name = list(context.fleet.members)[-1]
-    ask_in_turn(context, [name], int(rate), int(seconds))
+    query_in_turn(context, [name], int(rate), int(seconds))
 
 
-def ask_in_turn(context, names, rate, seconds):
-    """Ask gateways in turn at a steady rate, whatever comes back."""
+def query_in_turn(context, names, rate, seconds):
+    """Query gateways in turn at a steady rate, without waiting for replies."""
 
-    async def go():
-        asked = []
+    async def execute():
+        tasks = []
         for number in range(round(rate * seconds)):
             name = names[number % len(names)]
-            asked.append(asyncio.create_task(ask(context, name)))
+            tasks.append(asyncio.create_task(query_gateway(context, name)))
             await asyncio.sleep(1.0 / rate)
-        return await asyncio.gather(*asked)
+        return await asyncio.gather(*tasks)
 
-    context.answers = run(context, go())
+    context.answers = run(context, execute())
 
 
 @then(r'every answer is complete')
-def check_whole(context):
+def check_complete(context):
     for name, request_id, reply in context.answers:
         assert reply.status == 200, (name, request_id, reply)
         stamps = reply.headers['rudderrock-part-stamps'].split(', ')
-        wanted = {f'{shard}-0.{request_id}' for shard in context.shards}
-        assert set(stamps) == wanted, (name, stamps)
+        expected = {f'{shard}-0.{request_id}' for shard in context.shards}
+        assert set(stamps) == expected, (name, stamps)
 
 
 @then(r'every answer covers the (\d+) new shards')
-def check_others(context, count):
+def check_new_shards(context, count):
     assert len(context.shards) == int(count)
-    check_whole(context)
+    check_complete(context)
 
 
 @then(r'only the (\d+) gateways with a fast link sent requests to the shards')
-def check_wide_sent(context, count):
+def check_fast_sent(context, count):
     sent = list_senders(context)
-    assert sent == set(context.wide), sent
+    assert sent == set(context.fast), sent
     assert len(sent) == int(count)
 
 
@@ -274,7 +282,7 @@
 
 
 def list_senders(context):
-    """Return the gateways that have sent to shards."""
+    """Return the names of the gateways that sent requests to shards."""
     return {
         name
         for name, member in context.fleet.members.items()
@@ -294,8 +302,8 @@
     model = gateway_steps.get(context).upstreams[f'shard-{number}-0']
     counts = collections.Counter(model.arrivals)
     extra = sum(count - 1 for count in counts.values())
-    most = float(ratio) * len(context.answers) + int(slack)
-    assert extra <= most, extra
+    maximum = float(ratio) * len(context.answers) + int(slack)
+    assert extra <= maximum, extra
 
 
 @then(r'the log has two lines for each delegated query')
@@ -303,23 +311,26 @@
     lines = gateway_checks.list_lines(context, 'request')
     by_id = collections.Counter(line['request_id'] for line in lines)
     for name, request_id, _ in context.answers:
-        wanted = 1 if name in context.wide else 2
-        assert by_id[request_id] == wanted, (name, by_id)
-    told = [line for line in lines if line['detail'].startswith('by ')]
-    assert len(told) == 4, told
-    assert gateway.LogKind.REQUEST.value == told[0]['kind']
+        expected = 1 if name in context.fast else 2
+        assert by_id[request_id] == expected, (name, by_id)
+    delegated = [line for line in lines if line['detail'].startswith('by ')]
+    assert len(delegated) == 4, delegated
+    assert gateway.LogKind.REQUEST.value == delegated[0]['kind']
 
 
 def start_zones(context, count, shards, others, zone='north-2', replicas=1):
-    """Start gateways in two zones, and shards in both."""
-    bench = gateway_steps.get(context)
+    """Start `count` gateways in each of two zones, and shards.
+
+    The first `others` shards are in `zone`, the rest in "north-1".
+    """
+    harness = gateway_steps.get(context)
     for number in range(shards):
         name = f'shard-{number}'
         context.shards.append(name)
         for replica in range(replicas):
             run(
                 context,
-                bench.add_upstream(
+                harness.add_upstream(
                     f'{name}-{replica}',
                     name,
                     zone=zone if number < others else 'north-1',
@@ -333,7 +344,7 @@
     r'(\d+) gateways in each of two zones of a region in front of (\d+) '
     r'shards, half of them in each zone'
 )
-def start_halves(context, count, shards):
+def start_with_half_in_each_zone(context, count, shards):
     start_zones(context, int(count), int(shards), int(shards) // 2)
 
 
@@ -341,7 +352,7 @@
     r'(\d+) gateways in each of two zones of a region in front of (\d+) '
     r'shards, (\d+) of them in the other zone'
 )
-def start_few(context, count, shards, others):
+def start_with_some_in_other_zone(context, count, shards, others):
     start_zones(context, int(count), int(shards), int(others))
 
 
@@ -352,18 +363,18 @@
 
 
 @when(r'every gateway of the first zone is asked for all shards')
-def ask_first_zone(context):
-    ask_all(context, list(context.fleet.members)[:3])
+def query_first_zone(context):
+    query_gateways(context, list(context.fleet.members)[:3])
 
 
 @then(r'every answer is complete and has the greatest records')
 def check_merged(context):
-    check_whole(context)
+    check_complete(context)
     upstreams = gateway_steps.get(context).upstreams.values()
     parts = [model.records for model in upstreams]
-    wanted = gateway.merge_records(parts, 5)
+    expected = gateway.merge_records(parts, 5)
     for _, _, reply in context.answers:
-        assert reply.body == wanted, reply
+        assert reply.body == expected, reply
 
 
 @then(r'shards of each zone got requests only from gateways of their own zone')
@@ -393,7 +404,7 @@
 
 
 @then(r'no gateway of the other zone sent requests to the shards')
-def check_unasked(context):
+def check_other_zone_unused(context):
     for member in list(context.fleet.members.values())[3:]:
         assert not member.gateway.counters.first_attempts
 
@@ -402,11 +413,12 @@
     r'(\d+) (more )?shards? of the other zone and (\d+) of the first answer '
     r'after ' + _SECONDS
 )
-def slow_some(context, others, more, first, seconds):
+def slow_down_shards(context, others, from_end, first, seconds):
     upstreams = gateway_steps.get(context).upstreams
     half = len(context.shards) // 2
-    # More of them come from the end, so as not to be the same ones.
-    start = half - int(others) if more else 0
+    # A second group is taken from the end, so that it does not overlap with
+    # the first.
+    start = half - int(others) if from_end else 0
     slow = list(range(start, start + int(others)))
     slow += range(half, half + int(first))
     for number in slow:
@@ -417,19 +429,19 @@
     r'every answer takes at least ([\d.]+) seconds and covers at least a '
     r'fraction of ([\d.]+)'
 )
-def check_waited(context, seconds, least):
+def check_waited(context, seconds, minimum):
     for _, _, reply in context.answers:
         assert reply.status == 200, reply
         missing = int(reply.headers['rudderrock-missing-parts'])
         covered = 1 - missing / len(context.shards)
-        assert covered >= float(least) - 1e-9, reply
-    took = context.loop.time() - context.asked_at
-    assert took >= float(seconds) - 0.001, took
+        assert covered >= float(minimum) - 1e-9, reply
+    elapsed_s = context.loop.time() - context.asked_at
+    assert elapsed_s >= float(seconds) - 0.001, elapsed_s
 
 
 @then(r'it took less than ([\d.]+) seconds in total')
-def check_took(context, seconds):
-    assert context.took < float(seconds), context.took
+def check_elapsed(context, seconds):
+    assert context.elapsed_s < float(seconds), context.elapsed_s
 
 
 @given(
@@ -455,20 +467,20 @@
     )
 
 
-def list_other(context):
-    """Return the gateways of the other zone."""
+def list_other_members(context):
+    """Return the gateways of the second zone."""
     return list(context.fleet.members.values())[3:]
 
 
 @when(r'the gateways of the other region are frozen')
 def freeze_region(context):
-    for member in list_other(context):
+    for member in list_other_members(context):
         run(context, member.silence_peers())
 
 
 @when(r'one gateway with a fast link is frozen')
 def freeze_one(context):
-    run(context, context.fleet.members[context.wide[0]].silence_peers())
+    run(context, context.fleet.members[context.fast[0]].silence_peers())
 
 
 @when(
@@ -478,16 +490,16 @@
 def cut_region(context):
     async def cut():
         await asyncio.sleep(0.005)
-        for member in list_other(context):
+        for member in list_other_members(context):
             member.cut_peers()
 
     task = context.loop.create_task(cut())
-    ask_first_zone(context)
+    query_first_zone(context)
     run(context, task)
 
 
 @then(r'the shards of the other region got requests only from its gateways')
-def check_asked_there(context):
+def check_region_sent(context):
     members = list(context.fleet.members.values())
     first = sum(each.gateway.counters.first_attempts for each in members[:3])
     other = sum(each.gateway.counters.first_attempts for each in members[3:])
@@ -496,10 +508,10 @@
 
 
 @then(r'no shard got a request more than (\d+) times?')
-def check_arrivals(context, most):
+def check_request_limit(context, maximum):
     for model in gateway_steps.get(context).upstreams.values():
         counts = collections.Counter(model.arrivals)
-        assert max(counts.values(), default=0) <= int(most), counts
+        assert max(counts.values(), default=0) <= int(maximum), counts
 
 
 @then(r'every answer is (\d+)')
@@ -509,8 +521,8 @@
 
 
 @when(r'the gateways of the other region stop reading from open connections')
-def deafen_region(context):
-    for member in list_other(context):
+def stop_reading_in_region(context):
+    for member in list_other_members(context):
         member.deafen_peers()
 
 
@@ -518,18 +530,18 @@
     r'(\d+) gateways in front of (\d+) shards of (\d+) replicas, (\d+) of the '
     r'gateways with a fast link'
 )
-def start_wide_replicated(context, count, shards, replicas, wide):
-    start(context, int(count), int(shards), int(wide), replicas=int(replicas))
+def start_fast_replicated(context, count, shards, replicas, fast):
+    start(context, int(count), int(shards), int(fast), replicas=int(replicas))
 
 
 @when(
     r'a gateway with a slow link is asked for all shards until a query is '
     r'delegated to the frozen one'
 )
-def ask_until_frozen(context):
+def query_until_frozen(context):
     name = list(context.fleet.members)[-1]
     for _ in range(20):
-        ask_all(context, [name])
+        query_gateways(context, [name])
         if context.answers[0][2].status != 200:
             return
 
@@ -540,21 +552,22 @@
 
 
 @when(r'the round trip to the other region is measured as ' + _SECONDS)
-def lengthen_ways(context, seconds):
+def set_round_trip(context, seconds):
     for member in list(context.fleet.members.values())[:3]:
         for peer in member.gateway.delegation.list_clients():
             peer.round_trip_s = float(seconds)
 
 
 @then(r'the gateways of the other region sent requests to the shards')
-def check_other_asked(context):
+def check_other_region_used(context):
     assert any(
-        each.gateway.counters.first_attempts for each in list_other(context)
+        each.gateway.counters.first_attempts
+        for each in list_other_members(context)
     )
 
 
-def ask_raw(context, **shape):
-    """Ask the first gateway for all shards."""
+def send_raw_query(context, **shape):
+    """Send the first gateway a query of the given shape and keep its body."""
     name = next(iter(context.fleet.members))
     raw = gateway_bench.make_raw('raw', '/all/1', deadline_ms=5000, **shape)
     reply = run(context, context.fleet.ask(name, raw))
@@ -566,20 +579,20 @@
     r'a gateway of the first zone is asked for all shards by POST with a '
     r'body of (\d+) bytes'
 )
-def ask_with_body(context, size):
-    bench = gateway_steps.get(context)
-    bench.limits = gateway.IntakeLimits(max_body_bytes=int(size))
-    bench.publish()
+def query_with_body(context, size):
+    harness = gateway_steps.get(context)
+    harness.limits = gateway.IntakeLimits(max_body_bytes=int(size))
+    harness.publish()
     run(context, asyncio.sleep(3.0))
-    ask_raw(context, method='POST', body=b'x' * int(size))
+    send_raw_query(context, method='POST', body=b'x' * int(size))
 
 
 @when(
     r'a gateway of the first zone is asked for all shards with a head of '
     r'(\d+) bytes'
 )
-def ask_with_head(context, size):
-    ask_raw(context, extra=f'X-Long: {"x" * (int(size) - 200)}\r\n')
+def query_with_head(context, size):
+    send_raw_query(context, extra=f'X-Long: {"x" * (int(size) - 200)}\r\n')
 
 
 @then(r'every shard ran it as (\w+) with that body')
@@ -595,12 +608,12 @@
     r'a gateway with a (fast|slow) link may send ([\d.]+) extra requests to a '
     r'shard, of a slack of 20'
 )
-def check_wide_slack(context, link, count):
-    wide = {'fast': True, 'slow': False}[link]
+def check_extra_slack(context, link, count):
+    fast = {'fast': True, 'slow': False}[link]
     found = [
         member.gateway.get_extra_slack(context.shards[0])
         for name, member in context.fleet.members.items()
-        if (name in context.wide) is wide
+        if (name in context.fast) is fast
     ]
     assert found
     assert set(found) == {float(count)}, found
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -1,4 +1,4 @@
-"""Steps on several gateways that share one source."""
+"""Steps on several gateways that read the same source."""
 
 import asyncio
 import zlib
@@ -24,16 +24,16 @@
 
 
 def make_fleet(context, upstream, service):
-    """Make a source with one upstream and one route, for gateways."""
-    bench = gateway_steps.get(context)
-    bench.add_route('/notes/', gateway.Single(service))
-    run(context, bench.add_upstream(upstream, service))
-    bench.publish()
-    context.fleet = gateway_bench.FleetBench(bench, context.stack)
+    """Prepare a source with one upstream and one route, without gateways."""
+    harness = gateway_steps.get(context)
+    harness.add_route('/notes/', gateway.Single(service))
+    run(context, harness.add_upstream(upstream, service))
+    harness.publish()
+    context.fleet = gateway_bench.FleetBench(harness, context.stack)
 
 
 def start_fleet(context, north, south, upstream, service):
-    """Start gateways in two zones over one source, and one route."""
+    """Start gateways in two zones that read one source with one route."""
     make_fleet(context, upstream, service)
     zones = [_NORTH] * north + [_SOUTH] * south
     run(context, context.fleet.start(zones))
@@ -71,46 +71,46 @@
 @when(
     r'the source is (refused|silent) for the gateway that reads it and 2 more'
 )
-def bar_some(context, how):
+def block_some(context, how):
     reader = context.fleet.find_reader()
     others = [each for each in context.fleet.members if each != reader]
     for name in (reader, *others[:2]):
-        set_way(context.fleet.members[name].source, how)
+        set_source_access(context.fleet.members[name].source, how)
 
 
 @when(r'the source is (refused|silent|open) for all gateways')
-def bar_all(context, how):
+def block_all(context, how):
     for member in context.fleet.members.values():
-        set_way(member.source, how)
+        set_source_access(member.source, how)
 
 
 @when(r'the source is refused for all gateways and (\d+) seconds pass')
-def bar_for(context, seconds):
+def block_for(context, seconds):
     before = count_calls(context)
-    bar_all(context, 'refused')
+    block_all(context, 'refused')
     run(context, asyncio.sleep(float(seconds)))
-    context.made = count_calls(context) - before
+    context.calls_made = count_calls(context) - before
 
 
 def count_calls(context):
-    """Return how often all gateways have called the source."""
+    """Return the number of calls to the source by all gateways."""
     members = context.fleet.members.values()
     return sum(each.source.calls for each in members)
 
 
 @then(r'they have called it at most (\d+) times during that time')
-def check_made(context, most):
-    assert context.made <= int(most), context.made
+def check_calls_made(context, maximum):
+    assert context.calls_made <= int(maximum), context.calls_made
 
 
-def set_way(source, how):
-    """Bar or open one host's way to the source."""
+def set_source_access(source, how):
+    """Make one host's calls to the source fail, hang or succeed."""
     source.is_refused = how == 'refused'
     source.is_silent = how == 'silent'
 
 
 @when(r'a seventh gateway starts')
-def start_another(context):
+def start_seventh(context):
     run(context, context.fleet.add(_NORTH))
 
 
@@ -118,25 +118,25 @@
     r'the source refuses all gateways and a seventh gateway starts with (\d+) '
     r'reachable seeds'
 )
-def start_with_seeds(context, count):
+def start_during_outage(context, count):
     members = list(context.fleet.members.values())
     for member in members:
         member.source.is_refused = True
-    gone, *others = list_seeds(context, int(count))
-    # One may be the host itself.
-    seeds = (gone, ('10.0.1.7', 8003), *others)
+    unreachable, *others = list_seeds(context, int(count))
+    # The second seed is the new gateway itself.
+    seeds = (unreachable, ('10.0.1.7', 8003), *others)
     run(context, context.fleet.add(_NORTH, 1.0, seeds, True))
 
 
 def list_seeds(context, count):
-    """Return one seed that has left long ago, and gateways that are there."""
+    """Return an unreachable seed, followed by `count` running gateways."""
     members = list(context.fleet.members.values())[:count]
     addresses = ['10.0.1.99', *(each.address for each in members)]
     return tuple((address, 8003) for address in addresses)
 
 
 @when(r'a seventh gateway starts with (\d+) reachable seeds')
-def start_told(context, count):
+def start_with_reachable_seeds(context, count):
     seeds = list_seeds(context, int(count))
     run(context, context.fleet.add(_NORTH, seeds=seeds))
 
@@ -145,7 +145,7 @@
     r'a seventh gateway starts whose readings of the source take ([\d.]+) '
     r'seconds longer'
 )
-def start_thin(context, seconds):
+def start_with_slow_readings(context, seconds):
     run(context, context.fleet.add(_NORTH))
     context.fleet.members['g7'].source.delay_s = float(seconds)
 
@@ -166,12 +166,12 @@
 
 
 @given(r'each call to the source takes one more iteration of the event loop')
-def lengthen_calls(context):
+def delay_calls(context):
     context.source_delay_s = 0.0
 
 
 async def start_all(context, numbers):
-    """Start gateways one after the other, all told the same seeds."""
+    """Start gateways with the same seeds, 5 ms apart."""
     for number in numbers:
         zone = context.zones[number]
         await context.fleet.add(zone, seeds=context.seeds, number=number)
@@ -186,7 +186,7 @@
     for name in names:
         run(context, context.fleet.kill(name))
     numbers = sorted(int(name[1:]) for name in names)
-    # Those that others look to first come last.
+    # The seeds start last.
     run(context, start_all(context, reversed(numbers)))
 
 
@@ -195,7 +195,7 @@
     raw = gateway_bench.make_raw('seventh', path)
     began = context.loop.time()
     reply = run(context, context.fleet.ask('g7', raw))
-    context.took = context.loop.time() - began
+    context.elapsed_s = context.loop.time() - began
     assert reply.status == int(status), reply
 
 
@@ -206,31 +206,31 @@
 
 
 @then(r'the gateways have called the source at most (\d+) times in total')
-def check_all_calls(context, most):
-    assert count_calls(context) <= int(most), count_calls(context)
+def check_all_calls(context, maximum):
+    assert count_calls(context) <= int(maximum), count_calls(context)
 
 
 @when(r'a new peer asks the gateway that reads the source for changes')
-def ask_anew(context):
+def ask_as_new_peer(context):
     async def ask():
         member = context.fleet.members[context.fleet.find_reader()]
         peer = gateway.PeerClient(member.hosts.own)
         context.stack.callback(peer.close)
         return await peer.ask(gateway.InForce(), is_lost=False)
 
-    context.told = getattr(context, 'told', [])
-    context.told.append(run(context, ask()).ok_value)
+    context.replies_to_peers = getattr(context, 'replies_to_peers', [])
+    context.replies_to_peers.append(run(context, ask()).ok_value)
 
 
 @then(r'the second peer got a reading that was ([\d.]+) seconds older')
 def check_older(context, seconds):
-    first, second = context.told
+    first, second = context.replies_to_peers
     assert (first.number, first.generation) == (
         second.number,
         second.generation,
     )
-    older_ms = second.age_ms - first.age_ms
-    assert abs(older_ms - 1000 * float(seconds)) <= 2, (first, second)
+    difference_ms = second.age_ms - first.age_ms
+    assert abs(difference_ms - 1000 * float(seconds)) <= 2, (first, second)
 
 
 @when(r'the registry loses all hosts')
@@ -245,11 +245,11 @@
 def make_directory(context, number, origin, age):
     context.clock = state.Clock(context.loop)
     context.directory = gateway.Directory(context.clock)
-    take_reading(context, number, origin, age)
+    apply_reading(context, number, origin, age)
 
 
-def take_reading(context, number, origin, age):
-    """Have the directory take over a reading."""
+def apply_reading(context, number, origin, age):
+    """Apply a reading to the directory."""
     context.origin = origin
     context.number = number
     read_at = context.clock.now() - float(age)
@@ -259,12 +259,12 @@
 
 @when(r'the same reading arrives with an age of ([\d.]+) seconds')
 def repeat_reading(context, age):
-    take_reading(context, context.number, context.origin, age)
+    apply_reading(context, context.number, context.origin, age)
 
 
 @when(r'reading (\d+) of "([^"]+)" arrives, ([\d.]+) seconds old')
-def take_next(context, number, origin, age):
-    take_reading(context, number, origin, age)
+def apply_next_reading(context, number, origin, age):
+    apply_reading(context, number, origin, age)
 
 
 @then(r"the directory's reading is ([\d.]+) seconds old")
@@ -284,17 +284,17 @@
     members = context.fleet.members.values()
     before = [member.source.calls for member in members]
     run(context, asyncio.sleep(10.0))
-    made = [
-        member.source.calls - was
-        for member, was in zip(members, before, strict=True)
+    calls_made = [
+        member.source.calls - earlier
+        for member, earlier in zip(members, before, strict=True)
     ]
-    # Renewals of the registration are all that the others need.
-    busy = [calls for calls in made if calls > 4]
-    assert len(busy) == int(count), made
+    # The other gateways only renew their registration.
+    readers = [calls for calls in calls_made if calls > 4]
+    assert len(readers) == int(count), calls_made
 
 
 @then(r'at most (\d+) of the gateways that reach the source read it')
-def check_few_readers(context, most):
+def check_few_readers(context, maximum):
     members = [
         member
         for member in context.fleet.members.values()
@@ -302,12 +302,12 @@
     ]
     before = [member.source.calls for member in members]
     run(context, asyncio.sleep(10.0))
-    made = [
-        member.source.calls - was
-        for member, was in zip(members, before, strict=True)
+    calls_made = [
+        member.source.calls - earlier
+        for member, earlier in zip(members, before, strict=True)
     ]
-    busy = [calls for calls in made if calls > 6]
-    assert len(busy) <= int(most), made
+    readers = [calls for calls in calls_made if calls > 6]
+    assert len(readers) <= int(maximum), calls_made
 
 
 @then(r'every gateway counts (\d+) hosts')
@@ -318,7 +318,7 @@
 
 @then(r'every (other )?gateway sends "([^"]+)" to "([^"]+)"')
 def check_all_send(context, other, path, upstream):
-    bench = gateway_steps.get(context)
+    harness = gateway_steps.get(context)
     for name in context.fleet.members:
         if other and name == context.silenced:
             continue
@@ -326,7 +326,7 @@
         raw = gateway_bench.make_raw(request_id, path)
         reply = run(context, context.fleet.ask(name, raw))
         assert reply.status == 200, (name, reply)
-        ids = [each.request_id for each in bench.upstreams[upstream].runs]
+        ids = [each.request_id for each in harness.upstreams[upstream].runs]
         assert request_id in ids, (name, upstream)
 
 
@@ -353,7 +353,7 @@
 
 @when(r'a peer asks the gateway that reads the source for changes')
 def ask_for_changes(context):
-    """Keep the peer, so that it asks next time for what is new."""
+    """Ask for changes; later calls reuse the peer and get only new ones."""
 
     async def ask():
         if not hasattr(context, 'peer'):
@@ -369,19 +369,19 @@
 
 
 @then(r'it is sent (\d+) hosts?, and knows (\d+)')
-def check_told_hosts(context, told, known):
-    assert len(context.changes.hosts) == int(told), context.changes.hosts
+def check_sent_hosts(context, sent, known):
+    assert len(context.changes.hosts) == int(sent), context.changes.hosts
     assert len(context.known_hosts) == int(known), context.known_hosts
 
 
 @given(r'an upstream that accepts (\d+) connections in "([^"]+)"')
-def note_upstream(context, accepted, zone):
+def set_upstream(context, accepted, zone):
     context.accepted = int(accepted)
     context.endpoints = [make_endpoint('u1', zone)]
 
 
 @given(r'another upstream of its service in "([^"]+)"')
-def note_sibling(context, zone):
+def add_upstream(context, zone):
     context.endpoints.append(make_endpoint('u2', zone))
 
 
@@ -398,12 +398,12 @@
 
 
 @given(r'(\d+) hosts in "north-1" and (\d+) in "south-1"')
-def note_hosts(context, north, south):
+def set_hosts(context, north, south):
     context.zones = [_NORTH] * int(north) + [_SOUTH] * int(south)
 
 
-def get_share(context, zone):
-    """Return the share that a host in a zone has of the upstream."""
+def compute_share(context, zone):
+    """Return the share of the upstream's connections of a host in a zone."""
     entries = [
         gateway.HostEntry(
             host=state.HostId(f'h{number}'), zone=each, address='10.0.0.1:1'
@@ -424,7 +424,7 @@
 
 @then(r'a host in "([^"]+)" may open (\d+) connections')
 def check_share(context, zone, count):
-    share = get_share(context, state.ZoneId(zone))
+    share = compute_share(context, state.ZoneId(zone))
     assert share.cap == int(count), share
 
 
@@ -432,14 +432,14 @@
 def check_sum(context, accepted):
     total = 0
     for zone in context.zones:
-        share = get_share(context, zone)
-        # A share of less than one is not kept open.
+        share = compute_share(context, zone)
+        # A share of less than one connection is not kept open.
         total += 0 if share.is_unallocated else share.cap
     assert total <= int(accepted), total
 
 
 @given(r'changes with (\d+) upstreams')
-def note_changes(context, count):
+def make_changes(context, count):
     upstreams = [
         make_endpoint(f'i-{number * 7919 % 65536:04x}', 'north-1')
         for number in range(int(count))
@@ -463,13 +463,13 @@
 
 
 @then(r'they are encoded in less than (\d+) bytes and decode to the same')
-def check_compressed(context, most):
-    assert len(context.reply.body) < int(most), len(context.reply.body)
+def check_compressed(context, maximum):
+    assert len(context.reply.body) < int(maximum), len(context.reply.body)
     assert gateway.read_changes(context.reply) == context.changes
 
 
 @then(r"their first (\d+) bytes can't be decoded")
-def check_cut(context, length):
+def check_truncated(context, length):
     cut = gateway.Reply(
         200, context.reply.headers, context.reply.body[: int(length)]
     )
@@ -477,4 +477,4 @@
         found = gateway.read_changes(cut)
     except (msgspec.DecodeError, zlib.error):
         return
-    raise AssertionError(f'read from a part: {found}')
+    raise AssertionError(f'truncated changes were decoded: {found}')
--- a/features/steps/quarantine.py
+++ b/features/steps/quarantine.py
@@ -24,13 +24,13 @@
 
 
 @given(r'a request for "([^"]+)" crashes every upstream that runs it')
-def make_lethal(context, target):
+def mark_lethal(context, target):
     for model in gateway_steps.get(context).upstreams.values():
         model.lethal = model.lethal | {target}
 
 
 def list_crashes(context):
-    """Return when upstreams have crashed."""
+    """Return the times at which upstreams crashed, in order."""
     models = gateway_steps.get(context).upstreams.values()
     return sorted(at for model in models for at in model.crashes)
 
@@ -39,12 +39,12 @@
     r'the (\d+) log lines of "([^"]+)" have the same digest, and the first '
     r'has at least (\d+) lost attempts'
 )
-def check_lost_lines(context, count, target, least):
+def check_lost_lines(context, count, target, minimum):
     lines = gateway_checks.list_lines(context, 'request')
     assert len(lines) == int(count), lines
     assert len({line['digest'] for line in lines}) == 1, lines
     assert all(len(line['digest']) == 32 for line in lines), lines
-    assert lines[0]['lost'] >= int(least), lines
+    assert lines[0]['lost'] >= int(minimum), lines
 
 
 @then(r'its log line has no digest')
@@ -72,15 +72,15 @@
 
 
 @given(r'the route "([^"]+)" to one of the shards')
-def add_single(context, prefix):
-    bench = gateway_steps.get(context)
-    bench.add_route(prefix, gateway.Single(context.shards[0]))
-    bench.publish()
+def add_route_to_one_shard(context, prefix):
+    harness = gateway_steps.get(context)
+    harness.add_route(prefix, gateway.Single(context.shards[0]))
+    harness.publish()
     run(context, asyncio.sleep(1.0))
 
 
-async def ask_for(context, name, target):
-    """Ask one gateway for a target under a new request id."""
+async def send_request(context, name, target):
+    """Send one gateway a request with a new id; return the id and reply."""
     request_id = gateway_steps.next_id(context)
     raw = gateway_bench.make_raw(request_id, target, deadline_ms=1000)
     return request_id, await context.fleet.ask(name, raw)
@@ -93,19 +93,21 @@
 def send_copies(context, target, rate, seconds):
     names = list(context.fleet.members)
 
-    async def go():
-        asked = []
+    async def execute():
+        tasks = []
         for number in range(round(float(rate) * float(seconds))):
             name = names[number % len(names)]
-            asked.append(asyncio.create_task(ask_for(context, name, target)))
+            tasks.append(
+                asyncio.create_task(send_request(context, name, target))
+            )
             await asyncio.sleep(1.0 / float(rate))
-        return await asyncio.gather(*asked)
+        return await asyncio.gather(*tasks)
 
-    context.copies = run(context, go())
+    context.copies = run(context, execute())
 
 
 def list_arrivals(context):
-    """Return when and under which id requests have come to upstreams."""
+    """Return time and request id of each arrival at an upstream, in order."""
     models = gateway_steps.get(context).upstreams.values()
     return sorted(each for model in models for each in model.timed_arrivals)
 
@@ -114,21 +116,21 @@
     r'at most (\d+) copies reach upstreams later than ([\d.]+) seconds after '
     r'the third crash'
 )
-def check_retries(context, most, seconds):
+def check_late_copies(context, maximum, seconds):
     third = list_crashes(context)[2]
     copies = {request_id for request_id, _ in context.copies}
-    late = {
+    late_ids = {
         request_id
         for at, request_id in list_arrivals(context)
         if request_id in copies and at > third + float(seconds)
     }
-    assert len(late) <= int(most), late
+    assert len(late_ids) <= int(maximum), late_ids
 
 
 @then(r'at most (\d+) upstreams have crashed')
-def check_crashes(context, most):
+def check_crashes(context, maximum):
     crashes = list_crashes(context)
-    assert len(crashes) <= int(most), crashes
+    assert len(crashes) <= int(maximum), crashes
 
 
 @then(r'(\d+) upstreams have crashed')
@@ -141,27 +143,29 @@
     r'copies of "([^"]+)" are sent to all gateways in turn, ([\d.]+) a second '
     r'for ([\d.]+) seconds, along with (\d+) other queries a second'
 )
-def send_beside(context, target, rate, seconds, others):
-    async def go():
+def send_with_others(context, target, rate, seconds, others):
+    async def execute():
         names = list(context.fleet.members)
-        asked = []
+        tasks = []
         for number in range(round(float(seconds) * int(others))):
             name = names[number % len(names)]
-            other = f'/all/other-{number}'
-            asked.append(asyncio.create_task(ask_for(context, name, other)))
+            other_target = f'/all/other-{number}'
+            tasks.append(
+                asyncio.create_task(send_request(context, name, other_target))
+            )
             if number % (int(others) / float(rate)) == 0:
-                copy = ask_for(context, name, target)
+                copy = send_request(context, name, target)
                 context.copies.append(asyncio.create_task(copy))
             await asyncio.sleep(1.0 / int(others))
         context.copies = await asyncio.gather(*context.copies)
-        return await asyncio.gather(*asked)
+        return await asyncio.gather(*tasks)
 
     context.copies = []
-    context.others = run(context, go())
+    context.others = run(context, execute())
 
 
 @then(r'no shard was without an upstream at any time')
-def check_never_without(context):
+def check_always_live(context):
     models = gateway_steps.get(context).upstreams
     for shard in context.shards:
         replicas = [
@@ -169,33 +173,37 @@
             for name, model in models.items()
             if name.rpartition('-')[0] == shard
         ]
-        ends = sorted(at for each in replicas for at in each.crashes)
-        for one, next_one in itertools.pairwise(ends):
-            assert next_one - one >= standins.DOWN_S, (shard, ends)
+        crash_times = sorted(at for each in replicas for at in each.crashes)
+        for crash, next_crash in itertools.pairwise(crash_times):
+            assert next_crash - crash >= standins.DOWN_S, (shard, crash_times)
 
 
 @then(r'no other query was quarantined')
-def check_others_kept(context):
+def check_others_not_quarantined(context):
     ids = {request_id for request_id, _ in context.others}
-    kept = [each for each in list_kept(context) if each['request_id'] in ids]
-    assert not kept, kept
+    quarantined = [
+        each for each in list_quarantined(context) if each['request_id'] in ids
+    ]
+    assert not quarantined, quarantined
 
 
 @then(r'at least a fraction of ([\d.]+) of the other queries was answered')
-def check_others(context, part):
-    good = [reply for _, reply in context.others if reply.status == 200]
-    assert len(good) >= float(part) * len(context.others), len(good)
+def check_others_answered(context, fraction):
+    answered = [reply for _, reply in context.others if reply.status == 200]
+    assert len(answered) >= float(fraction) * len(context.others), len(
+        answered
+    )
 
 
-def list_kept(context):
-    """Return the lines of requests that were sent to nobody."""
+def list_quarantined(context):
+    """Return the log lines of requests that were quarantined."""
     lines = gateway_checks.list_lines(context, 'request')
     return [line for line in lines if line['outcome'] == 'quarantined']
 
 
 @then(r'no request was quarantined')
-def check_none_kept(context):
-    assert not list_kept(context), list_kept(context)
+def check_none_quarantined(context):
+    assert not list_quarantined(context), list_quarantined(context)
 
 
 @then(r'no log line reports a suspect request')
@@ -230,9 +238,9 @@
 
 
 def restart(context, names):
-    """End gateways at once and start them again."""
+    """Kill gateways and start them again under the same names."""
 
-    async def go():
+    async def execute():
         zones = {
             name: context.fleet.members[name].hosts.own.zone for name in names
         }
@@ -243,7 +251,7 @@
             await context.fleet.add(zone, number=number)
         await asyncio.sleep(4.0)
 
-    run(context, go())
+    run(context, execute())
 
 
 @then(r'none of the copies reached an upstream')
@@ -258,22 +266,22 @@
     r'one gateway answers no request of its peers for ([\d.]+) seconds while '
     r'a copy of "([^"]+)" is sent to another gateway'
 )
-def tell_late(context, seconds, target):
+def block_peer_requests(context, seconds, target):
     first, *_, last = context.fleet.members
     process = context.fleet.members[last].process
 
-    async def go():
-        heard = process.peers.handle
+    async def execute():
+        original_handle = process.peers.handle
         process.peers.handle = hang
-        await ask_for(context, first, target)
+        await send_request(context, first, target)
         await asyncio.sleep(float(seconds))
-        process.peers.handle = heard
+        process.peers.handle = original_handle
 
     async def hang(request):
         await asyncio.sleep(float(seconds))
         return gateway.Reply(503, [])
 
-    run(context, go())
+    run(context, execute())
 
 
 @when(
@@ -281,20 +289,20 @@
     r'(\d+) requests for "([^"]+)" are sent at (\d+) a second'
 )
 def crash_in_turn(context, first, second, every_s, count, target, rate):
-    bench = gateway_steps.get(context)
+    harness = gateway_steps.get(context)
 
-    async def go():
+    async def execute():
         load = asyncio.create_task(
-            bench.ask_at_rate(target, int(rate), int(count) / int(rate))
+            harness.ask_at_rate(target, int(rate), int(count) / int(rate))
         )
         turn = 0
         while not load.done():
             await asyncio.sleep(float(every_s))
-            bench.upstreams[(first, second)[turn % 2]].crash(1.0)
+            harness.upstreams[(first, second)[turn % 2]].crash(1.0)
             turn += 1
         await load
 
-    run(context, go())
+    run(context, execute())
 
 
 _REQUEST = gateway.Request(
@@ -312,19 +320,21 @@
 
 
 @given(r'a request')
-def make_request(context):
-    context.one = _REQUEST
+def set_request(context):
+    context.first_request = _REQUEST
 
 
 @given(r'the same request with another ([\w -]+)')
-def make_other(context, part):
+def make_changed_request(context, part):
     names = {
         'team': b'rudderrock-team',
         'request id': b'rudderrock-request-id',
     }
     if part in ('method', 'target', 'body'):
         before = getattr(_REQUEST, part)
-        context.other = dataclasses.replace(_REQUEST, **{part: before + b'X'})
+        context.other_request = dataclasses.replace(
+            _REQUEST, **{part: before + b'X'}
+        )
         return
     name = names.get(part, part.encode())
     headers = [
@@ -332,7 +342,7 @@
         for key, value in _REQUEST.headers
     ]
     assert headers != _REQUEST.headers
-    context.other = dataclasses.replace(_REQUEST, headers=headers)
+    context.other_request = dataclasses.replace(_REQUEST, headers=headers)
 
 
 @then(r'their digests (differ|are the same)')
@@ -340,13 +350,13 @@
     names = gateway.HeaderNames()
     digests = {
         gateway.digest_request(each, names)
-        for each in (context.one, context.other)
+        for each in (context.first_request, context.other_request)
     }
     assert len(digests) == (2 if how == 'differ' else 1)
 
 
 def make_quarantine(context, name):
-    """Make what one host knows of requests."""
+    """Return the empty quarantine of a host."""
     clock = state.Clock(context.loop)
     return gateway.Quarantine(name, clock, gateway.EventLog(name, clock))
 
@@ -355,63 +365,74 @@
 
 
 @given(r'a host with (\d+) failed attempts of a request')
-def lose_trials(context, count):
-    context.known = make_quarantine(context, 'h1')
+def fail_attempts(context, count):
+    context.request_quarantine = make_quarantine(context, 'h1')
     for number in range(int(count)):
-        context.known.record_crash(DIGEST, context.loop.time(), number > 0)
+        context.request_quarantine.record_crash(
+            DIGEST, context.loop.time(), number > 0
+        )
         run(context, asyncio.sleep(0.0))
 
 
 @given(r'a host with (\d+) simultaneous failed attempts of a request')
-def lose_together(context, count):
-    context.known = make_quarantine(context, 'h1')
+def fail_attempts_together(context, count):
+    context.request_quarantine = make_quarantine(context, 'h1')
     began = context.loop.time()
     run(context, asyncio.sleep(1.0))
     for number in range(int(count)):
-        context.known.record_crash(DIGEST, began, number > 0)
+        context.request_quarantine.record_crash(DIGEST, began, number > 0)
 
 
 @when(r'one more attempt of it fails')
-def lose_one_more(context):
-    context.known.record_crash(DIGEST, context.loop.time(), True)
+def fail_one_more(context):
+    context.request_quarantine.record_crash(DIGEST, context.loop.time(), True)
 
 
 @when(r'an upstream answers it')
-def answer_it(context):
-    context.known.record_answer(DIGEST)
+def answer_request(context):
+    context.request_quarantine.record_answer(DIGEST)
 
 
 @when(r'(\d+) other requests fail once each')
-def lose_others(context, count):
+def fail_others(context, count):
     for number in range(int(count)):
-        context.known.record_crash(f'{number:032}', context.loop.time(), False)
+        context.request_quarantine.record_crash(
+            f'{number:032}', context.loop.time(), False
+        )
 
 
 @then(r'(\d+) requests have a record')
-def check_room(context, count):
-    assert len(context.known.list_since(0)) == int(count)
+def check_record_count(context, count):
+    assert len(context.request_quarantine.list_since(0)) == int(count)
 
 
 @then(r'the request is in quarantine for (\d+) seconds')
-def check_left(context, seconds):
+def check_quarantine_left(context, seconds):
     assert (
-        context.known.get_state(DIGEST) is gateway.QuarantineState.QUARANTINED
+        context.request_quarantine.get_state(DIGEST)
+        is gateway.QuarantineState.QUARANTINED
     )
-    left_s = context.known.get_quarantine_left_s(DIGEST)
+    left_s = context.request_quarantine.get_quarantine_left_s(DIGEST)
     assert round(left_s) == int(seconds), left_s
 
 
 @then(r'the request is suspect')
 def check_suspect(context):
-    assert context.known.get_state(DIGEST) is gateway.QuarantineState.SUSPECT
+    assert (
+        context.request_quarantine.get_state(DIGEST)
+        is gateway.QuarantineState.SUSPECT
+    )
 
 
 @then(r'the request is clear')
 def check_clear(context):
-    assert context.known.get_state(DIGEST) is gateway.QuarantineState.CLEAR
+    assert (
+        context.request_quarantine.get_state(DIGEST)
+        is gateway.QuarantineState.CLEAR
+    )
 
 
-_STEPS = strategies.lists(
+_OUTCOMES = strategies.lists(
     strategies.tuples(
         strategies.sampled_from(['a', 'b']), strategies.booleans()
     ),
@@ -424,29 +445,31 @@
     r'(\d+) series of failed attempts and answers, sent in any order and '
     r'twice, give two hosts the same state'
 )
-def check_merges(context, count):
+def check_merge_order(context, count):
     @hypothesis.settings(
         max_examples=int(count), derandomize=True, database=None, deadline=None
     )
-    @hypothesis.given(_STEPS, strategies.randoms(use_true_random=False))
-    def check(steps, chance):
-        teller = make_quarantine(context, 'h1')
-        told = []
+    @hypothesis.given(_OUTCOMES, strategies.randoms(use_true_random=False))
+    def check(steps, rng):
+        sender = make_quarantine(context, 'h1')
+        sent_records = []
         for digest, is_answer in steps:
             run(context, asyncio.sleep(0.1))
             if is_answer:
-                teller.record_answer(digest)
+                sender.record_answer(digest)
             else:
-                teller.record_crash(digest, context.loop.time(), bool(told))
-            told.append(teller.list_since(0))
-        told *= 2
-        chance.shuffle(told)
-        hearer = make_quarantine(context, 'h2')
-        for records in told:
-            hearer.merge(records, 'h1')
+                sender.record_crash(
+                    digest, context.loop.time(), bool(sent_records)
+                )
+            sent_records.append(sender.list_since(0))
+        sent_records *= 2
+        rng.shuffle(sent_records)
+        receiver = make_quarantine(context, 'h2')
+        for records in sent_records:
+            receiver.merge(records, 'h1')
         for digest in 'ab':
-            found = hearer.get_state(digest)
-            assert found is teller.get_state(digest), (digest, steps)
+            found = receiver.get_state(digest)
+            assert found is sender.get_state(digest), (digest, steps)
 
     check()
 
@@ -457,23 +480,27 @@
 
 
 @when(r'a host with one failed attempt of it sends its record')
-def tell_little(context):
+def send_record(context):
     clock = state.Clock(context.loop)
     entry = gateway.HostEntry(
         host=state.HostId('h1'), zone=state.ZoneId('z'), address='10.0.1.1:1'
     )
     fleet = gateway.Fleet(entry, 2, clock)
-    hearer = gateway.QuarantineBroadcaster(context.known, fleet, lambda: False)
-    context.teller = make_quarantine(context, 'h2')
-    context.teller.record_crash(DIGEST, context.loop.time(), False)
-    told = gateway.render_records(context.teller.list_since(0))
-    request = gateway.Request(b'POST', b'/v1/quarantine', [], told, 0.0)
-    reply = hearer.handle(request)
+    receiver = gateway.QuarantineBroadcaster(
+        context.request_quarantine, fleet, lambda: False
+    )
+    context.sender = make_quarantine(context, 'h2')
+    context.sender.record_crash(DIGEST, context.loop.time(), False)
+    sent_records = gateway.render_records(context.sender.list_since(0))
+    request = gateway.Request(
+        b'POST', b'/v1/quarantine', [], sent_records, 0.0
+    )
+    reply = receiver.handle(request)
     assert reply.status == 200, reply
-    context.teller.merge(gateway.read_records(reply.body), 'h1')
+    context.sender.merge(gateway.read_records(reply.body), 'h1')
 
 
 @then(r'that host has the request in quarantine too')
-def check_teller(context):
-    found = context.teller.get_state(DIGEST)
+def check_sender_quarantine(context):
+    found = context.sender.get_state(DIGEST)
     assert found is gateway.QuarantineState.QUARANTINED, found
--- a/features/steps/wide_load.py
+++ b/features/steps/wide_load.py
@@ -1,4 +1,4 @@
-"""Steps on the load of wide queries, and how it is spread over hosts."""
+"""Steps on the load of wide queries and its distribution over hosts."""
 
 import collections
 
@@ -20,17 +20,21 @@
 _RECORD_BYTES = 16
 
 
-def start_links(context, zones, link_bytes_s, shards, part_bytes, place):
-    """Start gateways with links of one speed before shards of one zone."""
-    bench = gateway_steps.get(context)
+def start_links(context, zones, link_bytes_s, shards, part_bytes, shard_zone):
+    """Start shards in one zone, and gateways with links of the same speed."""
+    harness = gateway_steps.get(context)
     records = b'r' * _RECORD_BYTES * (part_bytes // _RECORD_BYTES)
     for number in range(shards):
         name = f'shard-{number}'
         context.shards.append(name)
         run(
             context,
-            bench.add_upstream(
-                f'{name}-0', name, zone=place, records=records, work_s=0.01
+            harness.add_upstream(
+                f'{name}-0',
+                name,
+                zone=shard_zone,
+                records=records,
+                work_s=0.01,
             ),
         )
     delegate.start_gateways(
@@ -61,23 +65,25 @@
     r'the gateways (of the first zone )?are asked for all shards (\d+) times '
     r'a second for (\d+) seconds'
 )
-def ask_at_rate(context, first_zone, rate, seconds):
+def query_at_rate(context, first_zone, rate, seconds):
     names = list(context.fleet.members)
     if first_zone:
         names = names[: len(names) // 2]
-    delegate.ask_in_turn(context, names, int(rate), int(seconds))
+    delegate.query_in_turn(context, names, int(rate), int(seconds))
 
 
 @when(r'each gateway in turn is asked for all shards, ([\d.]+) seconds apart')
-def ask_apart(context, seconds):
+def query_one_by_one(context, seconds):
     context.sent_before = count_sent(context)
     names = list(context.fleet.members)
-    apart_s = float(seconds)
-    delegate.ask_in_turn(context, names, 1 / apart_s, len(names) * apart_s)
+    interval_s = float(seconds)
+    delegate.query_in_turn(
+        context, names, 1 / interval_s, len(names) * interval_s
+    )
 
 
 def count_sent(context):
-    """Return how many requests each gateway has sent to shards."""
+    """Return the number of requests that each gateway sent to shards."""
     return collections.Counter(
         {
             name: member.gateway.counters.first_attempts
@@ -93,10 +99,12 @@
 
 
 @then(r'no gateway ran more than ([\d.]+) of the queries')
-def check_spread(context, part):
+def check_largest_fraction(context, fraction):
     shards = len(context.shards)
-    most = max(count_sent(context).values()) / shards
-    assert most <= float(part) * len(context.answers), count_sent(context)
+    max_queries = max(count_sent(context).values()) / shards
+    assert max_queries <= float(fraction) * len(context.answers), count_sent(
+        context
+    )
 
 
 @then(r'(\d+) connections to shards were opened')
@@ -111,26 +119,26 @@
 @then(
     r'the log reports the new coordinators and the load that led to the change'
 )
-def check_changes(context):
+def check_coordinator_changes(context):
     lines = gateway_checks.list_lines(context, 'coordinators_changed')
-    told = [line for line in lines if 'full' in line['detail']]
-    assert told, lines
-    assert all(line['hosts'] != line['before'] for line in told), told
+    reports = [line for line in lines if 'full' in line['detail']]
+    assert reports, lines
+    assert all(line['hosts'] != line['before'] for line in reports), reports
 
 
 @given(r'a host of ([\d.]+) cores with a link of (\d+) bytes a second')
-def make_meter(context, cores, link):
+def make_estimator(context, cores, link):
     clock = state.Clock(context.loop)
     context.estimator = gateway.LoadEstimator(clock, float(cores), float(link))
 
 
 @given(r'its queries ask (\d+) shards and receive (\d+) bytes')
-def note_queries(context, shards, size):
+def record_queries(context, shards, size):
     context.estimator.record_end(_QUERY_CLASS, int(shards), int(size))
 
 
 @when(r'it starts (\d+) queries at once')
-def begin(context, count):
+def start_queries(context, count):
     for _ in range(int(count)):
         context.estimator.record_start(_QUERY_CLASS, 1)
 
@@ -142,23 +150,25 @@
 
 
 @then(r'a query with a goal of ([\d.]+) seconds has (room|none)')
-def check_room(context, goal_s, answer):
-    assert context.estimator.has_room(float(goal_s)) is (answer == 'room')
+def check_room(context, goal_s, expected):
+    assert context.estimator.has_room(float(goal_s)) is (expected == 'room')
 
 
 @when(r'one gateway with a fast link refuses queries with a malformed reason')
-def send_nonsense(context):
+def refuse_with_malformed_reason(context):
     async def refuse(request):
         return gateway.Reply(
             503, [(b'rudderrock-not-taken', b'full ' + b'nonsense' * 500)]
         )
 
-    context.fleet.members[context.wide[0]].process.peers.handle = refuse
+    context.fleet.members[context.fast[0]].process.peers.handle = refuse
 
 
 @then(r'the log reports that the reason is unknown')
-def check_no_nonsense(context):
+def check_unknown_reason(context):
     lines = gateway_checks.list_lines(context, 'peer_skipped')
-    told = [line['detail'] for line in lines if 'query' in line['detail']]
-    assert told
-    assert set(told) == {'did not take a query: no reason that is known'}, told
+    reports = [line['detail'] for line in lines if 'query' in line['detail']]
+    assert reports
+    assert set(reports) == {'did not take a query: no reason that is known'}, (
+        reports
+    )
--- a/features/steps/zones.py
+++ b/features/steps/zones.py
@@ -1,4 +1,4 @@
-"""Steps on regions, evacuated zones, cold upstreams and reborn ones."""
+"""Steps on regions, evacuated zones, and cold or restarted upstreams."""
 
 import asyncio
 import dataclasses
@@ -23,54 +23,54 @@
 _SERVICE = gateway.ServiceName('notes')
 
 
-def narrow(context, prefix, region):
-    """Let the requests of a route be handled in one region only."""
-    bench = gateway_steps.get(context)
+def restrict_route(context, prefix, region):
+    """Restrict a route to one region, without publishing it."""
+    harness = gateway_steps.get(context)
     within = gateway.Within(frozenset({gateway.RegionId(region)}))
-    bench.routes = [
+    harness.routes = [
         dataclasses.replace(each, residency=within)
         if each.prefix == prefix
         else each
-        for each in bench.routes
+        for each in harness.routes
     ]
 
 
 @given(r'the route "([^"]+)" to "([^"]+)" within "([^"]+)"')
 def add_within(context, prefix, service, region):
     gateway_steps.add_route(context, prefix, service)
-    narrow(context, prefix, region)
+    restrict_route(context, prefix, region)
 
 
 @given(r'the route "([^"]+)" to all shards within "([^"]+)"')
 def add_scatter_within(context, prefix, region):
     gateway_steps.add_scatter_plain(context, prefix)
-    narrow(context, prefix, region)
+    restrict_route(context, prefix, region)
 
 
 @when(r'the route "([^"]+)" is restricted to "([^"]+)"')
-def publish_narrowed(context, prefix, region):
-    narrow(context, prefix, region)
+def publish_restricted(context, prefix, region):
+    restrict_route(context, prefix, region)
     gateway_steps.get(context).publish()
 
 
 @given(r'the route "([^"]+)" is restricted to "([^"]+)" on all gateways')
 def publish_to_fleet(context, prefix, region):
-    publish_narrowed(context, prefix, region)
+    publish_restricted(context, prefix, region)
     run(context, asyncio.sleep(2.0))
-    context.handed_over = []
+    context.delegated_to = []
     for name, member in context.fleet.members.items():
-        note_handed_over(context, name, member.gateway)
+        record_delegations(context, name, member.gateway)
 
 
-def note_handed_over(context, name, served):
-    """Keep the names of gateways that are sent queries by others."""
-    handle = served.handle_delegated
+def record_delegations(context, name, target_gateway):
+    """Record the name of a gateway for each query delegated to it."""
+    handle = target_gateway.handle_delegated
 
-    async def note(request):
-        context.handed_over.append(name)
+    async def record(request):
+        context.delegated_to.append(name)
         return await handle(request)
 
-    served.handle_delegated = note
+    target_gateway.handle_delegated = record
 
 
 @then(r'nothing has reached "([^"]+)"')
@@ -81,15 +81,15 @@
 
 @then(r'nothing has reached an upstream of "([^"]+)"')
 def check_zone_untouched(context, zone):
-    bench = gateway_steps.get(context)
-    for name, entry in bench.source.endpoints.items():
+    harness = gateway_steps.get(context)
+    for name, entry in harness.source.endpoints.items():
         if entry.zone == zone:
             check_untouched(context, name)
 
 
 @then(r'no gateway delegated a query to another')
-def check_not_handed_over(context):
-    assert not context.handed_over, context.handed_over
+def check_none_delegated(context):
+    assert not context.delegated_to, context.delegated_to
 
 
 @when(r'"([^"]+)" is evacuated')
@@ -98,7 +98,7 @@
 
 
 @when(r'the evacuation of "([^"]+)" ends')
-def give_back(context, zone):
+def end_evacuation(context, zone):
     gateway_steps.get(context).source.give_back(core.ZoneId(zone))
 
 
@@ -110,27 +110,29 @@
 
 
 @given(r'an upstream of "([^"]+)" accepts (\d+) connections?')
-def accept(context, service, count):
+def set_connection_limit(context, service, count):
     gateway_steps.get(context).allow_connections(service, int(count))
 
 
 @when(
     r'"([^"]+)" is evacuated while (\d+) requests for "([^"]+)" are in flight'
 )
-def evacuate_under_way(context, zone, count, path):
-    bench = gateway_steps.get(context)
+def evacuate_with_requests_in_flight(context, zone, count, path):
+    harness = gateway_steps.get(context)
 
     async def ask():
-        asked = [
+        tasks = [
             asyncio.create_task(
-                bench.ask(gateway_bench.make_raw(f'under-way-{number}', path))
+                harness.ask(
+                    gateway_bench.make_raw(f'under-way-{number}', path)
+                )
             )
             for number in range(int(count))
         ]
         await asyncio.sleep(0.02)
         evacuate(context, zone)
         context.evacuated_at = asyncio.get_running_loop().time()
-        await asyncio.gather(*asked)
+        await asyncio.gather(*tasks)
 
     run(context, ask())
 
@@ -138,32 +140,32 @@
 @then(r'nothing reached "([^"]+)" after the evacuation')
 def check_after(context, upstream):
     model = gateway_steps.get(context).upstreams[upstream]
-    late = [
+    late_ids = [
         request_id
         for at, request_id in model.timed_arrivals
         if at > context.evacuated_at + 0.05
     ]
-    assert model.timed_arrivals and not late, model.timed_arrivals
+    assert model.timed_arrivals and not late_ids, model.timed_arrivals
 
 
 @then(r'"([^"]+)" ran at least (\d+) of them')
-def check_ran(context, upstream, least):
+def check_ran(context, upstream, minimum):
     model = gateway_steps.get(context).upstreams[upstream]
-    assert len(model.runs) >= int(least), model.runs
+    assert len(model.runs) >= int(minimum), model.runs
 
 
 def change_entry(context, upstream, **fields):
-    """Write an upstream's entry anew with some of its fields changed."""
+    """Write an upstream's entry with some fields changed."""
     source = gateway_steps.get(context).source
     entry = source.endpoints[upstream]
     source.set_endpoint(dataclasses.replace(entry, **fields))
 
 
 @when(r'"([^"]+)" restarts at another address')
-def start_again(context, upstream):
-    bench = gateway_steps.get(context)
-    model = bench.upstreams[upstream]
-    before = bench.source.endpoints[upstream]
+def restart_upstream(context, upstream):
+    harness = gateway_steps.get(context)
+    model = harness.upstreams[upstream]
+    before = harness.source.endpoints[upstream]
     address = ('10.2.0.1', 9000)
 
     async def restart():
@@ -171,7 +173,7 @@
         await model.start(*address)
 
     run(context, restart())
-    bench.source.set_endpoint(
+    harness.source.set_endpoint(
         dataclasses.replace(
             before,
             address=address,
@@ -183,9 +185,9 @@
 
 
 @when(r'"([^"]+)" (drains|is ready) with sequence (\d+)')
-def say(context, upstream, what, sequence):
-    bench = gateway_steps.get(context)
-    source = bench.source
+def write_phase(context, upstream, what, sequence):
+    harness = gateway_steps.get(context)
+    source = harness.source
     entry = source.endpoints.get(upstream) or context.entries[upstream]
     drains = what == 'drains'
     entry = dataclasses.replace(
@@ -202,14 +204,14 @@
     r'(\d+) requests a second'
 )
 def set_warmup(context, service, seconds, rate):
-    bench = gateway_steps.get(context)
+    harness = gateway_steps.get(context)
     name = gateway.ServiceName(service)
-    bench.services[name] = dataclasses.replace(
-        bench.services[name],
+    harness.services[name] = dataclasses.replace(
+        harness.services[name],
         warmup_s=float(seconds),
         warmup_per_s=float(rate),
     )
-    bench.publish()
+    harness.publish()
 
 
 @when(r'"([^"]+)" becomes cold for (\d+) seconds')
@@ -229,12 +231,12 @@
         return await context.fleet.ask(name, raw)
 
     async def load():
-        asked = []
+        tasks = []
         for number in range(int(rate) * int(seconds)):
             for name in context.fleet.members:
-                asked.append(asyncio.create_task(ask(name, number)))
+                tasks.append(asyncio.create_task(ask(name, number)))
             await asyncio.sleep(1.0 / float(rate))
-        return await asyncio.gather(*asked)
+        return await asyncio.gather(*tasks)
 
     context.fleet_replies = run(context, load())
 
@@ -245,8 +247,8 @@
     assert statuses == {200}, statuses
 
 
-def list_since(context, upstream):
-    """Return when requests reached an upstream since the load began."""
+def list_arrival_times(context, upstream):
+    """Return when requests reached an upstream, in s since the load began."""
     model = gateway_steps.get(context).upstreams[upstream]
     return [
         at - context.asked_at
@@ -259,39 +261,43 @@
     r'"([^"]+)" got at most (\d+) requests in any second of the first '
     r'([\d.]+) seconds'
 )
-def check_cold_rate(context, upstream, most, seconds):
-    times = [at for at in list_since(context, upstream) if at < float(seconds)]
+def check_cold_rate(context, upstream, maximum, seconds):
+    times = [
+        at
+        for at in list_arrival_times(context, upstream)
+        if at < float(seconds)
+    ]
     for start in times:
         within = sum(start <= at < start + 1.0 for at in times)
-        assert within <= int(most), (start, within, times)
+        assert within <= int(maximum), (start, within, times)
 
 
 @then(r'"([^"]+)" got at least (\d+) requests? in the first ([\d.]+) seconds')
-def check_least(context, upstream, least, seconds):
-    times = list_since(context, upstream)
+def check_arrival_count(context, upstream, minimum, seconds):
+    times = list_arrival_times(context, upstream)
     found = sum(at < float(seconds) for at in times)
-    assert found >= int(least), times
+    assert found >= int(minimum), times
 
 
 @then(r'"([^"]+)" got most requests of the last 0.5 seconds')
-def check_back(context, upstream):
-    times = list_since(context, upstream)
+def check_recovered(context, upstream):
+    times = list_arrival_times(context, upstream)
     hosts = len(context.fleet.members)
     found = sum(at > 2.5 for at in times)
     assert found > 0.5 * hosts * 5, (found, hosts)
 
 
-def make_entry(chance, upstream):
-    """Return an entry that an upstream may have written at some time."""
+def make_random_entry(rng, upstream):
+    """Return a random entry of an upstream."""
     return gateway.Endpoint(
         upstream=core.UpstreamId(upstream),
         service=_SERVICE,
         address=('10.1.0.1', 9000),
         zone=core.ZoneId('north-1'),
         slots=2,
-        phase=chance.choice(list(gateway.Phase)),
-        born=chance.randrange(3),
-        sequence=chance.randrange(6),
+        phase=rng.choice(list(gateway.Phase)),
+        born=rng.randrange(3),
+        sequence=rng.randrange(6),
     )
 
 
@@ -301,36 +307,39 @@
 )
 def check_entries(context, runs):
     for seed in range(int(runs)):
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         written = {}
         for _ in range(6):
-            entry = make_entry(chance, 'u1')
+            entry = make_random_entry(rng, 'u1')
             written.setdefault(entry.incarnation_order, entry)
-        wanted = written[max(written)]
-        found = merge_entries(chance, list(written.values()))
-        assert found == wanted, (seed, found, wanted)
+        expected = written[max(written)]
+        found = merge_entries(rng, list(written.values()))
+        assert found == expected, (seed, found, expected)
+
 
+def merge_entries(rng, entries):
+    """Return the entry in a directory after applying entries in any order.
 
-def merge_entries(chance, entries):
-    """Return what a directory holds after entries came in any order."""
+    Some entries are applied repeatedly, and empty changes in between.
+    """
     clock = state.Clock(asyncio.new_event_loop())
     directory = gateway.Directory(clock)
-    came = entries + chance.choices(entries, k=4)
-    chance.shuffle(came)
-    for number, entry in enumerate(came, 1):
+    applied = entries + rng.choices(entries, k=4)
+    rng.shuffle(applied)
+    for number, entry in enumerate(applied, 1):
         stamp = gateway.ReadingStamp('p1', number, float(number))
         read = gateway.Position(0, number)
         directory.apply_reading([entry], read, stamp)
-        if chance.random() < 0.3:
+        if rng.random() < 0.3:
             directory.apply_changes([], [], read, stamp)
     return directory.get_endpoint(core.UpstreamId('u1'))
 
 
-class NoLog:
-    """Takes log lines and keeps none."""
+class NullLog:
+    """An event log that discards all lines."""
 
     def record(self, kind, **fields):
-        """Take one line."""
+        """Discard one line."""
 
 
 @then(
@@ -340,27 +349,26 @@
 def check_snapshots(context, runs):
     zones = [core.ZoneId(f'z{number}') for number in range(3)]
     for seed in range(int(runs)):
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         snapshots = [
             gateway.Evacuations(
                 gateway.Position(0, revision),
-                dict.fromkeys(
-                    chance.sample(zones, chance.randrange(3)), revision
-                ),
+                dict.fromkeys(rng.sample(zones, rng.randrange(3)), revision),
             )
             for revision in range(5)
         ]
-        came = snapshots + chance.choices(snapshots, k=4)
-        chance.shuffle(came)
+        applied = snapshots + rng.choices(snapshots, k=4)
+        rng.shuffle(applied)
         clock = state.Clock(context.loop)
-        holder = gateway.EvacuationHolder(zones, clock, NoLog())
-        told = []
-        holder.add_listener(told.append)
-        for each in came:
+        holder = gateway.EvacuationHolder(zones, clock, NullLog())
+        notified = []
+        holder.add_listener(notified.append)
+        for each in applied:
             holder.apply(each, 'test')
         assert holder.current == snapshots[-1], (seed, holder.current)
-        positions = [each.position for each in told]
+        positions = [each.position for each in notified]
         assert positions == sorted(positions), positions
         assert all(
-            one.zones != other.zones for one, other in itertools.pairwise(told)
+            earlier.zones != later.zones
+            for earlier, later in itertools.pairwise(notified)
         )
